--- a/internal/tier/dedup/mutants_test.go
+++ b/internal/tier/dedup/mutants_test.go
@@ -10,7 +10,7 @@
 	t.Parallel()
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name: "the wall clock alone decides",
+			Name: "orders expire by the wall clock alone",
 			Change: mutation.Change{
 				File: "window.go",
 				Old:  "max(w.SeenFor(now, order.Index), age) > w.length",
@@ -19,7 +19,7 @@
 			Run: "^TestExpiredUpTo_",
 		},
 		{
-			Name: "the monotonic clock alone decides",
+			Name: "orders expire by the monotonic clock alone",
 			Change: mutation.Change{
 				File: "window.go",
 				Old:  "max(w.SeenFor(now, order.Index), age) > w.length",
@@ -28,7 +28,7 @@
 			Run: "^TestExpiredUpTo_",
 		},
 		{
-			Name: "clocks are assumed to agree",
+			Name: "wall clocks are assumed to agree",
 			Change: mutation.Change{
 				File: "window.go",
 				Old:  "clockSkew = 5 * time.Second",
@@ -37,7 +37,7 @@
 			Run: "^TestExpiredUpTo_",
 		},
 		{
-			Name: "an order counts as new whenever another comes",
+			Name: "every order counts as first seen at each Observe",
 			Change: mutation.Change{
 				File: "window.go",
 				Old:  "\t\tif !known {\n\t\t\tat = now\n\t\t}\n",
--- a/internal/tier/program/begin.go
+++ b/internal/tier/program/begin.go
@@ -29,7 +29,7 @@
 	}
 	if t.remembered {
 		t.input = begin.Input
-		t.retainMs = requestedRetentionMs(begin.KeepForS)
+		t.requestedRetentionMs = requestedRetentionMs(begin.KeepForS)
 	}
 	if p != nil {
 		p.reserve(maxTokens)
--- a/internal/tier/program/bench_test.go
+++ b/internal/tier/program/bench_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// chainOf returns a machine with one chain of complete turns, and the last one's name.
+// chainOf returns a machine with one chain of complete turns, and the name of the last turn.
 func chainOf(length, inputBytes, outputBytes int) (machine *Machine, last string) {
 	machine = New()
 	for i := range length {
@@ -23,7 +23,7 @@
 	tests := []struct{ turns, input, output int }{
 		{0, 0, 0},
 		{10, 1600, 400},
-		{400, 1600, 500}, // 210,000 tokens at four bytes each
+		{400, 1600, 500}, // a context of 210,000 tokens at four bytes each
 	}
 	for _, test := range tests {
 		b.Run(fmt.Sprint("after ", test.turns, " turns"), func(b *testing.B) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// BenchmarkMachine_Memory reports the memory of a record beside its contents.
+// BenchmarkMachine_Memory reports the memory that a program and a turn take without inputs and outputs.
 func BenchmarkMachine_Memory(b *testing.B) {
 	const programs = 20_000
 	var before, after runtime.MemStats
--- a/internal/tier/program/chunk.go
+++ b/internal/tier/program/chunk.go
@@ -90,7 +90,7 @@
 		Remembered:     t.remembered,
 		ReservedTokens: t.reservedTokens,
 		Parent:         parent,
-		RetainMs:       t.retainMs,
+		RetainMs:       t.requestedRetentionMs,
 		ExpiresAtMs:    t.expiresAtMs,
 		Input:          t.input,
 		Output:         t.output,
--- a/internal/tier/program/chunk_mutants_test.go
+++ b/internal/tier/program/chunk_mutants_test.go
@@ -10,12 +10,12 @@
 	t.Parallel()
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name:   "chunks have no index",
+			Name:   "all chunks have the same index",
 			Change: mutation.Change{File: "chunk_writer.go", Old: "	w.chunk.Index++\n", New: ""},
 			Run:    "^TestWriteChunks_LargeState_BoundedAndFull$",
 		},
 		{
-			Name:   "a missing last chunk is not noticed",
+			Name:   "a restore succeeds without the last chunk",
 			Change: mutation.Change{File: "restore.go", Old: "if r.expectsMore {", New: "if false {"},
 			Run:    "^TestRestorer_IncompleteSeries_KeepsState$",
 		},
@@ -25,7 +25,7 @@
 			Run:    "^TestWriteChunks_LargeState_BoundedAndFull$",
 		},
 		{
-			Name: "chunks of different snapshots are mixed",
+			Name: "a chunk of another snapshot is accepted",
 			Change: mutation.Change{
 				File: "restore.go",
 				Old:  "if (r.restored.clock != clock{nowMs: chunk.NowMs, lastCommandMs: chunk.LastCommandMs}) {",
--- a/internal/tier/program/chunk_writer_test.go
+++ b/internal/tier/program/chunk_writer_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// chunksOf returns copies of the chunks of a machine's state.
+// chunksOf returns copies of the chunks that a machine writes.
 func chunksOf(t interface{ Fatal(...any) }, machine *Machine) [][]byte {
 	var chunks [][]byte
 	err := machine.WriteChunks(func(chunk []byte) error {
@@ -25,7 +25,7 @@
 	return chunks
 }
 
-// restoreChunks restores a machine from chunks.
+// restoreChunks replaces a machine's state by that of the chunks.
 func restoreChunks(machine *Machine, chunks [][]byte) error {
 	restorer := machine.BeginRestore()
 	for _, chunk := range chunks {
@@ -36,12 +36,12 @@
 	return restorer.Finish()
 }
 
-// maxChunkBytes bounds a chunk: records are estimated with some margin, names in full.
+// maxChunkBytes is the largest allowed length of a chunk: chunkBytes, plus a margin since the length of records is estimated.
 const maxChunkBytes = chunkBytes + chunkBytes/8
 
 func TestRestorer_AnyState_SameAfterRestore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		// given a machine, also with contents that are far larger than a chunk
+		// given a machine, some of whose turns may be larger than a chunk
 		machine := New()
 		for _, step := range writeScript(rapidChoice(t), 40, 400) {
 			machine.Apply(step.command)
@@ -60,7 +60,7 @@
 			t.Fatal(err)
 		}
 		// then it has the same state and writes the same chunks
-		if large == 0 { // comparing large contents so takes too long
+		if large == 0 { // cmp.Diff takes too long on large contents
 			if diff := cmp.Diff(machine, restored, stateOptions...); diff != "" {
 				t.Fatalf("(-machine +restored):\n%s", diff)
 			}
@@ -69,19 +69,19 @@
 			t.Fatalf("%+v was restored, want %+v", got, want)
 		}
 		if rewritten := chunksOf(t, restored); !slices.EqualFunc(chunks, rewritten, bytes.Equal) {
-			t.Fatalf("%d chunks became %d, or others", len(chunks), len(rewritten))
+			t.Fatalf("%d chunks were restored, and the restored machine writes %d, or different ones", len(chunks), len(rewritten))
 		}
 		// and no chunk is longer than the bound
 		for i, chunk := range chunks {
 			if len(chunk) > maxChunkBytes {
-				t.Fatalf("chunk %d of %d has %d bytes", i, len(chunks), len(chunk))
+				t.Fatalf("chunk %d of %d is too long: %d bytes", i, len(chunks), len(chunk))
 			}
 		}
 	})
 }
 
 func TestWriteChunks_LargeState_BoundedAndFull(t *testing.T) {
-	// given a machine with some MB in turns of usual length, and one turn of 1 MB
+	// given a machine with some MB in turns of usual length, and one turn with an input and an output of 1 MB each
 	machine := filled(2000)
 	machine.Apply(beginRemembered("large", "", strings.Repeat("i", 1<<20), 0))
 	machine.Apply(endTurn("large", true, 1, strings.Repeat("o", 1<<20), 0))
@@ -90,11 +90,11 @@
 	total := 0
 	for i, chunk := range chunks {
 		if len(chunk) > maxChunkBytes {
-			t.Errorf("chunk %d has %d bytes", i, len(chunk))
+			t.Errorf("chunk %d is too long: %d bytes", i, len(chunk))
 		}
 		total += len(chunk)
 	}
-	// then there are not many more than needed
+	// then each is bounded, and there are not many more than the total length requires
 	if maxChunks := total/chunkBytes*5/4 + 4; len(chunks) > maxChunks {
 		t.Errorf("%d chunks for %d bytes, want at most %d", len(chunks), total, maxChunks)
 	}
@@ -107,7 +107,7 @@
 		t.Errorf("%+v was restored, want %+v", got, want)
 	}
 	if chain, found := restored.Chain("large"); !found || len(chain) != 2<<20 {
-		t.Errorf("the large turn has %d bytes", len(chain))
+		t.Errorf("the chain of the large turn has %d bytes, want 2 MB", len(chain))
 	}
 }
 
@@ -128,21 +128,21 @@
 		name   string
 		chunks [][]byte
 	}{
-		{"none at all", nil},
-		{"the first one missing", without(0)},
-		{"the last one missing", chunks[:len(chunks)-1]},
-		{"one twice", append(append([][]byte(nil), chunks[:2]...), chunks[1:]...)},
-		{"one of another machine", append(append([][]byte(nil), chunks...), chunksOf(t, other)...)},
-		{"those of two moments", append(append([][]byte(nil), chunks[:1]...), later[1:]...)},
-		{"contents without a turn", [][]byte{[]byte(`{"nowMs":0,"heardMs":0,"more":{"input":"AAAA"}}`)}},
-		{"one that is cut", append(append([][]byte(nil), chunks[:1]...), chunks[1][:len(chunks[1])/2])},
+		{"no chunks", nil},
+		{"chunks without the first one", without(0)},
+		{"chunks without the last one", chunks[:len(chunks)-1]},
+		{"chunks with one of them repeated", append(append([][]byte(nil), chunks[:2]...), chunks[1:]...)},
+		{"chunks followed by those of another machine", append(append([][]byte(nil), chunks...), chunksOf(t, other)...)},
+		{"chunks of two snapshots of one machine", append(append([][]byte(nil), chunks[:1]...), later[1:]...)},
+		{"a content fragment without a turn", [][]byte{[]byte(`{"nowMs":0,"heardMs":0,"more":{"input":"AAAA"}}`)}},
+		{"a truncated chunk", append(append([][]byte(nil), chunks[:1]...), chunks[1][:len(chunks[1])/2])},
 	}
 	for _, test := range tests {
-		t.Run("given "+test.name+" when it is restored then the machine stays as it was", func(t *testing.T) {
+		t.Run("given "+test.name+" when they are restored then the state is unchanged", func(t *testing.T) {
 			machine := filled(3)
 			before := string(machine.Snapshot())
 			if err := restoreChunks(machine, test.chunks); err == nil {
-				t.Error("no error")
+				t.Error("corrupt chunks were restored without an error")
 			}
 			if diff := cmp.Diff(before, string(machine.Snapshot())); diff != "" {
 				t.Errorf("(-before +after):\n%s", diff)
@@ -153,14 +153,14 @@
 
 func TestWriteChunks_WriteFails_StopsAtFirstError(t *testing.T) {
 	machine := filled(400)
-	full := errors.New("the disk is full")
+	errDiskFull := errors.New("the disk is full")
 	written := 0
 	err := machine.WriteChunks(func([]byte) error {
 		written++
-		return full
+		return errDiskFull
 	})
-	if err != full || written != 1 {
-		t.Errorf("%d chunks were written, error %v", written, err)
+	if err != errDiskFull || written != 1 {
+		t.Errorf("%d chunks were written, error %v, want one and the writer's error", written, err)
 	}
 }
 
@@ -174,13 +174,13 @@
 		if restoreChunks(machine, [][]byte{first, second}) != nil {
 			return
 		}
-		// when its own chunks are restored, then that is the same state
+		// when the chunks that it writes are restored, then the state is the same
 		restored := New()
 		if err := restoreChunks(restored, chunksOf(t, machine)); err != nil {
 			t.Fatal(err)
 		}
 		if want, got := string(machine.Snapshot()), string(restored.Snapshot()); want != got {
-			t.Fatalf("%s became %s", want, got)
+			t.Fatalf("the snapshot %s was restored as %s", want, got)
 		}
 	})
 }
--- a/internal/tier/program/machine_test.go
+++ b/internal/tier/program/machine_test.go
@@ -10,7 +10,7 @@
 
 const startMs = 1_700_000_000_000
 
-// beginTurn returns a BeginTurn with a name and a budget.
+// beginTurn returns a BeginTurn of a turn that isn't remembered.
 func beginTurn(turn, program string, budget, maxTokens int64) Command {
 	return Command{Begin: &BeginTurn{Turn: turn, Program: program, Budget: budget, MaxTokens: maxTokens, AtMs: startMs}}
 }
@@ -23,7 +23,7 @@
 	}}
 }
 
-// beginImporting is beginRemembered with the chain of previous from another shard.
+// beginImporting returns a BeginTurn of a remembered turn that imports the chain of previous from another shard.
 func beginImporting(turn, previous, imported, input string) Command {
 	command := beginRemembered(turn, previous, input, 0)
 	command.Begin.Imported = []byte(imported)
@@ -45,7 +45,7 @@
 
 func rejected(verdict Verdict) Result { return Result{Verdict: verdict} }
 
-// applyCase is a series of commands with the result that each must have.
+// applyCase is a series of commands with their expected results.
 type applyCase struct {
 	name  string
 	steps []applyStep
@@ -74,13 +74,13 @@
 
 func TestMachine_Apply_Budgets(t *testing.T) {
 	testApply(t, []applyCase{
-		{"given a budget when turns begin up to it then they are accepted and the next is rejected", []applyStep{
+		{"given a budget when turns reserve all of it then they are accepted and the next one is rejected", []applyStep{
 			{beginTurn("a", "p", 100, 60), accepted("")},
 			{beginTurn("b", "p", 100, 40), accepted("")},
 			{beginTurn("c", "p", 100, 1), rejected(BudgetExceeded)},
 			{beginTurn("d", "p", 100, 0), accepted("")},
 		}},
-		{"given a turn over the budget when it begins then it is rejected and a smaller one fits", []applyStep{
+		{"given a turn over the budget when it begins then it is rejected and a smaller one is accepted", []applyStep{
 			{beginTurn("a", "p", 100, 101), rejected(BudgetExceeded)},
 			{beginTurn("b", "p", 100, 100), accepted("")},
 		}},
@@ -89,7 +89,7 @@
 			{beginTurn("b", "p", 0, 1<<62), accepted("")},
 			{beginTurn("c", "p", 0, 1<<62), accepted("")},
 		}},
-		{"given differing budgets when turns begin then the lowest counts", []applyStep{
+		{"given different budgets when turns begin then the lowest one applies", []applyStep{
 			{beginTurn("a", "p", 100, 50), accepted("")},
 			{beginTurn("b", "p", 80, 31), rejected(BudgetExceeded)},
 			{beginTurn("c", "p", 1000, 31), rejected(BudgetExceeded)},
@@ -100,16 +100,16 @@
 			{beginTurn("a", "p", 100, 100), accepted("")},
 			{beginTurn("b", "q", 100, 100), accepted("")},
 		}},
-		{"given a turn of no program when it gives a budget then it has no limit", []applyStep{
+		{"given a turn without a program when it gives a budget then the budget is ignored", []applyStep{
 			{beginTurn("a", "", 100, 101), accepted("")},
 		}},
-		{"given a committed turn when the next begins then what wasn't sent is released", []applyStep{
+		{"given a committed turn when the next begins then tokens that weren't sent are released", []applyStep{
 			{beginTurn("a", "p", 100, 100), accepted("")},
 			{endTurn("a", true, 30, "", 0), accepted("")},
 			{beginTurn("b", "p", 100, 71), rejected(BudgetExceeded)},
 			{beginTurn("c", "p", 100, 70), accepted("")},
 		}},
-		{"given a turn broken off when the next begins then what was sent counts", []applyStep{
+		{"given an incomplete turn when the next begins then the tokens sent are spent", []applyStep{
 			{beginTurn("a", "p", 100, 100), accepted("")},
 			{endTurn("a", false, 30, "", 0), accepted("")},
 			{beginTurn("b", "p", 100, 71), rejected(BudgetExceeded)},
@@ -121,13 +121,13 @@
 			{beginTurn("b", "p", 100, 41), rejected(BudgetExceeded)},
 			{beginTurn("c", "p", 100, 40), accepted("")},
 		}},
-		{"given negative tokens when a turn ends then nothing is spent or gained", []applyStep{
+		{"given a negative number of tokens when a turn ends then the remaining budget is unchanged", []applyStep{
 			{beginTurn("a", "p", 100, 60), accepted("")},
 			{endTurn("a", true, -1000, "", 0), accepted("")},
 			{beginTurn("b", "p", 100, 101), rejected(BudgetExceeded)},
 			{beginTurn("c", "p", 100, 100), accepted("")},
 		}},
-		{"given a negative maximum when a turn begins then nothing is gained", []applyStep{
+		{"given a negative MaxTokens when a turn begins then the remaining budget is unchanged", []applyStep{
 			{beginTurn("a", "p", 100, -1000), accepted("")},
 			{beginTurn("b", "p", 100, 101), rejected(BudgetExceeded)},
 		}},
@@ -136,7 +136,7 @@
 
 func TestMachine_Apply_Retries(t *testing.T) {
 	testApply(t, []applyCase{
-		{"given an accepted turn when it is retried then nothing is reserved twice", []applyStep{
+		{"given an accepted turn when its commands are retried then its tokens are reserved and spent once", []applyStep{
 			{beginTurn("a", "p", 100, 60), accepted("")},
 			{beginTurn("a", "p", 100, 60), accepted("")},
 			{beginTurn("b", "p", 100, 40), accepted("")},
@@ -151,14 +151,14 @@
 			{endTurn("a", true, 50, "", 0), accepted("")},
 			{beginTurn("b", "p", 100, 50), accepted("")},
 		}},
-		{"given a turn broken off when it is called complete later then the first end wins", []applyStep{
+		{"given a turn that ended as incomplete when it ends as complete later then the first end wins", []applyStep{
 			{beginRemembered("a", "", "[in a]", 0), accepted("")},
 			{endTurn("a", false, 1, "", 0), accepted("")},
 			{endTurn("a", true, 1, "[out a]", 0), rejected(UnknownTurn)},
 			{endTurn("a", false, 1, "", 0), accepted("")},
 			{beginRemembered("b", "a", "[in b]", 0), rejected(TurnNotFound)},
 		}},
-		{"given a complete turn when it is called broken off later then the first end wins", []applyStep{
+		{"given a turn that ended as complete when it ends as incomplete later then the first end wins", []applyStep{
 			{beginRemembered("a", "", "[in a]", 0), accepted("")},
 			{endTurn("a", true, 1, "[out a]", 0), accepted("")},
 			{endTurn("a", false, 1, "", 0), accepted("")},
@@ -178,7 +178,7 @@
 
 func TestMachine_Apply_Chains(t *testing.T) {
 	testApply(t, []applyCase{
-		{"given a series of turns when each continues the last then it gets all before it", []applyStep{
+		{"given a series of turns when a turn continues another then it gets the chain of that one", []applyStep{
 			{beginRemembered("a", "", "[in a]", 0), accepted("")},
 			{endTurn("a", true, 1, "[out a]", 0), accepted("")},
 			{beginRemembered("b", "a", "[in b]", 1), accepted("[in a][out a]")},
@@ -190,7 +190,7 @@
 			{beginRemembered("a", "", "[in a]", 0), accepted("")},
 			{beginRemembered("b", "a", "[in b]", 0), rejected(TurnNotFound)},
 		}},
-		{"given a turn broken off when another continues it then it isn't found", []applyStep{
+		{"given an incomplete turn when another continues it then it isn't found", []applyStep{
 			{beginRemembered("a", "", "[in a]", 0), accepted("")},
 			{endTurn("a", false, 1, "[out a]", 0), accepted("")},
 			{beginRemembered("b", "a", "[in b]", 0), rejected(TurnNotFound)},
@@ -203,31 +203,31 @@
 		{"given a turn that continues itself when it begins then it isn't found", []applyStep{
 			{beginRemembered("a", "a", "[in a]", 0), rejected(TurnNotFound)},
 		}},
-		{"given a turn of another shard when it is imported then the rejected turn is accepted", []applyStep{
+		{"given a turn rejected for a chain of another shard when it imports that chain then it is accepted", []applyStep{
 			{beginRemembered("b", "a", "[in b]", 0), rejected(TurnNotFound)},
 			{beginImporting("b", "a", "[chain of a]", "[in b]"), accepted("[chain of a]")},
 			{endTurn("b", true, 1, "[out b]", 0), accepted("")},
 			{beginRemembered("c", "b", "[in c]", 0), accepted("[chain of a][in b][out b]")},
 			{beginRemembered("d", "a", "[in d]", 0), accepted("[chain of a]")},
 		}},
-		{"given a turn stored here when it is imported all the same then the one here counts", []applyStep{
+		{"given a turn stored in this shard when its chain is imported as well then the stored one is used", []applyStep{
 			{beginRemembered("a", "", "[in a]", 0), accepted("")},
 			{endTurn("a", true, 1, "[out a]", 0), accepted("")},
 			{beginImporting("b", "a", "[other]", "[in b]"), accepted("[in a][out a]")},
 		}},
-		{"given no previous turn when a turn is rejected then nothing is reserved", []applyStep{
+		{"given a turn whose previous one isn't found when it is rejected then nothing is reserved", []applyStep{
 			{Command{Begin: &BeginTurn{
 				Turn: "a", Program: "p", Budget: 100, MaxTokens: 100, Remembered: true, Previous: "x", AtMs: startMs,
 			}}, rejected(TurnNotFound)},
 			{beginTurn("b", "p", 100, 100), accepted("")},
 		}},
-		{"given a spent budget and no previous turn when a turn begins then the budget takes precedence", []applyStep{
+		{"given a spent budget and a missing previous turn when a turn begins then the budget takes precedence", []applyStep{
 			{beginTurn("a", "p", 100, 100), accepted("")},
 			{Command{Begin: &BeginTurn{
 				Turn: "b", Program: "p", Budget: 100, MaxTokens: 1, Remembered: true, Previous: "x", AtMs: startMs,
 			}}, rejected(BudgetExceeded)},
 		}},
-		{"given a turn that isn't remembered when it names a previous one then that is ignored", []applyStep{
+		{"given a turn that isn't remembered when it names a previous one then the name is ignored", []applyStep{
 			{Command{Begin: &BeginTurn{Turn: "a", Previous: "x", AtMs: startMs}}, accepted("")},
 		}},
 	})
@@ -235,13 +235,13 @@
 
 func TestMachine_Apply_Names(t *testing.T) {
 	testApply(t, []applyCase{
-		{"given no name or an empty command when it is applied then the turn is unknown", []applyStep{
+		{"given a command that is empty or names no known turn when it is applied then the turn is unknown", []applyStep{
 			{beginTurn("", "p", 100, 1), rejected(UnknownTurn)},
 			{endTurn("", true, 1, "", 0), rejected(UnknownTurn)},
 			{endTurn("x", true, 1, "", 0), rejected(UnknownTurn)},
 			{Command{}, rejected(UnknownTurn)},
 		}},
-		{"given names that aren't UTF-8 when they are retried then they are the same", []applyStep{
+		{"given names that aren't UTF-8 when they are sent again with replacement characters then they are the same", []applyStep{
 			{beginTurn("a\xff", "p\xfe", 100, 100), accepted("")},
 			{beginTurn("a\ufffd", "p\ufffd", 100, 100), accepted("")},
 			{beginTurn("b", "p\ufffd", 100, 1), rejected(BudgetExceeded)},
@@ -250,7 +250,7 @@
 }
 
 func TestMachine_Chain_OnlyOfCompleteTurns(t *testing.T) {
-	// given a complete turn that continues an imported one, one in flight and one that was broken off
+	// given a complete turn that continues an imported chain, a turn in flight and an incomplete one
 	machine := New()
 	machine.Apply(beginImporting("b", "a", "[chain of a]", "[in b]"))
 	machine.Apply(endTurn("b", true, 1, "[out b]", 0))
@@ -258,7 +258,7 @@
 	machine.Apply(beginRemembered("d", "b", "[in d]", 0))
 	machine.Apply(endTurn("d", false, 1, "[out d]", 0))
 
-	// when their chains are read, then only those of complete turns are there
+	// when their chains are read, then only those of the complete turn and the imported chain are found
 	tests := map[string]string{"a": "[chain of a]", "b": "[chain of a][in b][out b]", "c": "", "d": "", "x": ""}
 	for name, want := range tests {
 		chain, found := machine.Chain(name)
@@ -269,7 +269,7 @@
 }
 
 func TestChains_ManyContinuations_StoredOnce(t *testing.T) {
-	// given a chain of 400 turns with 2,100 bytes each, and 1,000 turns that continue its end
+	// given a chain of 400 turns with 2,100 bytes each, and 1,000 turns that continue the last of them
 	const turns, branches, size = 400, 1000, 2100
 	machine := New()
 	previous := ""
@@ -283,9 +283,9 @@
 		machine.Replay(beginRemembered(fmt.Sprint("branch ", i), previous, "x", 0))
 	}
 	if result := machine.Apply(beginRemembered("branch 0", previous, "x", 0)); len(result.Chain) != turns*size {
-		t.Errorf("a branch got %d bytes", len(result.Chain))
+		t.Errorf("a turn that continues the chain got %d bytes, not all of it", len(result.Chain))
 	}
-	// when the machine's stats are read, then each content is stored once
+	// when the machine's stats are read, then each input and output is counted once
 	want := Stats{Turns: turns + branches, Bytes: turns*size + branches}
 	if diff := cmp.Diff(want, machine.Stats()); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
--- a/internal/tier/program/model_comparison_test.go
+++ b/internal/tier/program/model_comparison_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// subject is a machine, or a wrong one.
+// subject is the machine under test, either a Machine or a mutant.
 type subject interface {
 	Apply(Command) Result
 	machine() *Machine
@@ -15,7 +15,7 @@
 
 func (m *Machine) machine() *Machine { return m }
 
-// runScript applies a script and returns the first difference from the model.
+// runScript applies the steps to a machine and to the model, and returns the first difference.
 func runScript(subject subject, steps []step) error {
 	reference := newModel()
 	for i, step := range steps {
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// drain applies commands over two hours without any turn that matters, and returns an error if anything is left.
+// drain applies unrelated commands over two hours, and returns an error if anything of the script is left by then.
 func drain(subject subject, steps []step) error {
 	atMs := steps[len(steps)-1].trueMs + 2*3_600_000
 	for i := range 2 * 3600 / 10 {
@@ -46,30 +46,31 @@
 	return nil
 }
 
+// rapidChoice returns a choose function that draws from rapid.
 func rapidChoice(t *rapid.T) choose {
 	return func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") }
 }
 
 func TestMachine_AnyScript_FollowsModel(t *testing.T) {
 	tests := []struct {
-		name    string
-		length  int
-		longest int
+		name     string
+		length   int
+		maxGapMs int
 	}{
-		{"within the time in which nothing expires", 60, 400},
-		{"over minutes", 80, 15_000},
+		{"short gaps, within which nothing expires", 60, 400},
+		{"long gaps, over which turns expire", 80, 15_000},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
 				// given commands as relays and leaders with differing clocks send them
-				steps := writeScript(rapidChoice(t), test.length, test.longest)
-				// when a machine applies them, then its results and its state are the model's
+				steps := writeScript(rapidChoice(t), test.length, test.maxGapMs)
+				// when a machine applies them, then its results and its state equal the model's
 				machine := New()
 				if err := runScript(machine, steps); err != nil {
 					t.Fatal(err)
 				}
-				// and when nothing more comes, then everything expires
+				// and when no more commands concern its turns and programs, then all of them expire
 				if err := drain(machine, steps); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/tier/program/model_mutants_test.go
+++ b/internal/tier/program/model_mutants_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// mutant is a machine that is wrong in one way: by what is done around each command.
+// mutant is a machine with one mistake, which is made before or after each command.
 type mutant struct {
 	*Machine
 	before func(m *Machine, command Command)
@@ -23,12 +23,12 @@
 	return result
 }
 
-// mutants are the mistakes that the model must catch.
+// mutants are machines that must differ from the model.
 var mutants = []struct {
 	name  string
 	build func() *mutant
 }{
-	{"a retried turn reserves again", func() *mutant {
+	{"a retried BeginTurn reserves again", func() *mutant {
 		return &mutant{Machine: New(), before: func(m *Machine, command Command) {
 			if command.Begin == nil {
 				return
@@ -38,7 +38,7 @@
 			}
 		}}
 	}},
-	{"an ended turn begins anew", func() *mutant {
+	{"a retried BeginTurn of a discarded turn begins it anew", func() *mutant {
 		return &mutant{Machine: New(), before: func(m *Machine, command Command) {
 			if command.Begin == nil {
 				return
@@ -48,7 +48,7 @@
 			}
 		}}
 	}},
-	{"the last end wins", func() *mutant {
+	{"a later EndTurn replaces the first", func() *mutant {
 		return &mutant{Machine: New(), before: func(m *Machine, command Command) {
 			if command.End == nil {
 				return
@@ -84,7 +84,7 @@
 			}
 		}}
 	}},
-	{"the clock jumps as far as a leader's", func() *mutant {
+	{"the clock advances without a bound", func() *mutant {
 		return &mutant{Machine: New(), before: func(m *Machine, command Command) {
 			atMs := int64(0)
 			if command.Begin != nil {
@@ -95,7 +95,7 @@
 			m.clock.nowMs = max(m.clock.nowMs, atMs)
 		}}
 	}},
-	{"reservations retain their programs", func() *mutant {
+	{"a budget record with reservations never expires", func() *mutant {
 		return &mutant{Machine: New(), after: func(m *Machine, _ Command, _ Result) {
 			for _, p := range m.programs.byName {
 				if p.reserved > 0 {
@@ -112,14 +112,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			for seed := range uint64(attempts) {
 				random := rand.New(rand.NewPCG(seed, 1))
-				longest := []int{400, 15_000}[seed%2]
-				steps := writeScript(random.IntN, 80, longest)
-				wrong := test.build()
-				if runScript(wrong, steps) != nil || drain(wrong, steps) != nil {
+				maxGapMs := []int{400, 15_000}[seed%2]
+				steps := writeScript(random.IntN, 80, maxGapMs)
+				mutated := test.build()
+				if runScript(mutated, steps) != nil || drain(mutated, steps) != nil {
 					return
 				}
 			}
-			t.Errorf("not caught in %d scripts", attempts)
+			t.Errorf("%d scripts show no difference from the model", attempts)
 		})
 	}
 }
--- a/internal/tier/program/model_test.go
+++ b/internal/tier/program/model_test.go
@@ -5,29 +5,30 @@
 	"fmt"
 )
 
-// Spans, in true milliseconds, in which a machine must answer as the model does. Outside of them its state may have expired.
+// How long after its last command a turn must be retained, in milliseconds of true time. After that a machine may differ from the
+// model, since the turn may have expired.
 const (
 	modelInFlightMs = 2 * 60_000
 	modelEndedMs    = 30_000
 )
 
-// modelTurn is a turn with a complete copy of its chain.
+// modelTurn is a turn with a copy of its whole chain.
 type modelTurn struct {
 	program       string
 	maxTokens     int64
 	remembered    bool
 	retentionMs   int64
-	previousChain []byte // the chain up to it
+	previousChain []byte // the chain that the turn continues
 	input         []byte
-	chain         []byte // with it, once it is complete
+	chain         []byte // the chain including this turn; set when the turn is complete
 	ended         bool
 	complete      bool
-	atMs          int64 // true time of its last command that changed it
+	atMs          int64 // true time of the last command that changed the turn
 }
 
 type modelProgram struct{ limit, spent, reserved int64 }
 
-// model is the simplest machine: it copies every chain, nothing expires, and it knows the true time.
+// model is a simple implementation to compare a machine with: it copies every chain, expires nothing and knows the true time.
 type model struct {
 	turns    map[string]*modelTurn
 	imported map[string][]byte
@@ -42,7 +43,7 @@
 	}
 }
 
-// apply applies a command and checks a machine's result.
+// apply applies a command, and checks the result that a machine returned for it.
 func (r *model) apply(command Command, trueMs int64, got Result) error {
 	if command.Begin != nil {
 		return r.applyBegin(command.Begin, trueMs, got)
@@ -72,7 +73,7 @@
 	if begin.Remembered {
 		t.retentionMs = int64(begin.KeepForS * 1000)
 		t.input = begin.Input
-		if refused, err := r.findPrevious(t, begin, trueMs, got); refused {
+		if isRejected, err := r.findPrevious(t, begin, trueMs, got); isRejected {
 			return err
 		}
 	}
@@ -81,7 +82,8 @@
 	return compareResults(got, Result{Verdict: Accepted, Chain: t.previousChain})
 }
 
-// findPrevious sets the chain that a turn continues, and reports whether the turn is rejected since there is none.
+// findPrevious sets the chain that a turn continues, and reports whether the turn is rejected since that chain isn't found. An
+// expired chain may be missing, so then the machine's result decides.
 func (r *model) findPrevious(t *modelTurn, begin *BeginTurn, trueMs int64, got Result) (isRejected bool, err error) {
 	if begin.Previous == "" {
 		return false, nil
@@ -94,7 +96,7 @@
 		t.previousChain = previous.chain
 	case got.Verdict == TurnNotFound:
 		if len(begin.Imported) > 0 {
-			return true, fmt.Errorf("an imported chain was rejected")
+			return true, fmt.Errorf("a turn with an imported chain was rejected")
 		}
 		return true, nil
 	case isComplete:
@@ -122,7 +124,7 @@
 		return compareResults(got, Result{Verdict: Accepted})
 	}
 	if got.Verdict == UnknownTurn && trueMs > t.atMs+modelInFlightMs {
-		delete(r.turns, end.Turn) // its relay abandoned it for so long that it begins anew; what it reserved counts
+		delete(r.turns, end.Turn) // its relay abandoned the turn, which may have expired; its reservation stays
 		return nil
 	}
 	t.ended = true
@@ -148,7 +150,7 @@
 	return nil
 }
 
-// check compares a machine's state with what it must have at a true time.
+// check compares a machine's state with the state that it must have at a true time.
 func (r *model) check(m *Machine, trueMs int64) error {
 	for name, p := range r.programs {
 		record := m.programs.byName[name]
@@ -157,7 +159,7 @@
 		}
 		got := modelProgram{limit: record.limit, spent: record.spent, reserved: record.reserved}
 		if got != *p {
-			return fmt.Errorf("program %s is %+v, want %+v", name, got, *p)
+			return fmt.Errorf("program %s has %+v, want %+v", name, got, *p)
 		}
 	}
 	for name, t := range r.turns {
@@ -166,7 +168,7 @@
 			return fmt.Errorf("turn %s has chain %q, want %q (complete: %v)", name, chain, t.chain, t.complete)
 		}
 		if !found && t.complete && trueMs <= t.atMs+t.retentionMs {
-			return fmt.Errorf("turn %s has expired %d ms after its end, its retention is %d", name, trueMs-t.atMs, t.retentionMs)
+			return fmt.Errorf("turn %s has expired %d ms after its end, want a retention of %d ms", name, trueMs-t.atMs, t.retentionMs)
 		}
 	}
 	return nil
--- a/internal/tier/program/restore_records.go
+++ b/internal/tier/program/restore_records.go
@@ -42,15 +42,15 @@
 		return nil, corrupt("expiry is later than the maximum retention allows")
 	}
 	t := &turn{
-		name:           record.Turn,
-		input:          record.Input,
-		output:         record.Output,
-		reservedTokens: record.ReservedTokens,
-		retainMs:       record.RetainMs,
-		expiresAtMs:    record.ExpiresAtMs,
-		state:          record.State,
-		remembered:     record.Remembered,
-		queueIndex:     notQueued,
+		name:                 record.Turn,
+		input:                record.Input,
+		output:               record.Output,
+		reservedTokens:       record.ReservedTokens,
+		requestedRetentionMs: record.RetainMs,
+		expiresAtMs:          record.ExpiresAtMs,
+		state:                record.State,
+		remembered:           record.Remembered,
+		queueIndex:           notQueued,
 	}
 	if err := m.linkTurn(t, record, earlier); err != nil {
 		return nil, err
--- a/internal/tier/program/retention.go
+++ b/internal/tier/program/retention.go
@@ -18,7 +18,7 @@
 	case inFlight:
 		return inFlightRetentionMs + clockMarginMs
 	case complete:
-		return max(t.retainMs, endedRetentionMs) + clockMarginMs
+		return max(t.requestedRetentionMs, endedRetentionMs) + clockMarginMs
 	}
 	return endedRetentionMs
 }
--- a/internal/tier/program/script_test.go
+++ b/internal/tier/program/script_test.go
@@ -5,39 +5,40 @@
 	"slices"
 )
 
-// choose gives a number from 0 to under n.
+// choose returns a number from 0 to n-1.
 type choose func(n int) int
 
-// step is a command at a true time; the command's own time of day is that of its leader's clock.
+// step is a command and the true time at which it is proposed. The command itself carries the time of its leader's clock, which may
+// differ.
 type step struct {
 	command Command
 	trueMs  int64
 }
 
-// script builds a series of commands as relays and leaders with differing clocks could send them.
+// script builds a series of commands as relays could send them through leaders with differing clocks.
 type script struct {
 	choose   choose
-	maxGapMs int // ms between two commands
-	nowMs    int64
-	offsetMs int64
-	jumps    int // how often a clock may still jump by an hour
+	maxGapMs int   // upper bound of the time between two commands
+	nowMs    int64 // true time
+	offsetMs int64 // of the current leader's clock from the true time
+	jumps    int   // how often a leader's clock may still jump by an hour
 	turns    []*scriptTurn
 	steps    []step
 }
 
-// scriptTurn is a turn as its relay knows it.
+// scriptTurn is a turn with the commands that its relay has sent.
 type scriptTurn struct {
 	begin      *BeginTurn
 	end        *EndTurn
 	lastSentMs int64
 }
 
-// Commands are retried for so long after the first time.
+// retryMs is how long after a turn's first BeginTurn or EndTurn its commands may be retried.
 const retryMs = 25_000
 
-// writeScript gives length steps with up to longest milliseconds between them.
-func writeScript(choose choose, length, longest int) []step {
-	s := &script{choose: choose, maxGapMs: longest, nowMs: startMs, jumps: 1}
+// writeScript returns length steps, less than maxGapMs apart.
+func writeScript(choose choose, length, maxGapMs int) []step {
+	s := &script{choose: choose, maxGapMs: maxGapMs, nowMs: startMs, jumps: 1}
 	for range length {
 		s.passTime()
 		s.add(s.nextCommand())
@@ -45,7 +46,7 @@
 	return s.steps
 }
 
-// passTime moves the true time on and picks whose clock the next command carries.
+// passTime advances the true time, and chooses the offset of the clock that sets the next command's time.
 func (s *script) passTime() {
 	s.nowMs += int64(s.choose(s.maxGapMs))
 	switch s.choose(8) {
@@ -63,6 +64,7 @@
 	}
 }
 
+// add appends a step with the command, and the time of the leader's clock in it.
 func (s *script) add(command Command) {
 	if command.Begin != nil {
 		sent := *command.Begin
@@ -91,22 +93,22 @@
 	return s.nextBegin()
 }
 
-// nextEnd ends one of the last turns that haven't ended; sometimes one that its relay abandoned for long.
+// nextEnd ends one of the latest turns that haven't ended, or sometimes any of them, which may have been abandoned long before.
 func (s *script) nextEnd() (Command, bool) {
-	var open []*scriptTurn
+	var unfinished []*scriptTurn
 	for _, t := range s.turns {
 		if t.end == nil {
-			open = append(open, t)
+			unfinished = append(unfinished, t)
 		}
 	}
-	if len(open) == 0 {
+	if len(unfinished) == 0 {
 		return Command{}, false
 	}
-	newest := open[max(0, len(open)-4):]
+	candidates := unfinished[max(0, len(unfinished)-4):]
 	if s.choose(10) == 0 {
-		newest = open
+		candidates = unfinished
 	}
-	t := newest[s.choose(len(newest))]
+	t := candidates[s.choose(len(candidates))]
 	t.end = &EndTurn{
 		Turn:     t.begin.Turn,
 		Complete: s.choose(4) > 0,
@@ -117,18 +119,18 @@
 	return Command{End: t.end}, true
 }
 
-// retry repeats a begin or an end, or sends an end that differs from the first.
+// retry repeats a BeginTurn, or sends a second EndTurn that may differ from the first.
 func (s *script) retry() (Command, bool) {
-	var fresh []*scriptTurn
+	var recent []*scriptTurn
 	for _, t := range s.turns {
 		if s.nowMs-t.lastSentMs <= retryMs {
-			fresh = append(fresh, t)
+			recent = append(recent, t)
 		}
 	}
-	if len(fresh) == 0 {
+	if len(recent) == 0 {
 		return Command{}, false
 	}
-	t := fresh[s.choose(len(fresh))]
+	t := recent[s.choose(len(recent))]
 	if t.end == nil || s.choose(2) == 0 {
 		return Command{Begin: t.begin}, true
 	}
@@ -165,7 +167,7 @@
 	return Command{Begin: begin}
 }
 
-// bytes gives a turn's input or output; some are empty.
+// bytes returns a turn's input or output; some are empty.
 func (s *script) bytes(kind, turn string) []byte {
 	if s.choose(8) == 0 {
 		return nil
--- a/internal/tier/program/source_mutants_test.go
+++ b/internal/tier/program/source_mutants_test.go
@@ -7,7 +7,7 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// modelTest is the test that compares the machine with the model.
+// modelTest matches the test that compares the machine with the model.
 const modelTest = "^TestModel_CorrectMachine_IsNotCaught$"
 
 func budgetChange(old, changed string) mutation.Change {
@@ -22,16 +22,16 @@
 	return mutation.Change{File: "retention.go", Old: old, New: changed}
 }
 
-// budgetMutants reserve or charge other amounts than they should.
+// budgetMutants reserve or charge a wrong number of tokens.
 var budgetMutants = []mutation.Mutant{
 	{
-		Name:   "the budget leaves reservations out",
+		Name:   "the tokens reserved don't count towards the budget",
 		Change: budgetChange("return p.limit == 0 || maxTokens <= p.limit-p.usedTokens()", "return p.limit == 0 || p.spent+maxTokens <= p.limit"),
 		Run:    modelTest,
 		Always: true,
 	},
 	{
-		Name:   "the budget leaves what was spent out",
+		Name:   "the tokens spent don't count towards the budget",
 		Change: budgetChange("return p.limit == 0 || maxTokens <= p.limit-p.usedTokens()", "return p.limit == 0 || p.reserved+maxTokens <= p.limit"),
 		Run:    modelTest,
 	},
@@ -41,7 +41,7 @@
 		Run:    modelTest,
 	},
 	{
-		Name:   "the last budget given counts",
+		Name:   "the last budget given replaces a lower limit",
 		Change: budgetChange("return min(limit, budget)", "return budget"),
 		Run:    modelTest,
 	},
@@ -51,7 +51,7 @@
 		Run:    modelTest,
 	},
 	{
-		Name:   "a negative amount is charged",
+		Name:   "a negative number of tokens is charged",
 		Change: budgetChange("return min(max(tokens, 0), reserved)", "return min(tokens, reserved)"),
 		Run:    modelTest,
 	},
@@ -62,34 +62,34 @@
 	},
 }
 
-// turnMutants continue or count turns that they should not.
+// turnMutants let turns be continued that can't be.
 var turnMutants = []mutation.Mutant{
 	{
-		Name:   "a turn broken off counts",
+		Name:   "an incomplete turn can be continued",
 		Change: turnChange("if isComplete && t.remembered {", "if true {"),
 		Run:    modelTest,
 	},
 	{
-		Name:   "any turn can be continued",
+		Name:   "a turn in any state can be continued",
 		Change: turnChange("return t.state == complete || t.state == imported", "return true"),
 		Run:    modelTest,
 	},
 }
 
-// retentionMutants forget turns early, late or never.
+// retentionMutants let turns expire early or late.
 var retentionMutants = []mutation.Mutant{
 	{
 		Name:   "complete turns expire early",
-		Change: retentionChange("return max(t.retainMs, endedRetentionMs) + clockMarginMs", "return t.retainMs / 2"),
+		Change: retentionChange("return max(t.requestedRetentionMs, endedRetentionMs) + clockMarginMs", "return t.requestedRetentionMs / 2"),
 		Run:    modelTest,
 	},
 	{
 		Name:   "complete turns are retained without a margin",
-		Change: retentionChange("return max(t.retainMs, endedRetentionMs) + clockMarginMs", "return t.retainMs"),
+		Change: retentionChange("return max(t.requestedRetentionMs, endedRetentionMs) + clockMarginMs", "return t.requestedRetentionMs"),
 		Run:    modelTest,
 	},
 	{
-		Name:   "nothing ever expires",
+		Name:   "every turn is retained for the maximum",
 		Change: retentionChange("\tswitch t.state {\n\tcase inFlight:\n\t\treturn inFlightRetentionMs", "\tif true {\n\t\treturn maxRetentionMs\n\t}\n\tswitch t.state {\n\tcase inFlight:\n\t\treturn inFlightRetentionMs"),
 		Run:    modelTest,
 	},
--- a/internal/tier/program/stored_format_test.go
+++ b/internal/tier/program/stored_format_test.go
@@ -13,10 +13,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The files in testdata were written before the names in this package changed. Commands lie in logs on disk, chunks in
-// snapshots, and both travel between stores of two versions, so the bytes must stay.
+// The files in testdata were written by an earlier version. Commands are stored in logs and chunks in snapshots, and stores of
+// different versions exchange both, so their encodings must not change.
 
-// golden reads a file of testdata without the line feed at its end.
+// golden reads a file of testdata, without a line feed at its end.
 func golden(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", name))
@@ -26,21 +26,21 @@
 	return bytes.TrimSuffix(data, []byte("\n"))
 }
 
-// goldenLines unpacks a file of testdata with one record a line.
+// goldenLines decompresses a file of testdata and returns its lines.
 func goldenLines(t *testing.T, name string) [][]byte {
 	t.Helper()
-	unpacking, err := gzip.NewReader(bytes.NewReader(golden(t, name)))
+	decompressor, err := gzip.NewReader(bytes.NewReader(golden(t, name)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	data, err := io.ReadAll(unpacking)
+	data, err := io.ReadAll(decompressor)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return bytes.Split(bytes.TrimSuffix(data, []byte("\n")), []byte("\n"))
 }
 
-// storedEntries holds one value of every kind that is encoded, each field set.
+// storedEntries holds values of every encoded type, some with all fields set, some with none.
 var storedEntries = []struct {
 	file  string
 	value any
@@ -87,16 +87,16 @@
 			if diff := cmp.Diff(string(want), string(written)); diff != "" {
 				t.Errorf("bytes (-want +written):\n%s", diff)
 			}
-			if image, ok := test.value.(*Chunk); ok {
-				if diff := cmp.Diff(string(want), string(image.JSON())); diff != "" {
-					t.Errorf("bytes by hand (-want +written):\n%s", diff)
+			if chunk, ok := test.value.(*Chunk); ok {
+				if diff := cmp.Diff(string(want), string(chunk.JSON())); diff != "" {
+					t.Errorf("bytes of Chunk.JSON (-want +written):\n%s", diff)
 				}
 			}
 		})
 	}
 }
 
-// storedMachine holds a turn in each state, on programs with and without a limit.
+// storedMachine returns a machine with a turn in each state, and programs with and without a limit.
 func storedMachine() *Machine {
 	machine := New()
 	machine.Apply(beginImporting("in flight", "elsewhere", "[chain of elsewhere]", "[in 1]"))
@@ -126,15 +126,15 @@
 		t.Errorf("state (-want +restored):\n%s", diff)
 	}
 	if chain, found := restored.Chain("complete"); !found || string(chain) != "[chain of elsewhere][in 2][out 2]" {
-		t.Errorf("chain %q, %v", chain, found)
+		t.Errorf("chain %q, found: %v", chain, found)
 	}
 	if want := (Stats{Turns: 4, Programs: 2, Bytes: 45}); restored.Stats() != want {
-		t.Errorf("%+v, want %+v", restored.Stats(), want)
+		t.Errorf("stats %+v, want %+v", restored.Stats(), want)
 	}
 }
 
 func TestStoredFormat_ChunksOfEarlierVersion_RestoreSameState(t *testing.T) {
-	// given a chunk a line: one with records, and those of a turn that is larger than a chunk
+	// given a file with a chunk per line: one of records, and those of the fragments of a large turn
 	stored := goldenLines(t, "chunks.jsonl.gz")
 	machine := storedMachine()
 	machine.Apply(beginRemembered("large", "", strings.Repeat("i", 150_000), 5))
@@ -146,10 +146,10 @@
 	}
 	for i := range stored {
 		if !bytes.Equal(stored[i], written[i]) {
-			t.Errorf("chunk %d has other bytes", i)
+			t.Errorf("bytes of chunk %d differ from the stored ones", i)
 		}
 	}
-	// and when one is restored from the files, then it holds the same
+	// and when another one is restored from the file, then its state is the same
 	restored := filled(2)
 	if err := restoreChunks(restored, stored); err != nil {
 		t.Fatal(err)
--- a/internal/tier/program/turn.go
+++ b/internal/tier/program/turn.go
@@ -13,20 +13,20 @@
 // turn is one attempt of a client, or an imported chain. Turns that continue the same one share it as their parent, so that
 // each input and output is stored once.
 type turn struct {
-	name           string
-	parent         *turn
-	program        *program // nil if the turn belongs to none, or isn't in flight any more
-	input          []byte
-	output         []byte
-	reservedTokens int64
-	retainMs       int64 // requested retention after the turn's end
-	expiresAtMs    int64 // 0: not in the expiry queue
-	chainBytes     int   // length of the chain up to and including this turn, once it can be continued
-	sequence       uint64
-	children       int32 // number of stored turns that continue this one
-	queueIndex     int32 // index in the expiry queue; notQueued: retained by its children alone
-	state          state
-	remembered     bool
+	name                 string
+	parent               *turn
+	program              *program // nil if the turn belongs to none, or isn't in flight any more
+	input                []byte
+	output               []byte
+	reservedTokens       int64
+	requestedRetentionMs int64 // requested retention after the turn's end
+	expiresAtMs          int64 // 0: not in the expiry queue
+	chainBytes           int   // length of the chain up to and including this turn, once it can be continued
+	sequence             uint64
+	children             int32 // number of stored turns that continue this one
+	queueIndex           int32 // index in the expiry queue; notQueued: retained by its children alone
+	state                state
+	remembered           bool
 }
 
 // notQueued is the queueIndex of a turn that isn't in the expiry queue.
--- a/internal/tier/programclient/client_test.go
+++ b/internal/tier/programclient/client_test.go
@@ -20,7 +20,7 @@
 	"mastusher/internal/tier/wire"
 )
 
-// store is a stand-in for a storage machine.
+// store is a fake store whose handlers the test sets.
 type store struct {
 	address string
 	begins  atomic.Int64
@@ -29,7 +29,7 @@
 	chain   func(request wire.ChainRequest) (wire.ChainResponse, error)
 }
 
-// notLeaderError is the error of a store that doesn't lead a shard.
+// notLeaderError is the error of a store that doesn't lead the shard, with its hint at the leader.
 type notLeaderError struct{ leader string }
 
 func (e *notLeaderError) Error() string     { return e.leader }
@@ -58,7 +58,7 @@
 	return s
 }
 
-// newClient returns a client for shards that the stores hold, all of them each.
+// newClient returns a client with a number of shards, each with a replica on every store.
 func newClient(t *testing.T, shards int, stores ...*store) *Client {
 	t.Helper()
 	pool := transport.NewPool()
@@ -74,7 +74,7 @@
 	return client
 }
 
-// keyOf returns a key that lies in a shard.
+// keyOf returns a key that belongs to a shard.
 func keyOf(shard, shards int) string {
 	for i := 0; ; i++ {
 		if key := fmt.Sprint("key", i); placement.Shard(key, shards) == shard {
@@ -83,8 +83,8 @@
 	}
 }
 
-func testContext(t *testing.T, bound time.Duration) context.Context {
-	ctx, cancel := context.WithTimeout(t.Context(), bound)
+func testContext(t *testing.T, timeout time.Duration) context.Context {
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -94,10 +94,10 @@
 	t.Cleanup(pool.Close)
 	client := New(pool, 1<<20)
 	if _, err := client.Begin(t.Context(), "key", program.BeginTurn{Turn: "t"}); !errors.Is(err, ErrNoPlacement) {
-		t.Errorf("begin: %v", err)
+		t.Errorf("Begin: error %v, want ErrNoPlacement", err)
 	}
 	if _, err := client.End(t.Context(), "key", program.EndTurn{Turn: "t"}); !errors.Is(err, ErrNoPlacement) {
-		t.Errorf("end: %v", err)
+		t.Errorf("End: error %v, want ErrNoPlacement", err)
 	}
 }
 
@@ -117,12 +117,12 @@
 		}
 	}
 	if attempts := first.begins.Load(); attempts != 1 {
-		t.Errorf("the follower was tried %d times", attempts)
+		t.Errorf("the follower was tried %d times, want once", attempts)
 	}
 }
 
 func TestClient_HintedLeaderUnresponsive_TriesOthersFirst(t *testing.T) {
-	// given an unresponsive store, a follower that still takes it for the leader, and the new leader
+	// given an unresponsive store, a follower that still hints at it as the leader, and the new leader
 	unresponsive, follower, leader := newStore(t), newStore(t), newStore(t)
 	unresponsive.begin = func(ctx context.Context, _ wire.BeginTurnRequest) (program.Result, error) {
 		<-ctx.Done()
@@ -150,10 +150,10 @@
 		want  program.Result
 		known bool
 	}{
-		{"given no shard that has it then it isn't found",
+		{"given no shard that has the previous turn then it isn't found",
 			func(wire.ChainRequest) (wire.ChainResponse, error) { return wire.ChainResponse{}, nil },
 			program.Result{Verdict: program.TurnNotFound}, true},
-		{"given a shard that has it then its chain is imported",
+		{"given another shard that has the previous turn then its chain is imported",
 			func(request wire.ChainRequest) (wire.ChainResponse, error) {
 				return wire.ChainResponse{Found: request.Shard == 2, Chain: []byte("old")}, nil
 			},
@@ -165,7 +165,7 @@
 				}
 				return wire.ChainResponse{}, nil
 			}, program.Result{}, false},
-		{"given a shard without a leader and one that has it then its chain is imported",
+		{"given a shard without a leader and one that has the previous turn then its chain is imported",
 			func(request wire.ChainRequest) (wire.ChainResponse, error) {
 				if request.Shard == 1 {
 					return wire.ChainResponse{}, &notLeaderError{}
@@ -210,13 +210,13 @@
 	for turn, want := range map[string]program.Verdict{"kept": program.Accepted, "lost": program.UnknownTurn} {
 		got, err := client.End(testContext(t, 5*time.Second), "key", program.EndTurn{Turn: turn})
 		if err != nil || got.Verdict != want {
-			t.Errorf("%s: %+v, %v", turn, got, err)
+			t.Errorf("ending turn %s: %+v, %v", turn, got, err)
 		}
 	}
 }
 
 func TestClient_LeaderUnresponsive_NextCallStartsElsewhere(t *testing.T) {
-	// given a shard's leader that has become unresponsive, and another store that leads the shard by now
+	// given a leader that became unresponsive, and another store that leads the shard since then
 	unresponsive, leader := newStore(t), newStore(t)
 	client := newClient(t, 1, unresponsive, leader)
 	accept := func(context.Context, wire.BeginTurnRequest) (program.Result, error) {
@@ -232,12 +232,12 @@
 	}
 	cases := []struct {
 		name    string
-		timeout time.Duration // of a call to the unresponsive store
-		cancels bool          // its caller cancels, rather than that its deadline ends
-		retried bool          // the next call tries the unresponsive store too
+		timeout time.Duration // of the call that starts at the unresponsive store
+		cancels bool          // the caller cancels that call; otherwise its deadline ends
+		retried bool          // the next call tries the unresponsive store again
 	}{
-		{"given a caller that cancels at once then the leader is still tried first", 0, true, true},
-		{"given a call whose deadline ends with the unresponsive store's attempt then the next call starts elsewhere", 350 * time.Millisecond, false, false},
+		{"given a call that its caller cancels then the next call still starts at the unresponsive store", 0, true, true},
+		{"given a call whose deadline ends during its attempt at the unresponsive store then the next call starts elsewhere", 350 * time.Millisecond, false, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -256,14 +256,14 @@
 			defer cancel()
 			// when a call gets no answer
 			if _, err := client.Begin(ctx, "key", program.BeginTurn{Turn: "id"}); err == nil {
-				t.Fatal("the unresponsive store has answered")
+				t.Fatal("a call that only tried the unresponsive store returned no error")
 			}
 			// then the next one is answered
 			if result, err := client.Begin(t.Context(), "key", program.BeginTurn{Turn: "id"}); err != nil || result.Verdict != program.Accepted {
-				t.Errorf("got %+v, %v", result, err)
+				t.Errorf("the next call returned %+v, %v", result, err)
 			}
 			if attempts := unresponsive.begins.Load() - before; (attempts > 1) != test.retried {
-				t.Errorf("the unresponsive store was tried %d times", attempts)
+				t.Errorf("both calls together tried the unresponsive store %d times", attempts)
 			}
 		})
 	}
--- a/internal/tier/programclient/wire_format_test.go
+++ b/internal/tier/programclient/wire_format_test.go
@@ -13,7 +13,8 @@
 	"mastusher/internal/tier/wire"
 )
 
-// exchanged holds each body that proxies and stores exchange about turns, with each field set and with none.
+// exchanged lists the bodies that proxies and stores exchange about turns and shards, with all fields set and with none, and the file
+// that holds each body as an earlier version wrote it.
 var exchanged = []struct {
 	file  string
 	value any
