--- a/internal/tier/dedup/window.go
+++ b/internal/tier/dedup/window.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-// clockSkew is the largest difference allowed for between the wall clocks of two machines.
+// clockSkew is the largest difference allowed for between the wall clocks of two machines, including one that was set wrong.
 const clockSkew = 5 * time.Second
 
 // AcceptedOrder is an order that was accepted.
--- a/internal/tier/program/command.go
+++ b/internal/tier/program/command.go
@@ -43,7 +43,7 @@
 	// BudgetExceeded rejects a BeginTurn whose MaxTokens, together with the tokens spent and reserved, exceed the program's
 	// budget. It takes precedence over TurnNotFound.
 	BudgetExceeded Verdict = "budget_spent"
-	// TurnNotFound rejects a BeginTurn whose Previous names no complete turn of this shard.
+	// TurnNotFound rejects a BeginTurn whose Previous names no complete turn of this shard and that imports no chain.
 	TurnNotFound Verdict = "no_such_turn"
 	// StorageFull rejects a BeginTurn of a new program that the shard's leader doesn't propose, since it is short of memory or
 	// disk.
--- a/internal/tier/program/script_test.go
+++ b/internal/tier/program/script_test.go
@@ -36,9 +36,9 @@
 // retryMs is how long after a turn's first BeginTurn or EndTurn its commands may be retried.
 const retryMs = 25_000
 
-// writeScript returns length steps, less than maxGapMs apart.
-func writeScript(choose choose, length, maxGapMs int) []step {
-	s := &script{choose: choose, maxGapMs: maxGapMs, nowMs: startMs, jumps: 1}
+// writeScript returns length steps, less than longestGapMs apart.
+func writeScript(choose choose, length, longestGapMs int) []step {
+	s := &script{choose: choose, maxGapMs: longestGapMs, nowMs: startMs, jumps: 1}
 	for range length {
 		s.passTime()
 		s.add(s.nextCommand())
