--- a/internal/tier/program/chunk.go
+++ b/internal/tier/program/chunk.go
@@ -9,9 +9,9 @@
 // outputs with the machine. As these are never modified, a Chunk is quick to capture and another goroutine may encode or write it
 // while the machine applies further commands.
 type Chunk struct {
-	NowMs         int64           `json:"nowMs"`   // the machine's clock; the same in all chunks
-	LastCommandMs int64           `json:"heardMs"` // the same in all chunks
-	Index         int             `json:"number,omitempty"`
+	NowMs         int64           `json:"nowMs"`            // the machine's clock; the same in all chunks
+	LastCommandMs int64           `json:"heardMs"`          // clock.lastCommandMs; the same in all chunks
+	Index         int             `json:"number,omitempty"` // from 0, among the chunks of a snapshot
 	HasNext       bool            `json:"goesOn,omitempty"` // another chunk follows
 	Continuation  *contentRecord  `json:"more,omitempty"`   // content to append to the last turn of the chunks before
 	Programs      []programRecord `json:"programs"`         // least recently used first
@@ -36,8 +36,8 @@
 	Program        string `json:"program,omitempty"` // while in flight
 	ReservedTokens int64  `json:"most,omitempty"`    // while in flight
 	Parent         int    `json:"parent,omitempty"`  // position of the parent among the turns of all chunks, from 1; 0: none
-	RetainMs       int64  `json:"keepMs,omitempty"`
-	ExpiresAtMs    int64  `json:"dueMs,omitempty"` // 0: retained by its children alone
+	RetainMs       int64  `json:"keepMs,omitempty"`  // requested retention after the turn's end
+	ExpiresAtMs    int64  `json:"dueMs,omitempty"`   // 0: retained by its children alone
 	Input          []byte `json:"input,omitempty"`
 	Output         []byte `json:"output,omitempty"`
 }
--- a/internal/tier/program/command.go
+++ b/internal/tier/program/command.go
@@ -4,13 +4,13 @@
 // has ended: a duplicate of an accepted turn gets the same result and reserves nothing. A rejection reserves nothing and isn't
 // stored, so a retry is decided anew.
 type BeginTurn struct {
-	Turn       string  `json:"turn"`              // the attempt's X-Attempt-Id
-	Program    string  `json:"program,omitempty"` // empty: the turn belongs to no program and has no budget
-	Budget     int64   `json:"budget"`            // tokens that all turns of the program together may generate; 0: no limit given
-	MaxTokens  int64   `json:"most"`              // upper bound of the tokens that this turn generates; reserved until it ends
-	Remembered bool    `json:"remembered,omitempty"`
-	Previous   string  `json:"previous,omitempty"` // turn that this one continues; ignored unless Remembered
-	KeepForS   float64 `json:"keepForS,omitempty"` // retention of a remembered turn after its end, in seconds; at most a day
+	Turn       string  `json:"turn"`                 // the attempt's X-Attempt-Id
+	Program    string  `json:"program,omitempty"`    // empty: the turn belongs to no program and has no budget
+	Budget     int64   `json:"budget"`               // tokens that all turns of the program together may generate; 0: no limit given
+	MaxTokens  int64   `json:"most"`                 // upper bound of the tokens that this turn generates; reserved until it ends
+	Remembered bool    `json:"remembered,omitempty"` // its input and output are stored, so that other turns can continue it
+	Previous   string  `json:"previous,omitempty"`   // turn that this one continues; ignored unless Remembered
+	KeepForS   float64 `json:"keepForS,omitempty"`   // retention of a remembered turn after its end, in seconds; at most a day
 	Input      []byte  `json:"input,omitempty"`
 	Imported   []byte  `json:"imported,omitempty"` // the chain of Previous, if another shard stores it
 	AtMs       int64   `json:"atMs"`               // the leader's wall-clock time, Unix ms
--- a/internal/tier/program/restore.go
+++ b/internal/tier/program/restore.go
@@ -119,7 +119,7 @@
 		return nil
 	}
 	if r.pending == nil {
-		return corrupt("fragment of a content without a turn before it")
+		return corrupt("content fragment without a turn before it")
 	}
 	r.pending.moreInput = append(r.pending.moreInput, fragment.Input)
 	r.pending.moreOutput = append(r.pending.moreOutput, fragment.Output)
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// joinContent appends fragments to the start of a content.
+// joinContent appends fragments to the first part of an input or output.
 func joinContent(first []byte, fragments [][]byte) []byte {
 	if len(fragments) == 0 {
 		return first
--- a/internal/tier/program/restore_records.go
+++ b/internal/tier/program/restore_records.go
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// isValidTimeMs reports whether the machine's clock can show a time.
+// isValidTimeMs reports whether a time is in the range of the machine's clock.
 func isValidTimeMs(ms int64) bool {
 	return ms >= 0 && ms <= 2*maxTimeMs
 }
--- a/internal/tier/programclient/client_test.go
+++ b/internal/tier/programclient/client_test.go
@@ -29,7 +29,7 @@
 	chain   func(request wire.ChainRequest) (wire.ChainResponse, error)
 }
 
-// notLeaderError is the error of a store that doesn't lead the shard, with its hint at the leader.
+// notLeaderError is the error of a store that doesn't lead the shard. leader is its hint: the leader's address, or empty.
 type notLeaderError struct{ leader string }
 
 func (e *notLeaderError) Error() string     { return e.leader }
