--- a/internal/tier/replica/bench_test.go
+++ b/internal/tier/replica/bench_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// benchGroup is three members without a network; the first is the leader.
+// benchGroup is a group of three members whose messages are delivered directly, without a network. The first member is the
+// leader.
 type benchGroup struct {
 	members []*Replica
 	now     time.Duration
@@ -28,12 +29,13 @@
 	g.now = 2 * testElection
 	g.deliver(0, Input{})
 	if !g.members[0].Status().IsLeader {
-		b.Fatal("no leader")
+		b.Fatal("the first member is not the leader after its election timeout")
 	}
 	return g
 }
 
-// deliver gives one member a step, and the others their steps for the messages that follow.
+// deliver gives one member a Step, delivers the resulting messages to the others at once, and so on recursively. It returns
+// the number of entries that were committed on all members together.
 func (g *benchGroup) deliver(at int, input Input) (committed int) {
 	ready := g.members[at].Step(g.now, input)
 	committed += len(ready.CommittedEntries)
@@ -46,7 +48,7 @@
 	return committed
 }
 
-// compact keeps the logs short, as a shell does.
+// compact drops applied entries from all logs, as the caller does in production after saving a snapshot.
 func (g *benchGroup) compact() {
 	for at, r := range g.members {
 		if metadata := r.SnapshotMetadata(); metadata.Index > 0 {
@@ -56,7 +58,8 @@
 	}
 }
 
-// BenchmarkHeartbeat is a heartbeat of the leader, the steps of both followers, and those of the leader for their answers.
+// BenchmarkHeartbeat measures one heartbeat of the leader, including the followers' steps and the leader's steps for their
+// responses.
 func BenchmarkHeartbeat(b *testing.B) {
 	g := newBenchGroup(b)
 	b.ReportAllocs()
@@ -66,7 +69,7 @@
 	}
 }
 
-// BenchmarkProposal is a command of 1 KB in a step of its own, from the proposal until all answers are in.
+// BenchmarkProposal measures one command of 1 KB proposed in its own step, until all responses have been handled.
 func BenchmarkProposal(b *testing.B) {
 	g := newBenchGroup(b)
 	proposals := []Proposal{{Token: 1, Data: bytes.Repeat([]byte("1"), 1024)}}
@@ -79,7 +82,7 @@
 	}
 }
 
-// BenchmarkProposalBatch is 32 commands of 1 KB in one step; the figure is for all of them.
+// BenchmarkProposalBatch measures 32 commands of 1 KB proposed in one step; the result is for all 32.
 func BenchmarkProposalBatch(b *testing.B) {
 	g := newBenchGroup(b)
 	proposals := make([]Proposal, 32)
@@ -95,7 +98,7 @@
 	}
 }
 
-// BenchmarkRead is a confirmed read with its heartbeats.
+// BenchmarkRead measures one confirmed read, including its heartbeats.
 func BenchmarkRead(b *testing.B) {
 	g := newBenchGroup(b)
 	b.ReportAllocs()
--- a/internal/tier/replica/campaign_faults_test.go
+++ b/internal/tier/replica/campaign_faults_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// injectFault injects one random fault, or another disturbance.
+// injectFault injects one random fault or other disturbance.
 func (c *campaign) injectFault() {
 	target := c.pickNode()
 	switch c.random.IntN(18) {
@@ -38,10 +38,10 @@
 			c.compactNode(other)
 		}
 	case 15, 16:
-		c.setRate(target, 0.1)
+		c.setClockRate(target, 0.1)
 		c.isolate(target)
 		c.after(c.randomDelay(), func() {
-			c.setRate(target, 1)
+			c.setClockRate(target, 1)
 			c.heal()
 		})
 	case 17:
@@ -50,13 +50,14 @@
 	}
 }
 
-// injectLeaderFault takes the leadership away from whoever has it, and at times leaves it a follower.
+// injectLeaderFault usually crashes or isolates a random member that considers itself the leader, or makes it transfer its
+// leadership. An isolated leader sometimes keeps a link to one other node.
 func (c *campaign) injectLeaderFault() {
-	believers := c.claimedLeaders()
-	if len(believers) == 0 {
+	claimed := c.claimedLeaders()
+	if len(claimed) == 0 {
 		return
 	}
-	n := believers[c.random.IntN(len(believers))]
+	n := claimed[c.random.IntN(len(claimed))]
 	switch c.random.IntN(6) {
 	case 0:
 		c.kill(n)
@@ -72,9 +73,9 @@
 		c.after(c.randomDelay(), c.heal)
 	case 3:
 		c.isolate(n)
-		friend := c.nodes[c.random.IntN(len(c.nodes))]
-		delete(c.partitioned, [2]int{n.slot, friend.slot})
-		delete(c.partitioned, [2]int{friend.slot, n.slot})
+		reachable := c.nodes[c.random.IntN(len(c.nodes))]
+		delete(c.partitioned, [2]int{n.slot, reachable.slot})
+		delete(c.partitioned, [2]int{reachable.slot, n.slot})
 		c.after(c.randomDelay(), c.heal)
 	case 4:
 		n.inbox.TransferLeadership = true
@@ -82,7 +83,7 @@
 	}
 }
 
-// pickNode picks the leader half of the time, else any node.
+// pickNode returns the leader half of the time, otherwise a random node.
 func (c *campaign) pickNode() *node {
 	if n := c.leader(); n != nil && c.random.IntN(2) == 0 {
 		return n
@@ -103,7 +104,7 @@
 	})
 }
 
-// killDuringSync ends a process within one of its next syncs.
+// killDuringSync kills the node's process during its next sync that takes time.
 func (c *campaign) killDuringSync(n *node) {
 	c.onSync = func(syncing *node) {
 		if syncing != n || !n.alive {
@@ -120,7 +121,7 @@
 	}
 }
 
-// killAfterAcknowledgement ends the leader right after its next acknowledgement.
+// killAfterAcknowledgement kills the next member that acknowledges a command or a read, right after it has done so.
 func (c *campaign) killAfterAcknowledgement() {
 	c.onOutcome = func(n *node, outcome Outcome) {
 		if outcome.Done {
@@ -144,7 +145,8 @@
 	}
 }
 
-// wipeIfSafe empties a disk, unless an earlier loss or change is not made up for yet.
+// wipeIfSafe wipes a disk and replaces the lost member, unless the group has not yet recovered from an earlier loss or
+// change.
 func (c *campaign) wipeIfSafe(n *node) {
 	if c.keepIDs {
 		c.kill(n)
@@ -158,10 +160,10 @@
 	old := n.id
 	c.wipe(n)
 	c.startLater(n)
-	c.change(old, Member{ID: n.id, Address: address(n.slot)})
+	c.replaceTargetMember(old, Member{ID: n.id, Address: address(n.slot)})
 }
 
-// replaceMember puts a spare in place of a member, or takes one more in or out.
+// replaceMember replaces a target member with a spare, or only adds the spare.
 func (c *campaign) replaceMember() {
 	if c.churn || !c.isAtTarget() || c.now-c.lastChange < 4*testElection {
 		return
@@ -174,11 +176,12 @@
 	if c.random.IntN(4) > 0 {
 		leaving = c.targetMembers[c.random.IntN(len(c.targetMembers))].ID
 	}
-	c.change(leaving, Member{ID: spare.id, Address: address(spare.slot)})
+	c.replaceTargetMember(leaving, Member{ID: spare.id, Address: address(spare.slot)})
 }
 
-// change wants one member in place of another; an identity that is no target member changes nothing.
-func (c *campaign) change(leaving string, joining Member) {
+// change wants one :: replaceTargetMember replaces one target member with another. With an empty leaving, the joining member
+// is only added; if leaving is not a target member, nothing changes.
+func (c *campaign) replaceTargetMember(leaving string, joining Member) {
 	remaining := slices.DeleteFunc(slices.Clone(c.targetMembers), func(m Member) bool { return m.ID == leaving })
 	if leaving != "" && len(remaining) == len(c.targetMembers) {
 		return
--- a/internal/tier/replica/campaign_test.go
+++ b/internal/tier/replica/campaign_test.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	faultDuration   = 1200 * time.Millisecond
-	recoveryTimeout = 5 * time.Second
-	faultInterval   = 60 * time.Millisecond
-	stormInterval   = 15 * time.Millisecond
-	churnInterval   = 30 * time.Millisecond
-	clientInterval  = 6 * time.Millisecond
+	faultDuration       = 1200 * time.Millisecond
+	recoveryTimeout     = 5 * time.Second
+	faultInterval       = 60 * time.Millisecond
+	leaderFaultInterval = 15 * time.Millisecond
+	churnInterval       = 30 * time.Millisecond
+	clientInterval      = 6 * time.Millisecond
 )
 
-// campaign is one random run: clients, faults of all kinds, then none.
+// campaign is one random test run, not an election campaign: clients send requests while faults occur; then all faults end
+// and the group must recover.
 type campaign struct {
 	*simulation
-	lastChange time.Duration
-	churn      bool // the target changes all the time, and members get different ones
-	storm      bool // leaders come and go quickly, and each message carries a single entry
-	keepIDs    bool // a fault outside the member: an empty disk comes back under the old identity
+	lastChange   time.Duration
+	churn        bool // the target members change all the time, and differ between members
+	leaderFaults bool // only leaders are disturbed, so that they change quickly, and each message carries a single entry
+	keepIDs      bool // wiped nodes keep their identity, which the protocol does not allow; the checker must detect it
 }
 
 func newCampaign(seed uint64) *campaign {
@@ -30,20 +31,20 @@
 	if seed%4 == 3 {
 		sim = newSimulation(seed, 5, 1, conditions{})
 	}
-	c := &campaign{simulation: sim, churn: seed%3 == 2, storm: seed%8 >= 5}
+	c := &campaign{simulation: sim, churn: seed%3 == 2, leaderFaults: seed%8 >= 5}
 	if seed%2 == 0 {
 		c.limits = &limits{maxMessageBytes: 150, maxInflightBytes: 400, maxPendingBytes: 16 << 20, trailingEntries: 3, trailingBytes: 1 << 20, minInflightChunks: 2, maxInflightChunks: 4}
 	}
 	if seed%7 == 3 {
 		c.initialElectionTimeout = testHeartbeat
 	}
-	if c.storm {
+	if c.leaderFaults {
 		c.conditions.loss = 0.4
 		c.limits = &limits{maxMessageBytes: 1, maxInflightBytes: 1, maxPendingBytes: 16 << 20, trailingEntries: 3, trailingBytes: 1 << 20, minInflightChunks: 1, maxInflightChunks: 1}
 	}
 	if seed%5 < 2 {
 		for _, n := range c.nodes {
-			n.rate = []float64{0.4, 0.7, 1, 1.4}[c.random.IntN(4)]
+			n.clockRate = []float64{0.4, 0.7, 1, 1.4}[c.random.IntN(4)]
 		}
 	}
 	c.conditions = conditions{
@@ -58,24 +59,24 @@
 	return c
 }
 
-// run plays the campaign and returns what was violated, if anything.
+// run plays the campaign and returns a description of the first violation, or an empty string.
 func (c *campaign) run() string {
 	c.startAll()
 	duration := faultDuration
-	if c.storm {
+	if c.leaderFaults {
 		duration *= 2
-		c.every(stormInterval, duration, c.injectLeaderFault)
+		c.every(leaderFaultInterval, duration, c.injectLeaderFault)
 	} else {
 		c.every(faultInterval, duration, c.injectFault)
 	}
-	c.every(clientInterval, duration, c.clients)
+	c.every(clientInterval, duration, c.issueRequests)
 	if c.churn {
 		c.every(churnInterval, duration, c.setRandomTarget)
 	}
 	c.runFor(duration)
 	c.endFaults()
 	if !c.convergesWithin(recoveryTimeout) {
-		c.checker.fail("the group does not come back: %s", c.describe())
+		c.checker.fail("the group does not reach its target members and serve requests after the faults have ended: %s", c.describe())
 	}
 	return c.checker.violation
 }
@@ -89,7 +90,7 @@
 	})
 }
 
-// setRandomTarget gives one member a random target.
+// setRandomTarget gives one member random target members.
 func (c *campaign) setRandomTarget() {
 	n := c.pickNode()
 	if !n.alive {
@@ -104,11 +105,12 @@
 	c.wake(n)
 }
 
-// clients hands proposals and reads to a member that claims to lead, at times to somebody else.
-func (c *campaign) clients() {
+// clients hands :: issueRequests sends proposals and reads to a member that considers itself the leader, sometimes to a
+// random one.
+func (c *campaign) issueRequests() {
 	n := c.nodes[c.random.IntN(len(c.nodes))]
-	if believers := c.claimedLeaders(); len(believers) > 0 && c.random.IntN(5) > 0 {
-		n = believers[c.random.IntN(len(believers))]
+	if claimed := c.claimedLeaders(); len(claimed) > 0 && c.random.IntN(5) > 0 {
+		n = claimed[c.random.IntN(len(claimed))]
 	}
 	if !n.alive {
 		return
@@ -121,18 +123,18 @@
 	}
 }
 
-// claimedLeaders are the members that believe themselves the leader.
+// claimedLeaders returns the nodes whose member considers itself the leader.
 func (c *campaign) claimedLeaders() []*node {
-	var believers []*node
+	var claimed []*node
 	for _, n := range c.nodes {
 		if n.alive && n.replica.role == leader {
-			believers = append(believers, n)
+			claimed = append(claimed, n)
 		}
 	}
-	return believers
+	return claimed
 }
 
-// isAtTarget tells whether the committed members are the target members.
+// isAtTarget reports whether the committed members are the target members.
 func (c *campaign) isAtTarget() bool {
 	if len(c.checker.members) != len(c.targetMembers) {
 		return false
@@ -155,14 +157,14 @@
 	return voters
 }
 
-// endFaults ends all faults.
+// endFaults ends all faults: it heals the network, resumes frozen processes and starts those that are not running.
 func (c *campaign) endFaults() {
 	c.onOutcome, c.onSync = nil, nil
 	c.conditions = noFaults
 	c.heal()
 	c.setTargetMembers(c.targetMembers)
 	for _, n := range c.nodes {
-		c.setRate(n, 1)
+		c.setClockRate(n, 1)
 		c.thaw(n)
 		if !n.alive {
 			c.start(n)
@@ -170,7 +172,8 @@
 	}
 }
 
-// convergesWithin waits until the target members are in place, and a command and a read are served.
+// convergesWithin waits until the target members are committed and a command and a read have succeeded. It returns false on
+// timeout.
 func (c *campaign) convergesWithin(within time.Duration) bool {
 	end := c.now + within
 	if !c.runUntil(end, c.isAtTarget) || !c.commitsWithin(end-c.now) {
@@ -193,7 +196,7 @@
 	for _, n := range c.nodes {
 		if n.alive {
 			status := n.replica.Status()
-			text += fmt.Sprintf("\n%s role %d frozen %v busy %v: %+v", n.id, n.replica.role, n.frozen, n.syncing, status)
+			text += fmt.Sprintf("\n%s role %d frozen %v syncing %v: %+v", n.id, n.replica.role, n.frozen, n.syncing, status)
 		}
 	}
 	return text
@@ -225,10 +228,10 @@
 			sum[i] += counts[i]
 		}
 	}
-	t.Logf("%d runs: %d commands, %d reads, %d lists of members, %d terms", campaignSeeds, sum[0], sum[1], sum[2], sum[3])
-	for i, name := range []string{"commands", "reads", "lists of members", "terms"} {
+	t.Logf("%d runs: %d commands, %d reads, %d membership changes, %d terms", campaignSeeds, sum[0], sum[1], sum[2], sum[3])
+	for i, name := range []string{"commands", "reads", "membership changes", "terms"} {
 		if sum[i] < campaignSeeds {
-			t.Errorf("only %d %s in %d runs: the campaigns test too little", sum[i], name, campaignSeeds)
+			t.Errorf("only %d %s in %d runs, want at least one per run", sum[i], name, campaignSeeds)
 		}
 	}
 }
--- a/internal/tier/replica/checker_faults_test.go
+++ b/internal/tier/replica/checker_faults_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// faultSeeds is the number of random runs within which a fault outside the members must be noticed.
+// faultSeeds is the number of random runs within which the checker must detect that wiped nodes keep their identity.
 const faultSeeds = 400
 
 func TestChecker_EmptiedDiskKeepsIdentity_IsNoticed(t *testing.T) {
@@ -14,5 +14,5 @@
 			return
 		}
 	}
-	t.Errorf("not noticed in %d runs", faultSeeds)
+	t.Errorf("the checker detects no violation in %d runs with wiped nodes that keep their identity", faultSeeds)
 }
--- a/internal/tier/replica/checker_test.go
+++ b/internal/tier/replica/checker_test.go
@@ -7,17 +7,17 @@
 	"strconv"
 )
 
-// checker watches a group from outside: messages that leave, entries that are applied, outcomes that are reported. It knows
-// nothing of the members' insides.
+// checker checks a group from outside, by the messages it sends, the entries it applies and the outcomes it reports. It does
+// not look at the members' internal state.
 type checker struct {
 	violation   string
-	leaders     map[uint64]string            // who has sent appends in a term
-	votes       map[string]map[uint64]string // whom a member has voted for
+	leaders     map[uint64]string            // ID of the member that sent appends or snapshots, by term
+	votes       map[string]map[uint64]string // candidate by voter and term
 	log         []Entry                      // all entries that any member has applied; log[i] has index i+1
-	checksums   []uint64                     // of the state machine after each entry
-	indexOf     map[uint64]uint64            // of a command's token in log
-	members     []Member                     // of the last committed list
-	observed    uint64                       // newest entry that anybody outside has seen the effect of
+	checksums   []uint64                     // checksums of the state machine after each entry
+	indexOf     map[uint64]uint64            // index of a command in log, by token
+	members     []Member                     // of the last committed configuration
+	observed    uint64                       // newest entry that a finished request has shown to be committed
 	pending     map[uint64]invocation
 	dropped     map[uint64]bool
 	commands    int
@@ -25,7 +25,7 @@
 	confChanges int
 }
 
-// invocation is a proposal or a read that has no outcome yet.
+// invocation is a proposal or a read without an outcome yet.
 type invocation struct {
 	node     string
 	observed uint64
@@ -49,13 +49,13 @@
 	}
 }
 
-// sent looks at a message that leaves a member.
+// sent checks a message that a member sends.
 func (c *checker) sent(message Message) {
 	switch message.Kind {
 	case AppendEntries, InstallSnapshot:
 		known := c.leaders[message.Term]
 		if known != "" && known != message.From {
-			c.fail("term %d has the leaders %s and %s", message.Term, known, message.From)
+			c.fail("term %d has two leaders, %s and %s", message.Term, known, message.From)
 		}
 		c.leaders[message.Term] = message.From
 	case RequestVoteResponse:
@@ -67,13 +67,13 @@
 		}
 		known := c.votes[message.From][message.Term]
 		if known != "" && known != message.To {
-			c.fail("%s votes for %s and %s in term %d", message.From, known, message.To, message.Term)
+			c.fail("%s votes for both %s and %s in term %d", message.From, known, message.To, message.Term)
 		}
 		c.votes[message.From][message.Term] = message.To
 	}
 }
 
-// committed looks at an entry that a member is about to apply.
+// committed checks an entry that a member is about to apply.
 func (c *checker) committed(n *node, entry Entry) {
 	if entry.Index != n.machine.Index+1 {
 		c.fail("%s applies entry %d after entry %d", n.id, entry.Index, n.machine.Index)
@@ -82,7 +82,7 @@
 	if entry.Index <= uint64(len(c.log)) {
 		known := c.log[entry.Index-1]
 		if known.Term != entry.Term || known.Kind != entry.Kind || !bytes.Equal(known.Data, entry.Data) {
-			c.fail("%s applies %s in place of %s", n.id, describe(entry), describe(known))
+			c.fail("%s applies %s, but another member has applied %s", n.id, describe(entry), describe(known))
 		}
 		return
 	}
@@ -93,40 +93,40 @@
 	return fmt.Sprintf("entry %d of term %d (kind %d, %.60s)", entry.Index, entry.Term, entry.Kind, entry.Data)
 }
 
-// extend adds an entry that is applied for the first time.
+// extend adds an entry that a member is the first to apply.
 func (c *checker) extend(entry Entry) {
 	checksum := uint64(0)
 	if len(c.checksums) > 0 {
 		checksum = c.checksums[len(c.checksums)-1]
 		if last := c.log[len(c.log)-1]; last.Term > entry.Term {
-			c.fail("entry %d of term %d follows term %d", entry.Index, entry.Term, last.Term)
+			c.fail("entry %d has term %d, lower than term %d of the entry before it", entry.Index, entry.Term, last.Term)
 		}
 	}
 	c.log = append(c.log, entry)
-	c.checksums = append(c.checksums, fold(checksum, entry))
+	c.checksums = append(c.checksums, updateChecksum(checksum, entry))
 	switch entry.Kind {
 	case Command:
 		token, _ := strconv.ParseUint(string(entry.Data), 10, 64)
 		if c.indexOf[token] != 0 {
-			c.fail("command %d is at %d and at %d", token, c.indexOf[token], entry.Index)
+			c.fail("command %d is committed twice, at %d and at %d", token, c.indexOf[token], entry.Index)
 		}
 		if c.dropped[token] {
-			c.fail("command %d was reported as never proposed and is at %d", token, entry.Index)
+			c.fail("command %d was reported as dropped, but is committed at %d", token, entry.Index)
 		}
 		c.indexOf[token] = entry.Index
 	case ConfChange:
-		c.changed(entry)
+		c.membersCommitted(entry)
 	}
 }
 
-// changed looks at a committed list of members.
-func (c *checker) changed(entry Entry) {
+// changed looks :: membersCommitted checks a committed configuration: it may change the vote of at most one member.
+func (c *checker) membersCommitted(entry Entry) {
 	var members []Member
 	if err := json.Unmarshal(entry.Data, &members); err != nil {
-		c.fail("entry %d: %v", entry.Index, err)
+		c.fail("configuration entry %d cannot be decoded: %v", entry.Index, err)
 	}
 	if difference := votesChanged(c.members, members); difference > 1 {
-		c.fail("entry %d changes %d votes at once: %v to %v", entry.Index, difference, c.members, members)
+		c.fail("entry %d changes the votes of %d members at once: %v to %v", entry.Index, difference, c.members, members)
 	}
 	c.members = members
 	c.confChanges++
@@ -151,31 +151,31 @@
 	return changed
 }
 
-// installed looks at a state machine that was set to a snapshot.
+// installed checks a state machine that was restored from a snapshot.
 func (c *checker) installed(n *node, before uint64, snapshot *Snapshot) {
 	if snapshot.Index <= before {
-		c.fail("%s goes back from entry %d to a snapshot at %d", n.id, before, snapshot.Index)
+		c.fail("%s has applied entry %d, but installs an older snapshot at %d", n.id, before, snapshot.Index)
 	}
 	if snapshot.Index > uint64(len(c.log)) {
-		c.fail("%s installs a snapshot at %d, and only %d entries were applied", n.id, snapshot.Index, len(c.log))
+		c.fail("%s installs a snapshot at %d, but only %d entries were ever applied", n.id, snapshot.Index, len(c.log))
 		return
 	}
 	want := machine{Index: snapshot.Index, Checksum: c.checksums[snapshot.Index-1]}
 	if n.machine != want {
-		c.fail("%s installs the state %v instead of %v", n.id, n.machine, want)
+		c.fail("%s installs the state %v, want %v", n.id, n.machine, want)
 	}
 }
 
-// invoked notes that a proposal or a read begins.
+// invoked records that a proposal or a read begins.
 func (c *checker) invoked(n *node, token uint64, read bool) {
 	c.pending[token] = invocation{node: n.id, observed: c.observed, read: read}
 }
 
-// outcome looks at what a member reports to its clients.
+// outcome checks an outcome that a member reports.
 func (c *checker) outcome(n *node, outcome Outcome) {
 	call, known := c.pending[outcome.Token]
 	if !known {
-		c.fail("%s reports a second outcome of %d", n.id, outcome.Token)
+		c.fail("%s reports an outcome of request %d, which is not pending", n.id, outcome.Token)
 		return
 	}
 	delete(c.pending, outcome.Token)
@@ -195,35 +195,35 @@
 	}
 	c.dropped[outcome.Token] = true
 	if at := c.indexOf[outcome.Token]; at != 0 {
-		c.fail("command %d is at %d and reported as never proposed", outcome.Token, at)
+		c.fail("command %d is reported as dropped, but is committed at %d", outcome.Token, at)
 	}
 }
 
-// readDone demands that a read sees all that was seen or acknowledged before it began.
+// readDone checks that a read sees all entries that were seen or acknowledged before it began.
 func (c *checker) readDone(n *node, outcome Outcome, call invocation) {
 	c.reads++
 	if n.machine.Index < call.observed {
-		c.fail("read %d at %s sees entry %d, entry %d was known when it began", outcome.Token, n.id, n.machine.Index, call.observed)
+		c.fail("read %d at %s sees entries up to %d, but entry %d was observed before it began", outcome.Token, n.id, n.machine.Index, call.observed)
 	}
 	c.observed = max(c.observed, n.machine.Index)
 }
 
-// commandDone demands that a command has its place, after all that was known when it began.
+// commandDone checks that an acknowledged command is committed, after all entries that were observed before it began.
 func (c *checker) commandDone(n *node, outcome Outcome, call invocation) {
 	c.commands++
 	at := c.indexOf[outcome.Token]
 	if at == 0 {
-		c.fail("command %d is acknowledged by %s and was never applied", outcome.Token, n.id)
+		c.fail("command %d is acknowledged by %s, but was never applied", outcome.Token, n.id)
 		return
 	}
 	if at <= call.observed {
-		c.fail("command %d is at %d, and entry %d was known when it began", outcome.Token, at, call.observed)
+		c.fail("command %d is committed at %d, but entry %d was observed before it began", outcome.Token, at, call.observed)
 	}
 	c.observed = max(c.observed, at)
 }
 
-// forget drops what a member that was killed will never report.
-func (c *checker) forget(id string) {
+// dropPending drops the pending requests of a member that was killed and will not report their outcomes.
+func (c *checker) dropPending(id string) {
 	for token, call := range c.pending {
 		if call.node == id {
 			delete(c.pending, token)
--- a/internal/tier/replica/compaction.go
+++ b/internal/tier/replica/compaction.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// compact drops entries that a saved snapshot stands for. The saved snapshot is where the chunks of one that was being
-// received were written, so that one is given up.
+// compact drops log entries that a saved snapshot covers. It also aborts a snapshot that is being received, because the
+// caller has written the saved snapshot over its chunks.
 func (r *Replica) compact(snapshot *Snapshot) {
 	if snapshot == nil {
 		return
@@ -30,16 +30,18 @@
 	return r.snapshot.Index
 }
 
-// SnapshotMetadata names the last entry handed out as committed, for a snapshot: the caller writes the state after applying
-// that entry, and hands the result to Step as Input.Compact with Chunks set.
+// SnapshotMetadata returns the metadata for a snapshot of the current state: the last entry handed out in
+// Ready.CommittedEntries and the members at it. After applying that entry the caller saves the state, sets Chunks in the
+// result and passes it to Step as Input.Compact.
 func (r *Replica) SnapshotMetadata() Snapshot {
 	term, _ := r.log.termAt(r.applied)
 	return Snapshot{Index: r.applied, Term: term, Members: slices.Clone(r.configurations.at(r.applied).members)}
 }
 
-// withoutState returns what a member needs to remember of a snapshot: the state is on disk and in the state machine.
+// withoutState returns a copy of the snapshot without its state, which is on disk and in the state machine and need not be
+// kept in memory.
 func withoutState(snapshot *Snapshot) *Snapshot {
-	light := *snapshot
-	light.State = nil
-	return &light
+	metadata := *snapshot
+	metadata.State = nil
+	return &metadata
 }
--- a/internal/tier/replica/confchange.go
+++ b/internal/tier/replica/confchange.go
@@ -5,10 +5,11 @@
 	"slices"
 )
 
-// maxCaughtUpLag is the number of committed entries that a member may lack and still count as caught up.
+// maxCaughtUpLag is the number of committed entries that a follower may lack and still count as caught up.
 const maxCaughtUpLag = 32
 
-// setTargetMembers takes over the members that the group is to have. Of two with one identity the first counts.
+// setTargetMembers sets the members that the group should have. Entries without an ID are ignored; of several with the same
+// ID, the first is used.
 func (r *Replica) setTargetMembers(members []Member) {
 	if len(members) == 0 {
 		return
@@ -21,9 +22,9 @@
 	}
 }
 
-// advanceConfChange moves the group one step towards the target members: one change is in flight at a time, and none begins
-// before an entry of the own term is committed, so that majorities before and after each change have a member in common
-// (thesis section 4.1, and the correction to it of 2015).
+// advanceConfChange moves the group one step towards the target members. Only one change is in flight at a time, and none
+// begins before the leader has committed an entry of its own term, so that the majorities before and after each change
+// overlap (thesis section 4.1, and the correction to it of 2015).
 func (r *Replica) advanceConfChange() {
 	if len(r.targetMembers) == 0 || r.leadership.transferring || r.matchesTarget() {
 		return
@@ -47,7 +48,7 @@
 	r.appendEntry(ConfChange, data)
 }
 
-// matchesTarget tells whether the group has the target members and no others.
+// matchesTarget reports whether the group has exactly the target members.
 func (r *Replica) matchesTarget() bool {
 	members := r.configurations.latest().members
 	if len(members) != len(r.targetMembers) {
@@ -62,7 +63,8 @@
 	return true
 }
 
-// confChangeSteps are the steps towards the target members, the first that applies is taken.
+// confChangeSteps are the possible steps towards the target members, in order of preference. The first one that applies is
+// taken.
 var confChangeSteps = [...]func(*Replica) []Member{
 	(*Replica).removeLearner,
 	(*Replica).addLearner,
@@ -72,7 +74,7 @@
 	(*Replica).removeVoter,
 }
 
-// nextMembers is the list after the next step, or nil if there is none now.
+// nextMembers returns the members after the next step, or nil if no step applies now.
 func (r *Replica) nextMembers() []Member {
 	for _, step := range confChangeSteps {
 		if members := step(r); members != nil {
@@ -82,17 +84,17 @@
 	return nil
 }
 
-// removeLearner removes a learner that is no target member.
+// removeLearner removes a learner that is not a target member.
 func (r *Replica) removeLearner() []Member {
 	for _, p := range r.leadership.followers {
 		if p.learner && r.findTarget(p.id) == nil {
-			return r.without(p.id)
+			return r.withoutMember(p.id)
 		}
 	}
 	return nil
 }
 
-// addLearner adds a target member that is missing, without a vote at first.
+// addLearner adds a missing target member, at first as a learner.
 func (r *Replica) addLearner() []Member {
 	latest := r.configurations.latest()
 	for _, target := range r.targetMembers {
@@ -104,7 +106,7 @@
 	return nil
 }
 
-// updateAddress takes over the target's address of a member.
+// updateAddress updates the address of a member whose target address differs.
 func (r *Replica) updateAddress() []Member {
 	latest := r.configurations.latest()
 	for _, target := range r.targetMembers {
@@ -123,44 +125,46 @@
 	return nil
 }
 
-// removeInactiveVoter removes a voter that is no target and does not respond, once a replacement has caught up and can vote
-// in its place: a further vote beside the inactive one would make the quorum larger by one that must respond. Each such pair
-// is exchanged as soon as it is ready, so that a replacement that is slow, or lost too, delays none of the others.
+// removeInactiveVoter removes or demotes a voter that is not a target voter and does not respond, once a replacement has
+// caught up and can be promoted next. Promoting the replacement first would enlarge the quorum by one voter that must
+// respond. Each inactive voter is removed as soon as one replacement is ready, so that a slow or lost replacement does not
+// delay the others.
 func (r *Replica) removeInactiveVoter() []Member {
 	for _, p := range r.leadership.followers {
 		if p.learner || r.isTargetVoter(p.id) || r.isActive(p) {
 			continue
 		}
-		if r.canSpareVoter() {
+		if r.canRemoveVoter() {
 			return r.withoutVote(p.id)
 		}
 	}
 	return nil
 }
 
-// promoteLearner gives a vote to a learner that is to vote and has caught up. Where it replaces a voter of which this leader
-// cannot tell yet whether it still responds, it waits until that is known: an inactive one is to be removed first.
+// promoteLearner promotes a learner that is a target voter and has caught up. While it is not yet known whether a voter that
+// is to be removed still responds, no learner is promoted: an inactive voter must be removed first.
 func (r *Replica) promoteLearner() []Member {
 	if r.hasUnconfirmedDepartingVoter() {
 		return nil
 	}
 	for _, p := range r.leadership.followers {
 		if p.learner && r.isTargetVoter(p.id) && r.isCaughtUp(p) {
-			return r.withLearner(p.id, false)
+			return r.withLearnerFlag(p.id, false)
 		}
 	}
 	return nil
 }
 
-// hasUnconfirmedDepartingVoter tells whether a voter is no target that has neither responded to this leader nor been
-// inactive for long enough.
+// hasUnconfirmedDepartingVoter reports whether some voter that is not a target voter has not responded to this leader yet,
+// but has not been silent for long enough to count as inactive either.
 func (r *Replica) hasUnconfirmedDepartingVoter() bool {
 	return slices.ContainsFunc(r.leadership.followers, func(p *progress) bool {
 		return !p.learner && !r.isTargetVoter(p.id) && !p.hasResponded && r.isActive(p)
 	})
 }
 
-// removeVoter removes a voter that is no target once all target voters vote; this member is the last to go.
+// removeVoter removes or demotes a voter that is not a target voter, once all target voters have a vote. The leader removes
+// itself last.
 func (r *Replica) removeVoter() []Member {
 	latest := r.configurations.latest()
 	for _, target := range r.targetMembers {
@@ -179,20 +183,20 @@
 	return nil
 }
 
-// withoutVote is the list without a voter, or with it as a learner if that is the target.
+// withoutVote returns the members without the given voter, or with that voter as a learner if it is a target learner.
 func (r *Replica) withoutVote(id string) []Member {
 	if r.findTarget(id) != nil {
-		return r.withLearner(id, true)
+		return r.withLearnerFlag(id, true)
 	}
-	return r.without(id)
+	return r.withoutMember(id)
 }
 
-func (r *Replica) without(id string) []Member {
+func (r *Replica) withoutMember(id string) []Member {
 	members := slices.Clone(r.configurations.latest().members)
 	return slices.DeleteFunc(members, func(member Member) bool { return member.ID == id })
 }
 
-func (r *Replica) withLearner(id string, learner bool) []Member {
+func (r *Replica) withLearnerFlag(id string, learner bool) []Member {
 	members := slices.Clone(r.configurations.latest().members)
 	for i := range members {
 		if members[i].ID == id {
@@ -216,29 +220,29 @@
 	return target != nil && !target.Learner
 }
 
-// canSpareVoter tells whether a voter may be removed without being missed: the group has more voters than its target, or
-// just as many and a replacement has caught up and gets its vote next.
-func (r *Replica) canSpareVoter() bool {
-	targetVoters, ready := 0, false
+// canRemoveVoter reports whether a voter may be removed: the group has more voters than its target, or as many and a
+// replacement has caught up and will be promoted next.
+func (r *Replica) canRemoveVoter() bool {
+	targetVoters, replacementReady := 0, false
 	for _, target := range r.targetMembers {
 		if target.Learner {
 			continue
 		}
 		targetVoters++
 		p := findProgress(r.leadership.followers, target.ID)
-		ready = ready || p != nil && p.learner && r.isCaughtUp(p)
+		replacementReady = replacementReady || p != nil && p.learner && r.isCaughtUp(p)
 	}
 	voters := r.configurations.latest().voters
-	return voters > targetVoters || voters == targetVoters && ready
+	return voters > targetVoters || voters == targetVoters && replacementReady
 }
 
-// isCaughtUp tells whether a follower responds and has all but the newest entries. It must have the latest configuration,
-// since a member without one has no vote.
+// isCaughtUp reports whether a follower responds and has all but the newest entries. It must have the entry of the latest
+// configuration, since a member without a configuration neither votes nor campaigns.
 func (r *Replica) isCaughtUp(p *progress) bool {
 	return r.isActive(p) && p.match > 0 && p.match >= r.configurations.latest().index && p.match+maxCaughtUpLag >= r.commit
 }
 
-// hasActiveQuorum tells whether a majority of the voters among members responds at present.
+// hasActiveQuorum reports whether a majority of the voters among the given members responds.
 func (r *Replica) hasActiveQuorum(members []Member) bool {
 	next := newConfiguration(0, members)
 	active := 0
@@ -254,7 +258,7 @@
 	return next.voters > 0 && active >= next.quorumSize()
 }
 
-// caughtUpMembers are the identities of the members that have all but the newest entries.
+// caughtUpMembers returns the IDs of the members that have all but the newest entries, including this leader.
 func (r *Replica) caughtUpMembers() map[string]bool {
 	members := map[string]bool{r.options.ID: true}
 	for _, p := range r.leadership.followers {
--- a/internal/tier/replica/confchange_mutants_test.go
+++ b/internal/tier/replica/confchange_mutants_test.go
@@ -6,34 +6,34 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// TestConfChangeMutants_AreNoticed tries mistakes in the order of a change's steps. Each test that notices one plays one seed, or all
-// orders of events.
+// TestConfChangeMutants_AreNoticed checks that tests detect mistakes in the order of the steps of a membership change. Each
+// of these tests plays one seed or explores all orders of events.
 func TestConfChangeMutants_AreNoticed(t *testing.T) {
 	t.Parallel()
-	const successors = "^TestConfChange_TwoVotersLost_EachReplacementVotesOnceCaughtUp$"
+	const eachReplacement = "^TestConfChange_TwoVotersLost_EachReplacementVotesOnceCaughtUp$"
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name:   "inactive voters go before a replacement has caught up",
-			Change: mutation.Change{File: "confchange.go", Old: "return voters > targetVoters || voters == targetVoters && ready", New: "return ready || voters+targetVoters > 0"},
-			Run:    successors,
+			Name:   "inactive voters are removed before a replacement has caught up",
+			Change: mutation.Change{File: "confchange.go", Old: "return voters > targetVoters || voters == targetVoters && replacementReady", New: "return replacementReady || voters+targetVoters > 0"},
+			Run:    eachReplacement,
 		},
 		{
-			Name:   "two inactive voters go for one replacement",
-			Change: mutation.Change{File: "confchange.go", Old: "return voters > targetVoters || voters == targetVoters && ready", New: "return voters > targetVoters || ready"},
-			Run:    successors,
+			Name:   "two inactive voters are removed for one replacement",
+			Change: mutation.Change{File: "confchange.go", Old: "return voters > targetVoters || voters == targetVoters && replacementReady", New: "return voters > targetVoters || replacementReady"},
+			Run:    eachReplacement,
 		},
 		{
-			Name:   "a replacement votes beside the inactive voter",
-			Change: mutation.Change{File: "confchange.go", Old: "if r.canSpareVoter() {", New: "if false {"},
-			Run:    successors,
+			Name:   "a replacement is promoted before the inactive voter is removed",
+			Change: mutation.Change{File: "confchange.go", Old: "if r.canRemoveVoter() {", New: "if false {"},
+			Run:    eachReplacement,
 		},
 		{
-			Name:   "a learner votes before it has caught up",
+			Name:   "a learner is promoted before it has caught up",
 			Change: mutation.Change{File: "confchange.go", Old: "return r.isActive(p) && p.match > 0 &&", New: "return r.isActive(p) || p.match > 0 &&"},
 			Run:    "^TestConfChange_LearnerWithoutConfiguration_IsNotPromoted$",
 		},
 		{
-			Name: "learners count, explored",
+			Name: "learners count towards a majority, explored",
 			Change: mutation.Change{
 				File: "leader.go",
 				Old:  "if !p.learner {",
@@ -42,12 +42,12 @@
 			Run: "^TestExploration_OrdersAroundConfChange_AreSafe$",
 		},
 		{
-			Name:   "a removed member isn't told",
+			Name:   "a removed member is not told of its removal",
 			Change: mutation.Change{File: "election.go", Old: "response.ExcludedAt = r.exclusionOf(request.From)", New: "response.ExcludedAt = nil"},
 			Run:    "^TestRemovedMember_WasPartitioned_LearnsIt$",
 		},
 		{
-			Name:   "a removed member takes part in elections on",
+			Name:   "a removed member continues to campaign",
 			Change: mutation.Change{File: "election.go", Old: "return r.configurations.isVoter(r.options.ID) && !r.isExcluded()", New: "return r.configurations.isVoter(r.options.ID)"},
 			Run:    "^TestRemovedMember_WasPartitioned_LearnsIt$",
 		},
--- a/internal/tier/replica/confchange_replacement_test.go
+++ b/internal/tier/replica/confchange_replacement_test.go
@@ -7,13 +7,14 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestConfChange_TwoVotersLost_EachReplacementVotesOnceCaughtUp has two of five members lost for good, and one of their replacements unreachable.
+// TestConfChange_TwoVotersLost_EachReplacementVotesOnceCaughtUp replaces two of five members that are permanently lost,
+// while only one of the two replacements is reachable.
 func TestConfChange_TwoVotersLost_EachReplacementVotesOnceCaughtUp(t *testing.T) {
-	t.Run("their inactivity is known", func(t *testing.T) { exchangeOneOfTwo(t, 2*testElection, []int{5, 4, 5}) })
-	t.Run("their inactivity is found out later", func(t *testing.T) { exchangeOneOfTwo(t, 0, []int{5, 6, 5}) })
+	t.Run("the voters are already inactive", func(t *testing.T) { replaceOneOfTwoLost(t, 2*testElection, []int{5, 4, 5}) })
+	t.Run("the voters become inactive later", func(t *testing.T) { replaceOneOfTwoLost(t, 0, []int{5, 6, 5}) })
 }
 
-func exchangeOneOfTwo(t *testing.T, inactive time.Duration, want []int) {
+func replaceOneOfTwoLost(t *testing.T, inactive time.Duration, want []int) {
 	t.Helper()
 	sim := newSimulation(21, 5, 2, noFaults)
 	sim.startAll()
@@ -27,7 +28,7 @@
 	sim.kill(spares[1])
 	sim.runFor(inactive)
 
-	// When the two are to be replaced, the group adds the one that is reachable, in place of one that is lost.
+	// Both lost voters are to be replaced; the group promotes the reachable replacement in place of one of them.
 	sim.setTargetMembers(append(membersOf(staying...), membersOf(spares...)...))
 	var voters []int
 	for range 1000 {
@@ -40,21 +41,21 @@
 		t.Errorf("number of voters (-want +got):\n%s", difference)
 	}
 
-	// Then it bears that one more of those that are left is lost.
+	// The group then tolerates the loss of one of the remaining voters.
 	sim.kill(staying[1])
 	if !sim.commitsWithin(2 * time.Second) {
-		t.Error("nothing is committed any more")
+		t.Error("no command is committed after the loss of one more voter")
 	}
 	sim.requireSafe(t)
 
-	// And it becomes complete once the other replacement is reachable.
+	// The change completes once the other replacement is reachable.
 	sim.start(staying[1])
 	sim.start(spares[1])
 	sim.requireMembers(t, 2*time.Second, append(membersOf(staying...), membersOf(spares...)...))
 }
 
-// TestConfChange_NewLeader_RemovesInactiveVoterFirst has a leader elected while a member is lost that a replacement is to follow: the leader
-// gives no fourth vote before it knows that the member is inactive.
+// TestConfChange_NewLeader_RemovesInactiveVoterFirst has a new leader elected while a lost voter is being replaced. The
+// leader must not promote the replacement to a fourth voter before it knows whether the lost voter is inactive.
 func TestConfChange_NewLeader_RemovesInactiveVoterFirst(t *testing.T) {
 	sim := newSimulation(22, 3, 1, noFaults)
 	sim.startAll()
@@ -66,7 +67,8 @@
 	sim.runFor(2 * testElection)
 	sim.setTargetMembers(membersOf(first, others[1], spare))
 
-	// When the remaining two elect a new leader, right before the replacement has caught up.
+	// The leader is lost as well, before the replacement has caught up. It restarts, and the two remaining voters elect a
+	// new leader.
 	sim.kill(first)
 	sim.runFor(2 * testElection)
 	sim.start(first)
@@ -77,7 +79,7 @@
 		return agreed.isVoter(spare.id)
 	})
 	if maxVoters != 3 {
-		t.Errorf("the group had %d voters, want 3 at most", maxVoters)
+		t.Errorf("the group had up to %d voters, want 3", maxVoters)
 	}
 	sim.requireMembers(t, time.Second, append(membersOf(staying...), membersOf(spare)...))
 }
--- a/internal/tier/replica/confchange_test.go
+++ b/internal/tier/replica/confchange_test.go
@@ -35,10 +35,10 @@
 		}
 	}
 	if !learned || !promoted {
-		t.Error("it was not a learner first")
+		t.Error("the new member was not a learner before its promotion")
 	}
 	if !sim.commitsWithin(time.Second) {
-		t.Error("nothing is committed any more")
+		t.Error("no command is committed after the promotion")
 	}
 }
 
@@ -55,7 +55,7 @@
 	sim.setTargetMembers(membersOf(sim.nodes...))
 	sim.requireMembers(t, 2*time.Second, membersOf(sim.nodes...))
 	if old == lost.id || lost.machine.Index == 0 {
-		t.Errorf("%s has applied up to %d", lost.id, lost.machine.Index)
+		t.Errorf("the wiped node has the ID %s and has applied up to %d; want a new ID and some entries", lost.id, lost.machine.Index)
 	}
 	sim.kill(sim.others(lost)[0])
 	if !sim.commitsWithin(2 * time.Second) {
@@ -99,11 +99,11 @@
 		}
 	}
 	if maxVoters != 4 {
-		t.Errorf("at most %d voters, want 4 for a while", maxVoters)
+		t.Errorf("at most %d voters during the change, want 4", maxVoters)
 	}
 	sim.requireMembers(t, time.Second, target)
 	if newest := newConfiguration(0, sim.checker.members); newest.find(leaving.id) != nil {
-		t.Errorf("%s is still in", leaving.id)
+		t.Errorf("%s is still a member", leaving.id)
 	}
 }
 
@@ -114,13 +114,13 @@
 	sim.requireMembers(t, time.Second, membersOf(others...))
 	began := sim.now
 	if !sim.commitsWithin(time.Second) || sim.leader() == first {
-		t.Fatalf("nobody took over")
+		t.Fatalf("no other member took over the leadership")
 	}
 	if sim.now-began > testElection {
-		t.Errorf("it took %v", sim.now-began)
+		t.Errorf("the next command took %v, want no longer than an election timeout", sim.now-began)
 	}
 	if first.replica.Status().IsLeader {
-		t.Errorf("the removed leader goes on")
+		t.Errorf("the removed leader still leads")
 	}
 	sim.requireSafe(t)
 }
@@ -136,7 +136,7 @@
 	sim.heal()
 	sim.runFor(3 * time.Second)
 	if got := first.replica.Status(); !got.IsLeader || got.Term != term {
-		t.Errorf("the leader lost its term %d: %+v", term, got)
+		t.Errorf("the leader of term %d was deposed by the removed member: %+v", term, got)
 	}
 	sim.requireSafe(t)
 }
@@ -172,7 +172,7 @@
 	sim.setTargetMembers(target)
 	sim.requireMembers(t, time.Second, target)
 	if got := first.replica.Address(target[2].ID); got != "10.9.9.9" {
-		t.Errorf("address %q", got)
+		t.Errorf("address %q, want the changed one", got)
 	}
 }
 
@@ -183,7 +183,7 @@
 	sim.setTargetMembers(append(target, duplicate, Member{}))
 	sim.runFor(time.Second)
 	if sim.checker.confChanges != 0 {
-		t.Errorf("%d changes, want none", sim.checker.confChanges)
+		t.Errorf("%d membership changes, want none", sim.checker.confChanges)
 	}
 }
 
@@ -194,15 +194,16 @@
 	sim.setTargetMembers(membersOf(sim.nodes...))
 	sim.runFor(time.Second)
 	if got := first.replica.configurations.latest(); got.isVoter(spare.id) {
-		t.Errorf("a member without entries has a vote")
+		t.Errorf("a member without entries was promoted")
 	}
 	sim.drop = nil
 	sim.requireMembers(t, time.Second, membersOf(sim.nodes...))
 }
 
-// runConfChangeBeforeCommitInTerm is the known way to lose a change of members: a leader's list reaches one other member, the
-// next leader removes the first one by a majority of the smaller group, and the first one comes back with the larger
-// group's majority.
+// runConfChangeBeforeCommitInTerm plays the known schedule that loses a membership change if a leader may begin one before
+// committing an entry of its own term: the configuration of the first leader reaches only one other member, the next leader
+// removes the first leader with a majority of the smaller group, and the first leader returns with a majority of the larger
+// group. It returns the violation, if any.
 func runConfChangeBeforeCommitInTerm(t *testing.T) string {
 	t.Helper()
 	sim := newSimulation(12, 4, 1, noFaults)
@@ -215,7 +216,7 @@
 	sim.requireMembers(t, time.Second, sim.targetMembers)
 	sim.runFor(4 * testHeartbeat)
 
-	// The promotion of the fifth reaches only the fifth.
+	// The configuration that promotes the fifth member reaches only the fifth member.
 	rest := []*node{}
 	for _, n := range sim.nodes[:4] {
 		if n != first {
@@ -227,7 +228,7 @@
 	sim.wake(first)
 	sim.runFor(4 * time.Millisecond)
 
-	// The others have a new leader that removes the first; its entries reach only one of them.
+	// The others elect a new leader that removes the first leader. Its entries reach only one other member.
 	second := rest[0]
 	smaller := append(membersOf(rest...), fifth.learner())
 	for _, n := range rest {
@@ -241,14 +242,14 @@
 	}
 	sim.runFor(8 * testElection)
 
-	// The first comes back with the fifth and the one that has heard nothing.
+	// The first leader returns and can reach the fifth member and the one that has received no entries.
 	sim.drop = func(m Message) bool {
 		inside := func(id string) bool { return id == first.id || id == fifth.id || id == rest[2].id }
 		return !inside(m.From) || !inside(m.To) || m.Kind == RequestVote && m.From != first.id
 	}
 	sim.runFor(8 * testElection)
 	if sim.leader() != first {
-		t.Logf("the first leader did not come back")
+		t.Logf("the first leader was not elected again")
 	}
 	sim.drop = nil
 	sim.runFor(8 * testElection)
--- a/internal/tier/replica/configuration.go
+++ b/internal/tier/replica/configuration.go
@@ -6,11 +6,11 @@
 	"github.com/gravitational/trace"
 )
 
-// configuration is the list of members from the entry at index on.
+// configuration is the membership of the group from the entry at index on.
 type configuration struct {
-	index   uint64 // of the entry from which on it is in force; 0: from the start
+	index   uint64 // of the entry that introduced it; 0: the initial members
 	members []Member
-	voters  int // number of members that are no learners
+	voters  int // number of members that are not learners
 }
 
 func newConfiguration(index uint64, members []Member) configuration {
@@ -23,7 +23,7 @@
 	return configuration{index: index, members: members, voters: voters}
 }
 
-// find is the member of that identity, or nil.
+// find returns the member with the given ID, or nil.
 func (c *configuration) find(id string) *Member {
 	for i := range c.members {
 		if c.members[i].ID == id {
@@ -33,27 +33,27 @@
 	return nil
 }
 
-// isVoter tells whether the member of that identity has a vote.
+// isVoter reports whether the member with the given ID has a vote.
 func (c *configuration) isVoter(id string) bool {
 	member := c.find(id)
 	return member != nil && !member.Learner
 }
 
-// quorumSize is the number of voters that decide.
+// quorumSize returns the number of voters that form a majority.
 func (c *configuration) quorumSize() int {
 	return c.voters/2 + 1
 }
 
-// configurationHistory holds the configuration of the last committed entry and those of later entries, in order. It is
-// never empty.
+// configurationHistory holds the configuration in force at the last committed entry and those introduced by later entries,
+// in order. It is never empty.
 type configurationHistory []configuration
 
-// latest is the configuration in force: one is from the moment that its entry is in the log.
+// latest returns the configuration in force. A configuration takes effect when its entry is appended, committed or not.
 func (h configurationHistory) latest() *configuration {
 	return &h[len(h)-1]
 }
 
-// at is the configuration that was in force at index, or nil when that is forgotten.
+// at returns the configuration in force at the given index, or nil if it has been discarded.
 func (h configurationHistory) at(index uint64) *configuration {
 	for i := len(h) - 1; i >= 0; i-- {
 		if h[i].index <= index {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// isVoter tells whether the member has a vote in any configuration that may still be in force.
+// isVoter reports whether the member has a vote in any configuration that may still be in force.
 func (h configurationHistory) isVoter(id string) bool {
 	for i := range h {
 		if h[i].isVoter(id) {
@@ -73,7 +73,7 @@
 	return false
 }
 
-// truncate forgets the configurations of entries from index on. The first one is never forgotten.
+// truncate drops the configurations introduced by entries from index on. It always keeps the first one.
 func (h configurationHistory) truncate(index uint64) configurationHistory {
 	remaining := len(h)
 	for remaining > 1 && h[remaining-1].index >= index {
@@ -82,7 +82,7 @@
 	return h[:remaining:remaining]
 }
 
-// discardBefore forgets the configurations before the one in force at the committed index.
+// discardBefore drops the configurations that were replaced at or before the given committed index.
 func (h configurationHistory) discardBefore(index uint64) configurationHistory {
 	first := 0
 	for first+1 < len(h) && h[first+1].index <= index {
@@ -91,7 +91,7 @@
 	return h[first:]
 }
 
-// extend adds the configurations of the entries that bring one.
+// extend adds the configurations that the given entries introduce.
 func (h configurationHistory) extend(entries []Entry) (configurationHistory, error) {
 	for i := range entries {
 		if entries[i].Kind != ConfChange {
@@ -99,7 +99,7 @@
 		}
 		var members []Member
 		if err := json.Unmarshal(entries[i].Data, &members); err != nil {
-			return h, trace.BadParameter("members in entry %d: %v", entries[i].Index, err)
+			return h, trace.BadParameter("configuration entry %d does not hold a JSON list of members: %v", entries[i].Index, err)
 		}
 		h = append(h, newConfiguration(entries[i].Index, members))
 	}
--- a/internal/tier/replica/disk_test.go
+++ b/internal/tier/replica/disk_test.go
@@ -10,7 +10,8 @@
 	return r
 }
 
-// withoutStates is what a member recovers from its disk: the state of a snapshot is for the state machine.
+// withoutStates returns what a member recovers from a disk: the snapshot's state is left out, as it goes to the state
+// machine.
 func withoutStates(r Recovered) Recovered {
 	r = cloneRecovered(r)
 	if r.Snapshot != nil {
@@ -19,7 +20,7 @@
 	return r
 }
 
-// save applies the first writes of a step to a disk.
+// save applies the given number of first writes of a Ready to a disk.
 func save(disk Recovered, ready Ready, writes int) Recovered {
 	take := func(needed bool) bool {
 		if !needed || writes == 0 {
@@ -49,15 +50,16 @@
 	return disk
 }
 
-// snapshotChunks is the number of chunks in which simulated members send their snapshots.
+// snapshotChunks is the number of chunks of each snapshot in simulations.
 const snapshotChunks = 3
 
-// chunkOf is one of the chunks of a state.
+// chunkOf returns one chunk of a state.
 func chunkOf(state []byte, number int) []byte {
 	return state[len(state)*number/snapshotChunks : len(state)*(number+1)/snapshotChunks]
 }
 
-// addChunk adds to a message that brings a chunk of a snapshot what the sender's disk holds; false when that is no longer there.
+// addChunk adds the chunk's data from the sender's disk to an InstallSnapshot message. It returns false if the disk does not
+// hold that snapshot any more.
 func addChunk(message *Message, disk Recovered) bool {
 	if message.Kind != InstallSnapshot {
 		return true
@@ -71,8 +73,8 @@
 	return true
 }
 
-// receiveChunks writes received chunks behind those before, and adds the state to a snapshot that is installed. What it returns
-// is not synced, so it is lost with the process. The text tells what was wrong.
+// receiveChunks appends received chunks to the earlier ones, and fills in the state of a snapshot that is installed. The
+// returned chunks are not synced and are lost in a crash. The returned text describes an error in the chunks, if any.
 func receiveChunks(incoming [][]byte, ready *Ready) (chunks [][]byte, wrong string) {
 	chunks = incoming[:len(incoming):len(incoming)]
 	for _, chunk := range ready.ReceivedChunks {
@@ -80,7 +82,7 @@
 			chunks = nil
 		}
 		if chunk.Number != len(chunks) {
-			return chunks, fmt.Sprintf("chunk %d is received behind %d chunks", chunk.Number, len(chunks))
+			return chunks, fmt.Sprintf("chunk %d is received after %d chunks", chunk.Number, len(chunks))
 		}
 		chunks = append(chunks, chunk.Data)
 	}
@@ -88,7 +90,7 @@
 		return chunks, ""
 	}
 	if len(chunks) != ready.Snapshot.Chunks {
-		return chunks, fmt.Sprintf("a snapshot of %d chunks is installed after %d", ready.Snapshot.Chunks, len(chunks))
+		return chunks, fmt.Sprintf("a snapshot of %d chunks is installed after %d chunks were received", ready.Snapshot.Chunks, len(chunks))
 	}
 	complete := *ready.Snapshot
 	complete.State = bytes.Join(chunks, nil)
--- a/internal/tier/replica/election.go
+++ b/internal/tier/replica/election.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// resetElectionTimer draws a new election timeout, which begins now.
+// resetElectionTimer draws a new random election timeout and restarts the timer.
 func (r *Replica) resetElectionTimer() {
 	minTimeout := r.options.ElectionTimeout
 	if r.usesInitialTimeout() {
@@ -15,27 +15,28 @@
 	r.electionDeadline = r.now + r.electionTimeout
 }
 
-// usesInitialTimeout tells whether this member need not wait for a leader's heartbeats: it has heard no leader since its
-// start. Where there is one its heartbeat comes soon; where all members have restarted nothing is gained by waiting. A
-// PreVote that comes too early disturbs nobody.
+// usesInitialTimeout reports whether the shorter InitialElectionTimeout applies: this member has not been contacted by a
+// leader since it started. If there is a leader, its heartbeat arrives soon; if all members have just restarted, waiting
+// longer gains nothing. A PreVote that comes too early does no harm.
 func (r *Replica) usesInitialTimeout() bool {
 	return r.options.InitialElectionTimeout > 0 && !r.hasHeardLeader && r.role != candidate
 }
 
-// isPromotable tells whether this member may campaign: it has a vote in a configuration that may still be in force. That
-// includes one that its own log removes it from, since that entry may need its vote to be committed. It has none once it has
-// learned that it was removed.
+// isPromotable reports whether this member may campaign: it has a vote in a configuration that may still be in force. A
+// member removed by an entry in its own log that is not known to be committed still counts, since its vote may be needed to
+// commit that entry. A member that has been told of its removal does not count.
 func (r *Replica) isPromotable() bool {
 	return r.configurations.isVoter(r.options.ID) && !r.isExcluded()
 }
 
-// isSingleVoter tells whether no other member's vote is needed.
+// isSingleVoter reports whether this member is the only voter.
 func (r *Replica) isSingleVoter() bool {
 	latest := r.configurations.latest()
 	return latest.voters == 1 && latest.isVoter(r.options.ID)
 }
 
-// hasActiveLeader tells whether a leader was heard within the election timeout. Such a member supports no other candidate.
+// hasActiveLeader reports whether this member leads or was contacted by a leader within the election timeout. Such a member
+// grants no vote to another candidate, unless the leader has asked that candidate to campaign.
 func (r *Replica) hasActiveLeader() bool {
 	if r.role == leader {
 		return true
@@ -43,7 +44,8 @@
 	return r.leader.id != "" && r.now-r.leader.lastContact < r.options.ElectionTimeout
 }
 
-// becomeFollower makes this member a follower, in a new term if that is higher. From is empty when the leader is not known.
+// becomeFollower makes this member a follower, and moves it to the given term if that is higher. From is the ID of the
+// leader, or empty if the leader is not known.
 func (r *Replica) becomeFollower(term uint64, from string) {
 	if r.role == leader {
 		r.stepDown()
@@ -65,7 +67,7 @@
 	}
 }
 
-// campaignPreVote asks whether a majority would vote for this member. No term begins before they would, so that a member
+// campaignPreVote asks whether a majority would vote for this member. A new term begins only if it would, so that a member
 // that was partitioned does not depose a leader (thesis section 9.6).
 func (r *Replica) campaignPreVote() {
 	r.role = preCandidate
@@ -80,7 +82,7 @@
 	r.requestPreVotes()
 }
 
-// campaign begins a term as its candidate. With transfer, the previous leader has asked for it.
+// campaign begins a new term as a candidate. With transfer, the previous leader has asked this member to campaign.
 func (r *Replica) campaign(transfer bool) {
 	r.role = candidate
 	r.leader = leaderContact{}
@@ -97,8 +99,8 @@
 	r.requestVotes(Message{Kind: RequestVote, Term: r.hardState.Term, LeadershipTransfer: transfer})
 }
 
-// requestPreVotes asks the voters, and the contacts outside the configuration. The votes of these don't count; a rejection tells
-// this member if it was removed.
+// requestPreVotes sends PreVote requests to the voters and to the contacts outside the configuration. Votes of these
+// contacts do not count, but their rejections tell this member whether it was removed.
 func (r *Replica) requestPreVotes() {
 	request := Message{Kind: RequestVote, Term: r.hardState.Term + 1, PreVote: true}
 	r.requestVotes(request)
@@ -129,7 +131,7 @@
 	}
 }
 
-// hasWonElection tells whether a majority of the voters has voted for this member.
+// hasWonElection reports whether a majority of the voters has voted for this member.
 func (r *Replica) hasWonElection() bool {
 	latest := r.configurations.latest()
 	votes := 0
@@ -141,13 +143,13 @@
 	return votes >= r.quorumSize()
 }
 
-// quorumSize is the number of voters that decide, in the latest configuration.
+// quorumSize returns the number of voters that form a majority in the latest configuration.
 func (r *Replica) quorumSize() int {
 	return r.configurations.latest().quorumSize()
 }
 
-// handleRequestVote votes at most once in a term, and only for a candidate whose log is up to date (Raft section 5.4.1). A
-// member that hears a leader ignores candidates that the leader has not asked to campaign.
+// handleRequestVote grants at most one vote per term, and only to a candidate whose log is up to date (Raft section 5.4.1).
+// A member with an active leader ignores candidates that the leader has not asked to campaign.
 func (r *Replica) handleRequestVote(request *Message) {
 	if len(r.configurations.latest().members) == 0 {
 		return
@@ -175,7 +177,7 @@
 	r.respondToVote(request, true)
 }
 
-// isCandidateUpToDate tells whether the candidate's log is at least as up to date as this member's (Raft section 5.4.1).
+// isCandidateUpToDate reports whether the candidate's log is at least as up to date as this member's (Raft section 5.4.1).
 func (r *Replica) isCandidateUpToDate(request *Message) bool {
 	if request.LogTerm != r.log.lastTerm() {
 		return request.LogTerm > r.log.lastTerm()
@@ -183,7 +185,7 @@
 	return request.Index >= r.log.lastIndex()
 }
 
-// respondToVote responds to a candidate: with the term that it asks for, or with this member's own if it is denied.
+// respondToVote responds to a candidate. A granted vote carries the requested term, a rejection this member's own.
 func (r *Replica) respondToVote(request *Message, granted bool) {
 	response := Message{Kind: RequestVoteResponse, To: request.From, PreVote: request.PreVote, Term: request.Term}
 	if !granted {
--- a/internal/tier/replica/election_test.go
+++ b/internal/tier/replica/election_test.go
@@ -9,7 +9,7 @@
 	for members := 1; members <= 5; members++ {
 		sim, _ := newGroupWithLeader(t, uint64(members), members, 0)
 		if !sim.commitsWithin(time.Second) {
-			t.Errorf("%d members: nothing was committed", members)
+			t.Errorf("%d members: no command was committed", members)
 		}
 		sim.requireSafe(t)
 	}
@@ -37,7 +37,7 @@
 		t.Errorf("the leader changed from %s in %d to %v", first.id, term, sim.leader())
 	}
 	if got := isolated.replica.Status(); got.Leader != first.id || got.Term != term {
-		t.Errorf("the member that came back follows %q in %d", got.Leader, got.Term)
+		t.Errorf("after the partition the member follows %q in term %d", got.Leader, got.Term)
 	}
 	sim.requireSafe(t)
 }
@@ -68,13 +68,13 @@
 	}
 	sim.runFor(testElection + 2*testHeartbeat)
 	if first.replica.Status().IsLeader {
-		t.Errorf("still the leader after an election timeout alone")
+		t.Errorf("the leader has not stepped down after an election timeout without a majority")
 	}
 	if got == nil || got.Done || got.Dropped {
-		t.Errorf("outcome %+v, want one that is not known", got)
+		t.Errorf("outcome %+v, want neither done nor dropped", got)
 	}
 	if !sim.commitsWithin(time.Second) || sim.leader() == first {
-		t.Errorf("the others have no leader")
+		t.Errorf("the other members commit nothing without the isolated leader")
 	}
 	sim.heal()
 	sim.runFor(time.Second)
@@ -87,7 +87,7 @@
 		sim.partitioned[[2]int{n.slot, first.slot}] = true
 	}
 	if !sim.commitsWithin(2*time.Second) || sim.leader() == first {
-		t.Errorf("a leader that hears nobody still blocks the group")
+		t.Errorf("a leader that receives no messages was not replaced")
 	}
 	sim.requireSafe(t)
 }
@@ -100,7 +100,7 @@
 	sim.onOutcome = func(_ *node, outcome Outcome) { got = append(got, outcome) }
 	sim.runFor(testHeartbeat)
 	if len(got) != 1 || got[0] != (Outcome{Token: token, Dropped: true}) {
-		t.Errorf("outcomes %+v", got)
+		t.Errorf("outcomes %+v, want the proposal dropped", got)
 	}
 }
 
@@ -112,12 +112,12 @@
 	}
 	for now := time.Duration(0); now < 10*time.Second; now += testHeartbeat {
 		if ready := r.Step(now, Input{}); len(ready.MessagesAfterSync)+len(ready.MessagesBeforeSync) > 0 {
-			t.Fatalf("it sends %+v", ready)
+			t.Fatalf("a member without a configuration sends messages: %+v", ready)
 		}
 	}
 	ask := Message{Kind: RequestVote, From: "a", To: "x", Term: 9, Index: 100, LogTerm: 8}
 	if ready := r.Step(11*time.Second, Input{Messages: []Message{ask}}); len(ready.MessagesAfterSync) > 0 {
-		t.Errorf("it answers %+v", ready.MessagesAfterSync)
+		t.Errorf("a member without a configuration responds to RequestVote: %+v", ready.MessagesAfterSync)
 	}
 }
 
@@ -138,7 +138,7 @@
 		t.Fatalf("messages %+v and %+v", ready.MessagesBeforeSync, ready.MessagesAfterSync)
 	}
 	if ready.MessagesAfterSync[0].Reject || !ready.MessagesAfterSync[1].Reject {
-		t.Errorf("votes %+v", ready.MessagesAfterSync)
+		t.Errorf("responses %+v, want the first vote granted and the second rejected", ready.MessagesAfterSync)
 	}
 	hardState := *ready.HardState
 	restarted, err := New(options, Recovered{HardState: hardState}, 0)
@@ -147,7 +147,7 @@
 	}
 	ready = restarted.Step(0, Input{Messages: []Message{second}})
 	if len(ready.MessagesAfterSync) != 1 || !ready.MessagesAfterSync[0].Reject {
-		t.Errorf("after a restart it votes again: %+v", ready.MessagesAfterSync)
+		t.Errorf("after a restart the member votes again in the same term: %+v", ready.MessagesAfterSync)
 	}
 }
 
@@ -183,13 +183,13 @@
 	sim.wake(first)
 	began := sim.now
 	if !sim.runUntil(sim.now+testElection, func() bool { return sim.leader() != nil && sim.leader() != first }) {
-		t.Fatalf("nobody took over")
+		t.Fatalf("no other member took over the leadership")
 	}
 	if sim.now-began > testElection/2 {
-		t.Errorf("it took %v", sim.now-began)
+		t.Errorf("the transfer took %v, want at most half an election timeout", sim.now-began)
 	}
 	if sim.checker.commands != 0 && sim.checker.commands != 20 {
-		t.Errorf("%d of 20 proposals were settled", sim.checker.commands)
+		t.Errorf("%d of 20 proposals were acknowledged, want none or all", sim.checker.commands)
 	}
 	sim.requireSafe(t)
 }
@@ -205,11 +205,11 @@
 		}
 		first := r.Step(0, Input{}).NextWake
 		if first < initialTimeout || first >= 2*initialTimeout {
-			t.Errorf("seed %d: it first campaigns after %v", seed, first)
+			t.Errorf("seed %d: the first PreVote comes after %v", seed, first)
 		}
 		ready := r.Step(first, Input{})
 		if len(ready.MessagesAfterSync) != 2 || !ready.MessagesAfterSync[0].PreVote || ready.HardState != nil {
-			t.Fatalf("seed %d: it doesn't ask for PreVotes: %+v", seed, ready)
+			t.Fatalf("seed %d: the member sends no PreVote requests: %+v", seed, ready)
 		}
 		if wait := ready.NextWake - first; wait < initialTimeout || wait >= 2*initialTimeout {
 			t.Errorf("seed %d: the next PreVote comes after %v", seed, wait)
@@ -217,7 +217,7 @@
 		lastContact := ready.NextWake
 		ready = r.Step(lastContact, Input{Messages: []Message{{Kind: AppendEntries, From: "b", To: "a", Term: 1}}})
 		if wait := ready.NextWake - lastContact; wait < testElection || wait >= 2*testElection {
-			t.Errorf("seed %d: with a leader it campaigns after %v", seed, wait)
+			t.Errorf("seed %d: after contact with a leader the next PreVote comes after %v", seed, wait)
 		}
 	}
 }
--- a/internal/tier/replica/exclusion.go
+++ b/internal/tier/replica/exclusion.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// A member that was removed while it was down or partitioned isn't told by the leader, which sends to members alone. It goes on
-// by the configuration that it knows and asks that one's voters for their votes; a voter that rejects it tells it, in its
-// response, up to which committed entry it has left. Votes stay as they are: a member that was removed still grants them, and
-// one that knows of its removal asks for none, and reports no members. It and a member that never was in a group ask at
-// intervals whether that is still so, which tells their callers who is in.
+// A leader sends only to members of the group, so a member that was removed while it was down or partitioned does not hear
+// of it from the leader. It keeps its old configuration and requests votes from that configuration's voters. A voter that
+// rejects such a request names, in its response, a committed entry at which the member was no longer in the group. The
+// voting rules are not affected: a removed member still grants votes. A member that knows of its removal no longer campaigns
+// and reports no members. Like a member that was never in a group, it sends PreVote requests at intervals to check whether
+// it is still outside; Status names the member that last confirmed it.
 
-// informantElectionTimeouts is the number of election timeouts for which the member that told of the removal counts as running.
-// A member that was removed asks again within two.
-const informantElectionTimeouts = 4
+// exclusionReporterElectionTimeouts is the number of election timeouts for which the member that last reported the exclusion counts
+// as running. An excluded member asks again within two.
+const exclusionReporterElectionTimeouts = 4
 
 // exclusion is what a member knows of its removal from the group.
 type exclusion struct {
-	at     EntryID       // newest committed entry at which it is known to be outside; zero: none
-	toldBy string        // the member that told it last
-	toldAt time.Duration // when that was
+	at         EntryID       // newest committed entry at which it is known not to be a member; zero: none
+	reportedBy string        // ID of the member that last reported the exclusion
+	reportedAt time.Duration // when the last report arrived
 }
 
-// exclusionOf is the newest committed entry that this member knows, if neither the members in force at it nor any later ones
-// that it knows include that identity; else nil.
+// exclusionOf returns the newest committed entry known here, if neither the configuration in force at it nor a later one in
+// the log includes the member with the given ID; otherwise nil.
 func (r *Replica) exclusionOf(id string) *EntryID {
 	for i := range r.configurations {
 		if r.configurations[i].find(id) != nil {
@@ -34,7 +35,8 @@
 	return &EntryID{Index: r.commit, Term: term}
 }
 
-// learnExclusion records that this member isn't in the group at a committed entry.
+// learnExclusion records that this member was not in the group at the committed entry that a rejection names, if it names
+// one.
 func (r *Replica) learnExclusion(response *Message) {
 	entry := response.ExcludedAt
 	if entry == nil {
@@ -43,49 +45,50 @@
 	if entry.Index > r.exclusion.at.Index {
 		r.exclusion.at = *entry
 	}
-	r.exclusion.toldBy, r.exclusion.toldAt = response.From, r.now
+	r.exclusion.reportedBy, r.exclusion.reportedAt = response.From, r.now
 	if r.role == preCandidate && r.isExcluded() {
 		r.role = follower
 		r.votesGranted = nil
 	}
 }
 
-// isExcluded tells whether this member has been removed from the group without having the entry that did so. Once its log holds
-// the committed entry at which it was outside, its own configurations decide again: the log tells whether it was added later.
-// While it doesn't, nobody depends on its vote: a member that is added anew gets one only when it has caught up.
+// isExcluded reports whether this member was removed from the group without receiving the entry that removed it. Once its
+// log holds the committed entry at which it was not a member, its own configurations are used again, because the log then
+// also shows whether it was added later. Until then no quorum depends on its vote: a member that is added again gets a vote
+// only after it has caught up.
 func (r *Replica) isExcluded() bool {
 	return r.exclusion.at.Index > r.commit && !r.log.matchTerm(r.exclusion.at.Index, r.exclusion.at.Term)
 }
 
-// isOutside tells whether this member knows that it is in no group: it was removed, or never was in one. The latter matters only
-// to one that can ask somebody.
-func (r *Replica) isOutside() bool {
+// isKnownNonMember reports whether this member knows that it is in no group: either it was removed, or it has no configuration. A
+// member without a configuration counts only if it has contacts that it can ask.
+func (r *Replica) isKnownNonMember() bool {
 	return r.isExcluded() || len(r.contacts) > 0 && len(r.configurations.latest().members) == 0
 }
 
-// informant is the member that lately told this one of its removal; empty if none did.
-func (r *Replica) informant() string {
-	if r.now-r.exclusion.toldAt > informantElectionTimeouts*r.options.ElectionTimeout {
+// exclusionReporter returns the ID of the member that recently reported the exclusion, or an empty string if none did.
+func (r *Replica) exclusionReporter() string {
+	if r.now-r.exclusion.reportedAt > exclusionReporterElectionTimeouts*r.options.ElectionTimeout {
 		return ""
 	}
-	return r.exclusion.toldBy
+	return r.exclusion.reportedBy
 }
 
-// inquire asks whether this member is still outside, by a PreVote that begins no campaign.
-func (r *Replica) inquire() {
+// checkMembership checks whether this member is still outside the group. It sends PreVote requests but does not become a candidate.
+func (r *Replica) checkMembership() {
 	r.resetElectionTimer()
 	r.electionDeadline = max(r.electionDeadline, r.now+r.options.ElectionTimeout)
 	r.requestPreVotes()
 }
 
-// setContacts takes over the processes that may know the group.
+// setContacts sets the processes that may know the group. Nil leaves them unchanged.
 func (r *Replica) setContacts(contacts []Member) {
 	if contacts != nil {
 		r.contacts = contacts
 	}
 }
 
-// contactAddress is the address of the contact of that identity; empty if there is none.
+// contactAddress returns the address of the contact with the given ID, or an empty string if there is none.
 func (r *Replica) contactAddress(id string) string {
 	for i := range r.contacts {
 		if r.contacts[i].ID == id {
--- a/internal/tier/replica/exclusion_test.go
+++ b/internal/tier/replica/exclusion_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// replaceWhileIsolated has a spare take the place of a member that is cut off, and returns that member once it is back.
+// replaceWhileIsolated replaces an isolated member with a spare, and returns that member after the network has healed.
 func replaceWhileIsolated(t *testing.T, seed uint64) (sim *simulation, leader, removed *node) {
 	t.Helper()
 	sim, leader = newGroupWithLeader(t, seed, 3, 1)
@@ -21,21 +21,21 @@
 
 func TestRemovedMember_WasPartitioned_LearnsIt(t *testing.T) {
 	for seed := range uint64(5) {
-		// Given a member that was removed while it was partitioned, when it is back,
+		// Given a member that was removed while it was partitioned, when the partition heals,
 		sim, _, removed := replaceWhileIsolated(t, 100+seed)
 		sim.runFor(2 * time.Second)
-		// then it knows that it is in no group, and asks nobody for votes any more.
+		// then it learns that it is in no group, and does not campaign any more.
 		if got := removed.replica.Status(); len(got.Members) != 0 || got.Leader != "" {
-			t.Errorf("seed %d: it has the members %v and the leader %q", seed, got.Members, got.Leader)
+			t.Errorf("seed %d: the removed member has the members %v and the leader %q, want none", seed, got.Members, got.Leader)
 		}
 		if got := removed.replica.Status(); got.Informant == "" {
-			t.Errorf("seed %d: nobody has told it lately", seed)
+			t.Errorf("seed %d: the removed member names no member that reported its exclusion", seed)
 		}
 		term := removed.replica.Status().Term
 		for range 100 {
 			sim.runFor(testElection / 20)
 			if removed.replica.role != follower || removed.replica.Status().Term != term {
-				t.Fatalf("seed %d: it campaigns", seed)
+				t.Fatalf("seed %d: the removed member campaigns", seed)
 			}
 		}
 		sim.requireSafe(t)
@@ -49,13 +49,13 @@
 	sim.start(removed)
 	sim.runFor(2 * time.Second)
 	if got := removed.replica.Status().Members; len(got) != 0 {
-		t.Errorf("it has the members %v", got)
+		t.Errorf("after a restart the removed member has the members %v, want none", got)
 	}
-	// And while it is partitioned again it names nobody who told it lately.
+	// While it is partitioned again, it soon names no member that reported its exclusion.
 	sim.isolate(removed)
-	sim.runFor((informantElectionTimeouts + 2) * testElection)
+	sim.runFor((exclusionReporterElectionTimeouts + 2) * testElection)
 	if got := removed.replica.Status(); len(got.Members) != 0 || got.Informant != "" {
-		t.Errorf("partitioned, it has the members %v and was told by %q", got.Members, got.Informant)
+		t.Errorf("while partitioned it has the members %v and names the reporter %q, want none", got.Members, got.Informant)
 	}
 }
 
@@ -63,23 +63,23 @@
 	// Given a member that knows that it was removed,
 	sim, leader, removed := replaceWhileIsolated(t, 120)
 	sim.runFor(2 * time.Second)
-	// when the group is to have it again, then it gets its vote back and counts.
+	// when it becomes a target member again, then it gets its vote back and counts towards a majority.
 	sim.setTargetMembers(membersOf(sim.nodes...))
 	sim.requireMembers(t, 2*time.Second, membersOf(sim.nodes...))
 	sim.runFor(time.Second)
 	if got := removed.replica.Status(); len(got.Members) != len(sim.nodes) || !removed.replica.isPromotable() {
-		t.Errorf("it has the members %v", got.Members)
+		t.Errorf("the member that was added again has the members %v, or no vote", got.Members)
 	}
 	others := sim.others(removed)
 	sim.kill(leader)
 	if !sim.commitsWithin(2 * time.Second) {
-		t.Errorf("%d others and it commit nothing", len(others)-1)
+		t.Errorf("the member that was added again and %d others commit nothing", len(others)-1)
 	}
 	sim.requireSafe(t)
 }
 
 func TestRemovedMember_AllFormerPeersGone_LearnsItFromContacts(t *testing.T) {
-	// Given a member whose former peers have all been replaced while it was down,
+	// Given a member that was down while all its former peers were replaced and stopped,
 	sim, first := newGroupWithLeader(t, 130, 3, 3)
 	removed := sim.others(first)[0]
 	successors := sim.nodes[3:]
@@ -89,15 +89,15 @@
 	for _, n := range sim.nodes[:3] {
 		sim.kill(n)
 	}
-	// when it is back and knows processes that run,
+	// when it restarts and is given the running processes as contacts,
 	sim.start(removed)
 	removed.inbox.TargetMembers = nil
 	removed.inbox.Contacts = membersOf(successors...)
 	sim.wake(removed)
 	sim.runFor(2 * time.Second)
-	// then one of them tells it.
+	// then one of them reports its removal.
 	if got := removed.replica.Status().Members; len(got) != 0 {
-		t.Errorf("it has the members %v", got)
+		t.Errorf("the removed member has the members %v, want none", got)
 	}
 	sim.requireSafe(t)
 }
@@ -108,13 +108,13 @@
 	sim.setTargetMembers(membersOf(sim.nodes...))
 	sim.requireMembers(t, 2*time.Second, membersOf(sim.nodes...))
 	sim.runFor(time.Second)
-	// when a member that lags tells it of an entry at which it was outside,
+	// when a member that lags behind reports an entry at which it was not in the group,
 	earlier := sim.checker.log[len(sim.checker.log)-3]
 	late := Message{Kind: RequestVoteResponse, From: sim.others(removed)[0].id, To: removed.id, Reject: true, PreVote: true,
 		ExcludedAt: &EntryID{Index: earlier.Index, Term: earlier.Term}}
 	removed.replica.Step(sim.clock(removed), Input{Messages: []Message{late}})
-	// then its own log, which has that entry and what follows, decides.
+	// then the report is ignored, since the member's own log holds that entry and the later configurations.
 	if !removed.replica.isPromotable() || len(removed.replica.Status().Members) == 0 {
-		t.Error("it takes itself for removed")
+		t.Error("a member of the group considers itself removed")
 	}
 }
--- a/internal/tier/replica/explore_confchange_checks_test.go
+++ b/internal/tier/replica/explore_confchange_checks_test.go
@@ -5,48 +5,48 @@
 	"slices"
 )
 
-// checkLeader demands that a leader has all that was committed in earlier terms, and that a member on which nothing depends any
-// more does not lead.
-func (w *changeWorld) checkLeader(i int) {
-	r := w.members[i].replica
+// checkLeader checks that a leader has all entries that were committed in earlier terms, and that c does not lead in a later
+// term after the group was confirmed to be complete without it.
+func (s *confChangeState) checkLeader(i int) {
+	r := s.members[i].replica
 	if r.role != leader {
 		return
 	}
-	for _, entry := range w.committed {
+	for _, entry := range s.committed {
 		if entry.committedIn < r.hardState.Term && entry.Index > r.snapshotIndex() && !r.log.matchTerm(entry.Index, entry.Term) {
-			w.violation = fmt.Sprintf("%s leads term %d without entry %v", r.options.ID, r.hardState.Term, entry)
+			s.violation = fmt.Sprintf("%s leads term %d without the committed entry %v", r.options.ID, r.hardState.Term, entry)
 		}
 	}
-	if w.finished > 0 && i == atC && r.hardState.Term > w.finished {
-		w.violation = "c leads the group after nothing depended on it"
+	if s.replacedInTerm > 0 && i == indexC && r.hardState.Term > s.replacedInTerm {
+		s.violation = "c leads a later term although the group was confirmed to be complete without it"
 	}
 }
 
-// confirm takes notice of a read that a majority has confirmed, as a store's report on its groups asks for one. A group that
-// is then complete without c, with its target members, needs c no more.
-func (w *changeWorld) confirm(i int, outcomes []Outcome) {
-	m := &w.members[i]
+// confirm handles the outcome of a read with which a leader confirms its status, as a store does before it reports on its
+// groups. If the confirmed group is complete without c, c may be shut down from then on.
+func (s *confChangeState) confirm(i int, outcomes []Outcome) {
+	m := &s.members[i]
 	for _, outcome := range outcomes {
-		if outcome.Token != readToken || !m.reading {
+		if outcome.Token != readToken || !m.readPending {
 			continue
 		}
-		m.reading = false
+		m.readPending = false
 		after := m.replica.Status()
-		if outcome.Done && isConfirmed(m.asked, after) && isCompleteWithoutC(after) && w.finished == 0 {
-			w.finished = after.Term
-			w.checkCopies()
+		if outcome.Done && isConfirmed(m.statusBeforeRead, after) && isCompleteWithoutC(after) && s.replacedInTerm == 0 {
+			s.replacedInTerm = after.Term
+			s.checkReplication()
 		}
 	}
 }
 
 const readToken = 1 << 40
 
-// isConfirmed is what a store's report demands, see store.shard.
+// isConfirmed is the condition under which a store reports a status, see store.shard.
 func isConfirmed(before, after Status) bool {
 	return after.IsLeader && after.Term == before.Term && after.Commit >= before.LastIndex && slices.Equal(before.Members, after.Members)
 }
 
-// isCompleteWithoutC is what decommission.IsEmptied demands of a group.
+// isCompleteWithoutC is the condition that decommission.IsEmptied requires of a group.
 func isCompleteWithoutC(status Status) bool {
 	if len(status.Members) != 3 {
 		return false
@@ -59,17 +59,17 @@
 	return true
 }
 
-// checkCopies demands that each committed entry is on the disks of a majority of those that stay.
-func (w *changeWorld) checkCopies() {
-	for _, entry := range w.committed {
+// checkReplication checks that each committed entry is on the disks of a majority of the members other than c.
+func (s *confChangeState) checkReplication() {
+	for _, entry := range s.committed {
 		copies := 0
-		for _, i := range []int{atA, atB, atD} {
-			if diskHasEntry(w.members[i].disk, entry.Entry) {
+		for _, i := range []int{indexA, indexB, indexD} {
+			if diskHasEntry(s.members[i].disk, entry.Entry) {
 				copies++
 			}
 		}
 		if copies < 2 {
-			w.violation = fmt.Sprintf("nothing depends on c, and entry %v is on %d of the other disks", entry, copies)
+			s.violation = fmt.Sprintf("the group is complete without c, but entry %v is on only %d of the other disks", entry, copies)
 		}
 	}
 }
--- a/internal/tier/replica/explore_test.go
+++ b/internal/tier/replica/explore_test.go
@@ -14,34 +14,34 @@
 	return Recovered{HardState: HardState{Term: term}, Entries: logOf(terms...)}
 }
 
-// explorations are the starting points. Depths are what a few seconds allow.
+// explorations are the starting points. The depths keep each exploration to a few seconds.
 var explorations = []struct {
-	name  string
-	disks [3]Recovered
-	left  allowance
-	depth int
+	name   string
+	disks  [3]Recovered
+	budget eventBudget
+	depth  int
 }{
 	{
-		name:  "first start",
-		left:  allowance{campaigns: 2, proposals: 1, crashes: 1},
-		depth: 8,
+		name:   "first start",
+		budget: eventBudget{campaigns: 2, proposals: 1, crashes: 1},
+		depth:  8,
 	},
 	{
-		name:  "first start, a message comes twice",
-		left:  allowance{campaigns: 3, duplicates: 1},
-		depth: 7,
+		name:   "first start, with a duplicated message",
+		budget: eventBudget{campaigns: 3, duplicates: 1},
+		depth:  7,
 	},
 	{
-		name:  "logs that differ",
-		disks: [3]Recovered{diskOf(3, 1, 2), diskOf(3, 1), diskOf(4, 1, 3)},
-		left:  allowance{campaigns: 2},
-		depth: 12,
+		name:   "logs that differ",
+		disks:  [3]Recovered{diskOf(3, 1, 2), diskOf(3, 1), diskOf(4, 1, 3)},
+		budget: eventBudget{campaigns: 2},
+		depth:  12,
 	},
 	{
-		name:  "logs that differ, with a crash",
-		disks: [3]Recovered{diskOf(3, 1, 2), diskOf(3, 1), diskOf(3, 1, 3)},
-		left:  allowance{campaigns: 2, heartbeats: 1, crashes: 1},
-		depth: 8,
+		name:   "logs that differ, with a crash",
+		disks:  [3]Recovered{diskOf(3, 1, 2), diskOf(3, 1), diskOf(3, 1, 3)},
+		budget: eventBudget{campaigns: 2, heartbeats: 1, crashes: 1},
+		depth:  8,
 	},
 }
 
@@ -49,7 +49,7 @@
 	for _, tc := range explorations {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			requireSafeOrders(t, newWorld(t, tc.disks, tc.left), tc.depth)
+			requireSafeOrders(t, newSystemState(t, tc.disks, tc.budget), tc.depth)
 		})
 	}
 }
--- a/internal/tier/replica/explorer_test.go
+++ b/internal/tier/replica/explorer_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// explorer visits all worlds up to a depth, each only once, the near ones first.
+// explorer visits all states up to a depth, each only once, in breadth-first order.
 type explorer struct {
 	seed      maphash.Seed
 	seen      map[uint64]bool // by fingerprint
@@ -15,17 +15,18 @@
 	violation string
 }
 
-func explore(start *world, depth int) *explorer {
+func explore(start *systemState, depth int) *explorer {
 	e := &explorer{seed: maphash.MakeSeed(), seen: map[uint64]bool{}}
-	frontier := []*world{start}
+	frontier := []*systemState{start}
 	for ; depth > 0 && e.violation == ""; depth-- {
 		frontier = e.expand(frontier, depth > 1)
 	}
 	return e
 }
 
-// requireSafeOrders explores all orders of events up to a depth, less raceDepthReduction, and fails at the first violation.
-func requireSafeOrders(t *testing.T, start *world, depth int) {
+// requireSafeOrders explores all orders of events up to a depth, reduced by raceDepthReduction, and fails the test on the
+// first violation.
+func requireSafeOrders(t *testing.T, start *systemState, depth int) {
 	t.Helper()
 	depth -= raceDepthReduction
 	found := explore(start, depth)
@@ -35,11 +36,11 @@
 	t.Logf("%d states to depth %d", len(found.seen), depth)
 }
 
-// expand visits what is one event away from the frontier. The last level is looked at and not kept.
-func (e *explorer) expand(frontier []*world, keep bool) []*world {
-	var reached []*world
-	for i, w := range frontier {
-		for _, next := range w.successors() {
+// expand visits the states one event away from the frontier. It returns them as the next frontier if keep is set.
+func (e *explorer) expand(frontier []*systemState, keep bool) []*systemState {
+	var reached []*systemState
+	for i, s := range frontier {
+		for _, next := range s.successors() {
 			if next.violation != "" {
 				e.violation = next.violation
 				return nil
@@ -58,21 +59,21 @@
 	return reached
 }
 
-func (e *explorer) fingerprint(w *world) uint64 {
+func (e *explorer) fingerprint(s *systemState) uint64 {
 	b := e.buffer[:0]
-	for i := range w.members {
-		b = appendReplica(b, w.members[i].replica)
+	for i := range s.members {
+		b = appendReplica(b, s.members[i].replica)
 	}
-	for i := range w.inflight {
-		b = append(b, w.inflight[i].key...)
+	for i := range s.inflight {
+		b = append(b, s.inflight[i].key...)
 	}
-	b = appendNumbers(b, len(w.committed))
-	for i := range w.committed {
-		b = appendNumbers(b, int(w.committed[i].Term), int(w.committed[i].committedIn))
-		b = append(b, w.committed[i].Data...)
+	b = appendNumbers(b, len(s.committed))
+	for i := range s.committed {
+		b = appendNumbers(b, int(s.committed[i].Term), int(s.committed[i].committedIn))
+		b = append(b, s.committed[i].Data...)
 	}
-	left := w.left
-	b = appendNumbers(b, left.campaigns, left.heartbeats, left.crashes, left.proposals, left.duplicates)
+	budget := s.budget
+	b = appendNumbers(b, budget.campaigns, budget.heartbeats, budget.crashes, budget.proposals, budget.duplicates)
 	e.buffer = b
 	return maphash.Bytes(e.seed, b)
 }
--- a/internal/tier/replica/follower.go
+++ b/internal/tier/replica/follower.go
@@ -1,6 +1,6 @@
 package replica
 
-// pendingAppendResponse acknowledges all appends that were accepted in a Step.
+// pendingAppendResponse collects the acknowledgements of all appends accepted in one Step, which are sent as one message.
 type pendingAppendResponse struct {
 	to          string // empty: none
 	term        uint64
@@ -8,8 +8,8 @@
 	readContext uint64
 }
 
-// acceptLeader takes the sender of an append or a snapshot for the leader; false when its term is over, or this member
-// leads.
+// acceptLeader treats the sender of an append or a snapshot as the leader of its term. It returns false if that term is over
+// or this member leads it.
 func (r *Replica) acceptLeader(message *Message) bool {
 	if message.Term < r.hardState.Term {
 		r.sendAfterSync(Message{Kind: AppendEntriesResponse, To: message.From, Term: r.hardState.Term, Reject: true})
@@ -18,20 +18,20 @@
 	if r.role == leader && message.Term == r.hardState.Term {
 		return false
 	}
-	first := !r.hasHeardLeader
+	firstContact := !r.hasHeardLeader
 	r.hasHeardLeader = true
 	r.becomeFollower(message.Term, message.From)
 	r.leader.address = message.Address
 	r.leader.lastContact = r.now
-	if first && r.options.InitialElectionTimeout > 0 {
+	if firstContact && r.options.InitialElectionTimeout > 0 {
 		r.resetElectionTimer()
 	}
 	r.electionDeadline = r.now + r.electionTimeout
 	return true
 }
 
-// handleAppendEntries takes over the leader's entries if the entry before them matches (Raft section 5.3). Entries up to the
-// commit index match in any case, also where the log no longer holds them.
+// handleAppendEntries appends the leader's entries if the entry before them matches (Raft section 5.3). Entries up to the
+// commit index always match, even if they have been compacted.
 func (r *Replica) handleAppendEntries(message *Message) {
 	if !r.acceptLeader(message) {
 		return
@@ -64,8 +64,9 @@
 	}
 }
 
-// mergeEntries appends the entries that are not in the log yet, in place of those that conflict. Entries
-// that agree must stay: a delayed message may bring fewer than the log holds. False: an entry cannot be read.
+// mergeEntries appends the entries that are not in the log yet and replaces those that conflict. Matching entries must stay,
+// because a delayed message may carry fewer entries than the log holds. It returns false if a configuration entry cannot be
+// decoded.
 func (r *Replica) mergeEntries(entries []Entry) bool {
 	for len(entries) > 0 && r.log.matchTerm(entries[0].Index, entries[0].Term) {
 		entries = entries[1:]
@@ -79,7 +80,7 @@
 	return r.appendEntries(entries) == nil
 }
 
-// acknowledge responds that the log matches the leader's up to index. A Step's acknowledgements go in one message.
+// acknowledge records that the log matches the leader's up to index. All acknowledgements of a Step are sent as one message.
 func (r *Replica) acknowledge(message *Message, index uint64) {
 	response := &r.step.appendResponse
 	response.to, response.term = message.From, message.Term
@@ -87,7 +88,7 @@
 	response.readContext = max(response.readContext, message.ReadContext)
 }
 
-// rejectAppend tells the leader that the entry before those it sent is not in the log, and where the logs may agree.
+// rejectAppend tells the leader that the log lacks the entry before the sent ones, and at which index the logs may agree.
 func (r *Replica) rejectAppend(message *Message) {
 	response := Message{
 		Kind:        AppendEntriesResponse,
@@ -102,7 +103,7 @@
 	r.sendAfterSync(response)
 }
 
-// flushAppendResponse sends the acknowledgement of this Step, after the sync.
+// flushAppendResponse queues this Step's acknowledgement to be sent after the sync.
 func (r *Replica) flushAppendResponse() {
 	pending := r.step.appendResponse
 	if pending.to == "" {
--- a/internal/tier/replica/follower_test.go
+++ b/internal/tier/replica/follower_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// newTestFollower makes "b" a follower with a log of those terms.
+// newTestFollower returns "b" as a follower in the given term, whose log has entries of the given terms.
 func newTestFollower(t *testing.T, term uint64, terms ...uint64) *Replica {
 	t.Helper()
 	members := []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}
@@ -20,8 +20,8 @@
 	return r
 }
 
-// appendEntriesCase is an append to a follower whose log has entries of some terms, with what must come of it. Kind, sender and
-// receiver of the messages are filled in.
+// appendEntriesCase is an append to a follower whose log has entries of the given terms, with the expected results. The test
+// fills in the kind, sender and receiver of the messages.
 type appendEntriesCase struct {
 	name     string
 	log      []uint64
@@ -36,7 +36,7 @@
 
 var appendEntriesCases = []appendEntriesCase{
 	{
-		name:    "entries behind the log",
+		name:    "new entries",
 		log:     []uint64{1, 1},
 		message: Message{Term: 2, Index: 2, LogTerm: 1, Entries: []Entry{noOp(3, 2), noOp(4, 2)}, Commit: 3},
 		want:    Message{Index: 4},
@@ -44,7 +44,7 @@
 		commit:  3,
 	},
 	{
-		name:     "entries in place of others",
+		name:     "conflicting entries",
 		log:      []uint64{1, 1, 1, 1},
 		message:  Message{Term: 2, Index: 2, LogTerm: 1, Entries: []Entry{noOp(3, 2)}},
 		want:     Message{Index: 3},
@@ -52,7 +52,7 @@
 		append:   1,
 	},
 	{
-		name:    "entries that it has keep what follows",
+		name:    "matching entries keep the later ones",
 		log:     []uint64{1, 1, 1, 1},
 		message: Message{Term: 2, Index: 1, LogTerm: 1, Entries: []Entry{noOp(2, 1)}, Commit: 4},
 		want:    Message{Index: 2},
@@ -65,7 +65,7 @@
 		want:    Message{Index: 9, Reject: true, RejectHint: 2, LogTerm: 1},
 	},
 	{
-		name:    "a different entry before",
+		name:    "a conflicting previous entry",
 		log:     []uint64{1, 1, 2, 2, 2, 2},
 		message: Message{Term: 3, Index: 5, LogTerm: 1},
 		want:    Message{Index: 5, Reject: true, RejectHint: 2, LogTerm: 1},
@@ -87,13 +87,13 @@
 			tc.want.Kind, tc.want.From, tc.want.To, tc.want.Term = AppendEntriesResponse, "b", "a", tc.message.Term
 			ready := r.Step(0, Input{Messages: []Message{tc.message}})
 			if difference := cmp.Diff([]Message{tc.want}, ready.MessagesAfterSync); difference != "" {
-				t.Errorf("answer (-want +got):\n%s", difference)
+				t.Errorf("response (-want +got):\n%s", difference)
 			}
 			if len(ready.MessagesBeforeSync) != 0 {
-				t.Errorf("early messages %+v", ready.MessagesBeforeSync)
+				t.Errorf("messages before the sync %+v, want none", ready.MessagesBeforeSync)
 			}
 			if ready.TruncateFrom != tc.truncate || len(ready.Entries) != tc.append || r.Status().Commit != tc.commit {
-				t.Errorf("truncate %d, append %d, commit %d", ready.TruncateFrom, len(ready.Entries), r.Status().Commit)
+				t.Errorf("wrong result: truncated from %d, %d entries appended, commit index %d", ready.TruncateFrom, len(ready.Entries), r.Status().Commit)
 			}
 		})
 	}
@@ -105,7 +105,7 @@
 	ready := r.Step(0, Input{Messages: []Message{message}})
 	want := []Message{{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 5, Reject: true}}
 	if difference := cmp.Diff(want, ready.MessagesAfterSync); difference != "" {
-		t.Errorf("answer (-want +got):\n%s", difference)
+		t.Errorf("response (-want +got):\n%s", difference)
 	}
 }
 
@@ -121,7 +121,7 @@
 	ready := r.Step(0, Input{Messages: messages})
 	want := []Message{{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 6, ReadContext: 5}}
 	if difference := cmp.Diff(want, ready.MessagesAfterSync); difference != "" || len(ready.Entries) != 5 {
-		t.Errorf("%d entries, answers (-want +got):\n%s", len(ready.Entries), difference)
+		t.Errorf("%d entries, responses (-want +got):\n%s", len(ready.Entries), difference)
 	}
 }
 
@@ -130,7 +130,7 @@
 	message := Message{Kind: AppendEntries, From: "a", To: "earlier", Term: 9, Index: 1, LogTerm: 1}
 	ready := r.Step(0, Input{Messages: []Message{message}})
 	if len(ready.MessagesAfterSync) != 0 || ready.HardState != nil {
-		t.Errorf("ready %+v", ready)
+		t.Errorf("a message for another identity has an effect: %+v", ready)
 	}
 }
 
@@ -147,6 +147,6 @@
 		Entries: []Entry{{Index: 2, Term: 2, Data: json.RawMessage(`"new"`)}, {Index: 3, Term: 2}},
 	}}})
 	if difference := cmp.Diff(before, returned); difference != "" {
-		t.Errorf("entries returned before (-before +after):\n%s", difference)
+		t.Errorf("entries that an earlier Step returned (-before +after):\n%s", difference)
 	}
 }
--- a/internal/tier/replica/format_test.go
+++ b/internal/tier/replica/format_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// formatValues are values of all types that are stored or sent, by the name of their golden file; each sets all fields.
+// formatValues holds a value with all fields set for each type that is stored or sent, by the name of its golden file.
 var formatValues = map[string]any{
 	"hard_state": HardState{Term: 3, Vote: "a"},
 	"member":     Member{ID: "a", Address: "a:1", Learner: true},
@@ -24,7 +24,7 @@
 		Snapshot: &Snapshot{Index: 6, Term: 2, Members: []Member{{ID: "a"}}, Chunks: 2}, Chunk: 1, Address: "a:1", LeadershipTransfer: true},
 }
 
-// Members of earlier versions have these bytes on their disks, and send them.
+// Earlier versions have stored data in this format, and may send it.
 func TestStoredFormat_ReadsValuesOfEarlierVersions(t *testing.T) {
 	t.Parallel()
 	for name, want := range formatValues {
@@ -57,7 +57,7 @@
 	}
 }
 
-// Members of builds before ExcludedAt send messages without it.
+// Versions without the field ExcludedAt send messages without it.
 func TestStoredFormat_MessageWithoutExclusion_IsRead(t *testing.T) {
 	t.Parallel()
 	golden, err := os.ReadFile(filepath.Join("testdata", "format", "message_without_exclusion.json"))
@@ -75,7 +75,7 @@
 	}
 }
 
-// The kinds stand for themselves in messages and in records.
+// The values of the kinds are stored and sent.
 func TestStoredFormat_KindsKeepTheirValues(t *testing.T) {
 	t.Parallel()
 	messages := []MessageKind{RequestVote, RequestVoteResponse, AppendEntries, AppendEntriesResponse, InstallSnapshot, InstallSnapshotResponse}
--- a/internal/tier/replica/leader.go
+++ b/internal/tier/replica/leader.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// leadership is what a leader keeps for its term.
+// leadership is the state that a leader keeps for its term.
 type leadership struct {
-	noOpIndex         uint64 // index of the first entry of the term
+	noOpIndex         uint64 // index of the NoOp entry that begins the term
 	heartbeatDeadline time.Duration
 	followers         []*progress       // all members but this one, in the order of the configuration
-	pendingProposals  []pendingProposal // by index
+	pendingProposals  []pendingProposal // in order of index
 	pendingBytes      int
-	readContext       uint64        // of the newest reads
-	pendingReads      []pendingRead // by context
-	transferring      bool          // the leadership is to be handed over
+	readContext       uint64        // of the newest reads; grows by one per batch
+	pendingReads      []pendingRead // in order of context
+	transferring      bool          // no more proposals are accepted until the leadership is transferred
 	transferDeadline  time.Duration
-	quorumScratch     []uint64 // memory of quorumValue
+	quorumScratch     []uint64 // buffer reused by quorumValue
 }
 
-// pendingProposal is a command that waits for its commit.
+// pendingProposal is a proposed command that is not committed yet.
 type pendingProposal struct {
 	index uint64
 	token uint64
 	size  int
 }
 
-// hasCommittedInTerm tells whether the leader has committed an entry of its own term: only then does it know all that was
-// committed before (Raft section 8).
+// hasCommittedInTerm reports whether the leader has committed an entry of its own term. Only then does it know all entries
+// that were committed in earlier terms (Raft section 8).
 func (r *Replica) hasCommittedInTerm() bool {
 	return r.commit >= r.leadership.noOpIndex
 }
 
-// becomeLeader makes this candidate the leader of its term and appends the term's first entry.
+// becomeLeader makes this candidate the leader of its term and appends the term's NoOp entry.
 func (r *Replica) becomeLeader() {
 	r.role = leader
 	r.votesGranted = nil
@@ -41,7 +41,8 @@
 	r.appendEntry(NoOp, nil)
 }
 
-// stepDown ends the leadership; pending proposals and reads get their outcome, which is unknown.
+// stepDown ends the leadership. Pending proposals and reads are reported as not done; whether such a command will be
+// committed is not known.
 func (r *Replica) stepDown() {
 	r.role = follower
 	for i := range r.leadership.pendingProposals {
@@ -59,14 +60,14 @@
 	r.step.ready.Outcomes = append(r.step.ready.Outcomes, Outcome{Token: token, Done: done})
 }
 
-// appendEntry adds an entry of the leader's term and returns its index.
+// appendEntry appends an entry of the leader's term and returns its index.
 func (r *Replica) appendEntry(kind EntryKind, data []byte) uint64 {
 	index := r.log.lastIndex() + 1
 	r.log.append(Entry{Index: index, Term: r.hardState.Term, Kind: kind, Data: data})
 	return index
 }
 
-// propose appends commands. Elsewhere than at the leader, and beyond what may be pending, they are dropped.
+// propose appends commands. They are dropped if this member does not lead, or if too much is pending.
 func (r *Replica) propose(proposals []Proposal) {
 	for i := range proposals {
 		proposal := &proposals[i]
@@ -82,7 +83,8 @@
 	}
 }
 
-// acceptsProposal tells whether a command of that size may be appended. A single one may be, however large.
+// acceptsProposal reports whether a command of the given size may be appended. If nothing is pending, a command of any size
+// may be.
 func (r *Replica) acceptsProposal(size int) bool {
 	if r.role != leader || r.leadership.transferring {
 		return false
@@ -90,7 +92,7 @@
 	return r.leadership.pendingBytes == 0 || r.leadership.pendingBytes+size <= r.limits.maxPendingBytes
 }
 
-// tickLeader does a leader's work at the end of a Step.
+// tickLeader does the leader's work at the end of a Step.
 func (r *Replica) tickLeader() {
 	r.maybeCommit()
 	if r.isRemoved() || r.isTransferReady() {
@@ -102,9 +104,9 @@
 	r.replicate()
 }
 
-// maybeCommit commits what a majority has on disk. The local log counts up to what earlier Steps have saved. Entries of
-// older terms are committed only along with one of the own term, since a majority that has them can still lose them (Raft
-// section 5.4.2).
+// maybeCommit commits the entries that a majority has on disk. Of the local log, only entries saved by earlier Steps count.
+// Entries of older terms are committed only along with one of the current term, since even an entry that a majority holds
+// can otherwise still be overwritten (Raft section 5.4.2).
 func (r *Replica) maybeCommit() {
 	index := r.quorumValue(r.step.stable, matchIndexOf)
 	if index <= r.commit {
@@ -129,7 +131,7 @@
 	r.leadership.pendingProposals = pending[resolved:]
 }
 
-// commitsOnLocalSync tells whether the sync of this Step's entries alone lets something be committed.
+// commitsOnLocalSync reports whether syncing the entries appended in this Step is enough to commit something.
 func (r *Replica) commitsOnLocalSync() bool {
 	if r.step.stable == r.log.lastIndex() {
 		return false
@@ -138,7 +140,7 @@
 	return index > r.commit && r.log.matchTerm(index, r.hardState.Term)
 }
 
-// quorumValue is the highest value that a majority of the voters has reached; own is this member's.
+// quorumValue returns the highest value that a majority of the voters has reached. Own is this member's value.
 func (r *Replica) quorumValue(own uint64, valueOf func(*progress) uint64) uint64 {
 	latest := r.configurations.latest()
 	values := r.leadership.quorumScratch[:0]
@@ -165,7 +167,7 @@
 
 func lastContactOf(p *progress) uint64 { return uint64(p.lastContact) }
 
-// checkQuorum ends the leadership when a majority has not responded for an election timeout (thesis section 6.2).
+// checkQuorum steps down if no majority of the voters has responded for an election timeout (thesis section 6.2).
 func (r *Replica) checkQuorum() {
 	if r.now < r.leadership.heartbeatDeadline {
 		return
--- a/internal/tier/replica/leader_test.go
+++ b/internal/tier/replica/leader_test.go
@@ -17,7 +17,7 @@
 	}
 	p.acknowledge("b", 3)
 	if ready = p.step(Input{Proposals: []Proposal{command(4, half)}}); len(ready.Outcomes) != 0 {
-		t.Errorf("dropped though all is committed: %+v", ready.Outcomes)
+		t.Errorf("a command is dropped although nothing is pending: %+v", ready.Outcomes)
 	}
 }
 
@@ -25,11 +25,11 @@
 	p := newManualLeader(t, "a")
 	ready := p.step(Input{Proposals: []Proposal{command(1, 10)}})
 	if len(ready.Entries) != 1 || len(ready.CommittedEntries) != 0 || ready.NextWake != p.now {
-		t.Errorf("first step: %+v", ready)
+		t.Errorf("first step %+v, want one entry, nothing committed and an immediate wake", ready)
 	}
 	ready = p.step(Input{})
 	if len(ready.CommittedEntries) != 1 || len(ready.Outcomes) != 1 || ready.NextWake <= p.now {
-		t.Errorf("second step: %+v", ready)
+		t.Errorf("second step %+v, want the entry committed and a later wake", ready)
 	}
 }
 
@@ -44,7 +44,7 @@
 		},
 	}
 	if ready := p.step(input); len(ready.CommittedEntries) != 1 || ready.CommittedEntries[0].Index != 2 {
-		t.Errorf("committed %+v", ready.CommittedEntries)
+		t.Errorf("committed %+v, want only entry 2", ready.CommittedEntries)
 	}
 }
 
@@ -59,7 +59,7 @@
 	}
 	sim.startAll()
 	if !sim.commitsWithin(time.Second) {
-		t.Error("nothing is committed after the restart")
+		t.Error("no command is committed after the restart")
 	}
 	sim.requireSafe(t)
 }
--- a/internal/tier/replica/log.go
+++ b/internal/tier/replica/log.go
@@ -1,21 +1,21 @@
 package replica
 
-// entryOverhead is what an entry takes beside its data, in bytes, when messages are measured.
+// entryOverhead is the assumed size of an entry in bytes beyond its data, for limits on messages and memory.
 const entryOverhead = 48
 
 // raftLog holds the entries after an offset. Entries are never changed in place, so that messages may share them.
 type raftLog struct {
 	offset     uint64 // index of the entry before the first one in entries
-	offsetTerm uint64 // term of that entry
+	offsetTerm uint64 // term of the entry at offset
 	entries    []Entry
 }
 
-// lastIndex is the index of the newest entry.
+// lastIndex returns the index of the newest entry.
 func (l *raftLog) lastIndex() uint64 {
 	return l.offset + uint64(len(l.entries))
 }
 
-// lastTerm is the term of the newest entry.
+// lastTerm returns the term of the newest entry.
 func (l *raftLog) lastTerm() uint64 {
 	if len(l.entries) == 0 {
 		return l.offsetTerm
@@ -23,7 +23,7 @@
 	return l.entries[len(l.entries)-1].Term
 }
 
-// termAt is the term of the entry at index; false when the log does not know it.
+// termAt returns the term of the entry at index, or false if the log does not hold that entry.
 func (l *raftLog) termAt(index uint64) (uint64, bool) {
 	if index == l.offset {
 		return l.offsetTerm, true
@@ -34,13 +34,13 @@
 	return l.entries[index-l.offset-1].Term, true
 }
 
-// matchTerm tells whether the entry at index has that term.
+// matchTerm reports whether the entry at index has the given term.
 func (l *raftLog) matchTerm(index, term uint64) bool {
-	known, found := l.termAt(index)
-	return found && known == term
+	entryTerm, known := l.termAt(index)
+	return known && entryTerm == term
 }
 
-// slice shares the entries from first to last, both included.
+// slice returns the entries from first to last inclusive. They share memory with the log.
 func (l *raftLog) slice(first, last uint64) []Entry {
 	if first > last {
 		return nil
@@ -49,7 +49,8 @@
 	return l.entries[from:to:to]
 }
 
-// batch shares the entries from first on that fit into the bytes, at least one, and returns how many bytes they take.
+// batch returns as many entries from first on as fit into limit bytes, but at least one, and their total size. They share
+// memory with the log.
 func (l *raftLog) batch(first uint64, limit int) ([]Entry, int) {
 	from := int(first - l.offset - 1)
 	to, size := from, 0
@@ -64,12 +65,12 @@
 	return l.entries[from:to:to], size
 }
 
-// append adds entries behind the newest one.
+// append adds entries after the newest one.
 func (l *raftLog) append(entries ...Entry) {
 	l.entries = append(l.entries, entries...)
 }
 
-// truncate drops the entries from index on. What is appended later goes to new memory, since messages may share the old.
+// truncate drops the entries from index on. Later appends allocate new memory, since messages may share the dropped entries.
 func (l *raftLog) truncate(index uint64) {
 	remaining := index - l.offset - 1
 	l.entries = l.entries[:remaining:remaining]
@@ -86,8 +87,8 @@
 	l.offset, l.offsetTerm = index, term
 }
 
-// compactionIndex is the index up to which entries may be dropped once a snapshot stands for those up to index: so many of
-// the newest are kept, as far as they take no more than the bytes.
+// compactionIndex returns the index up to which entries may be dropped once a snapshot covers those up to index. Up to count
+// of the newest covered entries are kept, as long as their total size does not exceed the given bytes.
 func (l *raftLog) compactionIndex(index, count uint64, bytes int) uint64 {
 	for index > l.offset && count > 0 {
 		bytes -= entrySize(&l.entries[index-l.offset-1])
@@ -100,18 +101,18 @@
 	return index
 }
 
-// restore empties the log; it goes on after the entry that a snapshot ends with.
+// restore empties the log and lets it continue after the last entry that a snapshot covers.
 func (l *raftLog) restore(index, term uint64) {
 	*l = raftLog{offset: index, offsetTerm: term}
 }
 
-// findConflictByTerm is the highest index up to hint whose term is not over term: no later entry can agree with a log that
-// has this term at hint. It skips a term of conflicting entries at once (Raft section 5.3).
+// findConflictByTerm returns the highest index up to hint whose term does not exceed term: no later entry can match a log
+// that has this term at hint. This skips all conflicting entries of a term at once (Raft section 5.3).
 func (l *raftLog) findConflictByTerm(hint, term uint64) uint64 {
 	index := min(hint, l.lastIndex())
 	for index > l.offset {
-		known, _ := l.termAt(index)
-		if known <= term {
+		entryTerm, _ := l.termAt(index)
+		if entryTerm <= term {
 			break
 		}
 		index--
--- a/internal/tier/replica/log_test.go
+++ b/internal/tier/replica/log_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestRaftLog_RandomOperations_MatchPlainList compares the log with a plain list that forgets nothing.
+// TestRaftLog_RandomOperations_MatchPlainList compares the log with a plain list of all entries that is never compacted.
 func TestRaftLog_RandomOperations_MatchPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log raftLog
@@ -43,19 +43,19 @@
 
 func checkLog(t *rapid.T, log *raftLog, all []Entry) {
 	if log.lastIndex() != uint64(len(all)) {
-		t.Fatalf("last %d, want %d", log.lastIndex(), len(all))
+		t.Fatalf("last index %d, want %d", log.lastIndex(), len(all))
 	}
 	if difference := cmp.Diff(all[log.offset:], log.slice(log.offset+1, log.lastIndex())); difference != "" && len(all) > int(log.offset) {
 		t.Fatalf("entries (-want +got):\n%s", difference)
 	}
 	if log.offset > 0 && !log.matchTerm(log.offset, all[log.offset-1].Term) {
-		t.Fatalf("the term at %d is lost", log.offset)
+		t.Fatalf("the term of the last compacted entry %d is wrong", log.offset)
 	}
 	if _, known := log.termAt(log.lastIndex() + 1); known {
-		t.Fatal("an entry behind the last is known")
+		t.Fatal("the log has a term for an entry after its last one")
 	}
 	checkBatch(t, log)
-	checkAgreement(t, log, all)
+	checkFindConflict(t, log, all)
 }
 
 func checkBatch(t *rapid.T, log *raftLog) {
@@ -66,15 +66,15 @@
 	limit := rapid.IntRange(1, 500).Draw(t, "limit")
 	entries, size := log.batch(first, limit)
 	if len(entries) == 0 || entries[0].Index != first {
-		t.Fatalf("batch from %d is %v", first, entries)
+		t.Fatalf("batch from %d is %v, want it to begin with that entry", first, entries)
 	}
 	if size > limit && len(entries) > 1 {
-		t.Fatalf("%d entries of %d bytes, over %d", len(entries), size, limit)
+		t.Fatalf("a batch of %d entries has %d bytes, want at most %d", len(entries), size, limit)
 	}
 }
 
-func checkAgreement(t *rapid.T, log *raftLog, all []Entry) {
-	limit := rapid.Uint64Range(log.offset, log.lastIndex()+3).Draw(t, "agree")
+func checkFindConflict(t *rapid.T, log *raftLog, all []Entry) {
+	limit := rapid.Uint64Range(log.offset, log.lastIndex()+3).Draw(t, "hint")
 	term := rapid.Uint64Range(0, 9).Draw(t, "term")
 	got := log.findConflictByTerm(limit, term)
 	want := log.offset
@@ -84,11 +84,11 @@
 		}
 	}
 	if got != want {
-		t.Fatalf("conflict up to %d in term %d: %d, want %d", limit, term, got, want)
+		t.Fatalf("findConflictByTerm up to %d with term %d is %d, want %d", limit, term, got, want)
 	}
 }
 
-// checkTail demands the longest tail within both bounds.
+// checkTail checks that compactionIndex keeps as many entries as both limits allow.
 func checkTail(t *rapid.T, log *raftLog, index, count uint64, bytes int) {
 	got := log.compactionIndex(index, count, bytes)
 	sizeFrom := func(first uint64) int {
@@ -99,9 +99,9 @@
 		return size
 	}
 	if got > index || got < log.offset || index-got > count || sizeFrom(got) > bytes {
-		t.Fatalf("tail of %d, %d entries and %d bytes at most, from %d with %d bytes", index, count, bytes, got, sizeFrom(got))
+		t.Fatalf("snapshot at %d, at most %d entries and %d bytes: compacted to %d, which keeps %d bytes and exceeds a limit", index, count, bytes, got, sizeFrom(got))
 	}
 	if got > log.offset && index-got < count && sizeFrom(got-1) <= bytes {
-		t.Fatalf("tail of %d, %d entries and %d bytes at most, could begin before %d", index, count, bytes, got)
+		t.Fatalf("snapshot at %d, at most %d entries and %d bytes: compacted to %d, although one more entry could be kept", index, count, bytes, got)
 	}
 }
--- a/internal/tier/replica/manual_leader_test.go
+++ b/internal/tier/replica/manual_leader_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// manualLeader is a leader "a" whose steps a test makes one by one, while the test plays the other members.
+// manualLeader is the leader "a", whose steps a test makes one by one. The test supplies the messages of the other members.
 type manualLeader struct {
 	t   *testing.T
 	r   *Replica
 	now time.Duration
 }
 
-// newManualLeader makes "a" the leader of term 1 with its first entry committed.
+// newManualLeader returns the leader of term 1 with its first entry committed.
 func newManualLeader(t *testing.T, initial ...string) *manualLeader {
 	t.Helper()
 	var members []Member
@@ -49,10 +49,10 @@
 	return p.r.Step(p.now, input)
 }
 
-// acknowledge lets a follower respond that it has the log up to index.
+// acknowledge delivers a response from a follower that its log matches up to index.
 func (p *manualLeader) acknowledge(id string, index uint64) Ready {
-	answer := Message{Kind: AppendEntriesResponse, From: id, To: "a", Term: 1, Index: index}
-	return p.step(Input{Messages: []Message{answer}})
+	response := Message{Kind: AppendEntriesResponse, From: id, To: "a", Term: 1, Index: index}
+	return p.step(Input{Messages: []Message{response}})
 }
 
 func command(token uint64, size int) Proposal {
@@ -60,7 +60,7 @@
 	return Proposal{Token: token, Data: data}
 }
 
-// appendsTo are the entries of each append that goes to a follower.
+// appendsTo returns the indexes of the entries in each append to the given follower.
 func appendsTo(messages []Message, id string) [][]uint64 {
 	var appends [][]uint64
 	for _, message := range messages {
--- a/internal/tier/replica/mutants_test.go
+++ b/internal/tier/replica/mutants_test.go
@@ -7,7 +7,7 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// Tests that notice the mutants: random campaigns, and all orders of events from some starting points.
+// Tests that detect the mutants: random campaigns, and explorations of all orders of events from given starting points.
 const (
 	campaigns           = "^TestCampaigns_RandomFaults_StaySafeAndRecover$"
 	fromFirstStart      = "^TestExploration_OrdersOfEvents_AreSafe$/^first_start$"
@@ -38,7 +38,7 @@
 	}
 )
 
-// savingMutants lose what must be on disk before a message leaves.
+// savingMutants do not save what must be on disk before a message is sent.
 var savingMutants = []mutation.Mutant{
 	{
 		Name:   "hard states are not saved",
@@ -62,21 +62,21 @@
 	},
 }
 
-// commitMutants commit too early, or change the members before a commit of the own term.
+// commitMutants commit too early, or change the members before an entry of the current term is committed.
 var commitMutants = []mutation.Mutant{
 	{
-		Name:   "entries of older terms are committed by counting",
+		Name:   "entries of older terms are committed by counting replicas",
 		Change: committingOlderTerms,
 		Run:    campaigns,
 	},
 	{
-		Name:   "entries of older terms are committed by counting, explored",
+		Name:   "entries of older terms are committed by counting replicas, explored",
 		Change: committingOlderTerms,
 		Run:    fromConflictingLogs,
 		Always: true,
 	},
 	{
-		Name: "two changes at once",
+		Name: "two membership changes at once",
 		Change: mutation.Change{
 			File: "confchange.go",
 			Old:  "if r.configurations.latest().index > r.commit {",
@@ -85,7 +85,7 @@
 		Run: campaigns,
 	},
 	{
-		Name: "a change begins before an entry of the own term is committed",
+		Name: "a membership change begins before an entry of the current term is committed",
 		Change: mutation.Change{
 			File: "confchange.go",
 			Old:  "if !r.hasCommittedInTerm() {",
@@ -96,10 +96,10 @@
 	},
 }
 
-// appendMutants take a message for the end of the log.
+// appendMutants truncate the log after the entries of a message.
 var appendMutants = []mutation.Mutant{
 	{
-		Name: "appends end the log",
+		Name: "an append truncates the entries after it",
 		Change: mutation.Change{
 			File: "follower.go",
 			Old:  "	if previous < r.commit {\n",
@@ -122,7 +122,7 @@
 	},
 }
 
-// readMutants answer reads that nothing has confirmed.
+// readMutants resolve reads that have not been confirmed.
 var readMutants = []mutation.Mutant{
 	{
 		Name: "reads without ReadIndex",
@@ -134,7 +134,7 @@
 		Run: campaigns,
 	},
 	{
-		Name: "reads before an entry of the own term is committed",
+		Name: "reads before an entry of the current term is committed",
 		Change: mutation.Change{
 			File: "read_only.go",
 			Old:  "if len(reads) == 0 || !r.hasCommittedInTerm() {",
@@ -144,7 +144,7 @@
 	},
 }
 
-// voteMutants vote against the rules.
+// voteMutants violate the voting rules.
 var voteMutants = []mutation.Mutant{
 	{
 		Name: "votes for logs that lack entries",
@@ -167,10 +167,10 @@
 	},
 }
 
-// agreementMutants take for agreed what is not.
+// agreementMutants treat entries, snapshots or votes as valid that are not.
 var agreementMutants = []mutation.Mutant{
 	{
-		Name: "learners count",
+		Name: "learners count towards a majority",
 		Change: mutation.Change{
 			File: "leader.go",
 			Old:  "if !p.learner {\n			values",
@@ -184,7 +184,7 @@
 		Run: campaigns,
 	},
 	{
-		Name: "followers commit what they have not compared",
+		Name: "followers commit entries that they have not compared with the leader's",
 		Change: mutation.Change{
 			File: "follower.go",
 			Old:  "r.commitTo(min(message.Commit, matched))",
@@ -216,7 +216,7 @@
 		Run: campaigns,
 	},
 	{
-		Name: "truncated lists of members stay in force",
+		Name: "configurations of truncated entries stay in force",
 		Change: mutation.Change{
 			File: "raft.go",
 			Old:  "	r.configurations = r.configurations.truncate(index)\n",
@@ -225,7 +225,7 @@
 		Run: campaigns,
 	},
 	{
-		Name: "appends are taken without comparison",
+		Name: "appends are accepted without comparing the previous entry",
 		Change: mutation.Change{
 			File: "follower.go",
 			Old:  "case previous == r.commit:",
--- a/internal/tier/replica/progress.go
+++ b/internal/tier/replica/progress.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// progressState tells how the leader sends to a follower.
+// progressState is how the leader sends entries to a follower.
 type progressState uint8
 
 const (
-	stateProbe     progressState = iota // one append at a time, until it is known where the logs agree
-	stateReplicate                      // appends follow each other without waiting for responses
-	stateSnapshot                       // a snapshot is on its way
+	stateProbe     progressState = iota // sends one append at a time until it is known where the logs match
+	stateReplicate                      // sends appends without waiting for responses
+	stateSnapshot                       // sends a snapshot
 )
 
-// progress is what the leader knows of another member.
+// progress is the leader's view of another member.
 type progress struct {
 	id            string
 	learner       bool
 	state         progressState
-	match         uint64 // last entry that it is known to have on disk
-	next          uint64 // next entry to send; always over match
-	probeSent     bool   // stateProbe: entries are on their way
+	match         uint64 // last entry that the member is known to have on disk
+	next          uint64 // next entry to send; always greater than match
+	probeSent     bool   // stateProbe: an append has been sent and not answered
 	inflights     []inflight
-	inflightBytes int           // sum over inflights
-	lastContact   time.Duration // last response; until hasResponded, when it became a follower
+	inflightBytes int           // total size of inflights
+	lastContact   time.Duration // time of the last response; before the first one, when tracking began
 
-	readContext        uint64 // newest one that it has responded to
-	sentReadContext    uint64 // newest one that was sent to it
+	readContext        uint64 // newest read context that the member has responded to
+	sentReadContext    uint64 // newest read context that was sent to the member
 	sentSinceHeartbeat bool   // an append was sent since the last heartbeat
 
-	hasResponded bool // to this leader in this term
+	hasResponded bool // to an append from this leader in this term
 
-	transfer snapshotTransfer // stateSnapshot: the snapshot
+	transfer snapshotTransfer // stateSnapshot: the transfer in progress
 }
 
 // inflight is an append that has not been acknowledged.
 type inflight struct {
-	last uint64 // its last entry
+	last uint64 // index of its last entry
 	size int    // bytes of its entries
 }
 
-// findProgress is the progress of the member of that identity, or nil.
+// findProgress returns the progress of the member with the given ID, or nil.
 func findProgress(peers []*progress, id string) *progress {
 	for _, p := range peers {
 		if p.id == id {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// refreshFollowers brings the followers in line with the latest configuration, and keeps the progress of those that stay.
+// refreshFollowers updates the list of followers to the latest configuration, and keeps the progress of members that stay.
 func (r *Replica) refreshFollowers() {
 	known := r.leadership.followers
 	members := r.configurations.latest().members
@@ -66,12 +66,13 @@
 	}
 }
 
-// isActive tells whether the follower has responded within the election timeout.
+// isActive reports whether the follower has responded within the election timeout.
 func (r *Replica) isActive(p *progress) bool {
 	return r.now-p.lastContact < r.options.ElectionTimeout
 }
 
-// updateMatch records that the follower's disk holds the log up to index. Offset is where the leader's log begins.
+// updateMatch records that the follower has the log up to index on disk. Offset is the last entry that the leader has
+// compacted.
 func (p *progress) updateMatch(index, offset uint64) {
 	p.match = max(p.match, index)
 	p.freeInflights()
@@ -88,7 +89,7 @@
 	}
 }
 
-// becomeProbe sends one append at a time from next on.
+// becomeProbe switches to sending one append at a time, starting with the entry at next.
 func (p *progress) becomeProbe(next uint64) {
 	p.state = stateProbe
 	p.transfer = snapshotTransfer{}
@@ -97,14 +98,14 @@
 	p.clearInflights()
 }
 
-// becomeReplicate sends without waiting for responses.
+// becomeReplicate switches to sending appends without waiting for responses.
 func (p *progress) becomeReplicate() {
 	p.state = stateReplicate
 	p.next = p.match + 1
 	p.clearInflights()
 }
 
-// freeInflights drops the appends that are acknowledged by now.
+// freeInflights drops the appends that have been acknowledged.
 func (p *progress) freeInflights() {
 	freed := 0
 	for freed < len(p.inflights) && p.inflights[freed].last <= p.match {
--- a/internal/tier/replica/race_on_test.go
+++ b/internal/tier/replica/race_on_test.go
@@ -2,8 +2,8 @@
 
 package replica
 
-// campaignSeeds is the number of random runs; fewer where each memory access is watched.
+// campaignSeeds is the number of random runs; fewer because the race detector slows them down.
 const campaignSeeds = 120
 
-// raceDepthReduction is how much shallower explorations are.
+// raceDepthReduction is subtracted from the depth of explorations.
 const raceDepthReduction = 2
--- a/internal/tier/replica/raft.go
+++ b/internal/tier/replica/raft.go
@@ -8,52 +8,52 @@
 )
 
 const (
-	// maxIdle is how long a member without any timer may sleep.
+	// maxIdle is the longest time until the next Step when no timer is running.
 	maxIdle = time.Hour
 
-	// minHeartbeatsPerElection is the smallest number of heartbeat intervals in an election timeout.
+	// minHeartbeatsPerElection is the minimum number of heartbeat intervals in an election timeout.
 	minHeartbeatsPerElection = 3
 )
 
-// role is what a member is in its term.
+// role is the role of a member in the current term.
 type role uint8
 
 const (
 	follower     role = iota
-	preCandidate      // asks whether it would be elected
+	preCandidate      // asks whether it would win an election
 	candidate         // asks for votes in a new term
-	leader            // also while nothing of its term is committed yet
+	leader            // even before an entry of its term is committed
 )
 
-// Replica is one member of a group. It is driven by Step, by one goroutine at a time.
+// Replica is one member of a group. It is driven by calls to Step, from one goroutine at a time.
 type Replica struct {
 	options Options
 	limits  limits
 	random  randomSource
 
-	// What its disk holds once each Ready is carried out.
+	// State that is on disk once the Ready of the last Step has been carried out.
 	hardState      HardState
 	log            raftLog
-	snapshot       *Snapshot // without its state
+	snapshot       *Snapshot // without State
 	configurations configurationHistory
 
 	incoming  incomingSnapshot  // snapshot that is being received
 	postponed postponedSnapshot // snapshot that the caller had no capacity for
 
 	commit  uint64 // last entry known to be committed
-	applied uint64 // last entry handed out as committed; never over commit
+	applied uint64 // last entry returned in Ready.CommittedEntries; never greater than commit
 
 	now              time.Duration
 	role             role
 	leader           leaderContact
-	electionTimeout  time.Duration // time without a leader after which it campaigns, drawn for each election
+	electionTimeout  time.Duration // time without a leader after which this member campaigns, drawn at random
 	electionDeadline time.Duration
-	hasHeardLeader   bool     // since its start
-	votesGranted     []string // members that have voted for this one
+	hasHeardLeader   bool     // since this member started
+	votesGranted     []string // IDs of the members that have voted for this one
 
-	leadership    leadership // zero unless it leads
-	targetMembers []Member   // empty: not known
-	contacts      []Member   // other processes of the group's kind, which may know it
+	leadership    leadership // zero unless this member leads
+	targetMembers []Member   // empty: unknown
+	contacts      []Member   // other processes that may be in the group
 	exclusion     exclusion
 
 	step stepState
@@ -61,25 +61,26 @@
 
 // leaderContact is what a follower knows of its leader.
 type leaderContact struct {
-	id          string // empty: no leader is known
+	id          string // empty: no known leader
 	address     string
 	lastContact time.Duration
 }
 
-// stepState is what one Step gathers.
+// stepState collects the results of one Step.
 type stepState struct {
 	ready             Ready
-	stable            uint64 // last entry on disk that is still the same in memory
-	stableLast        uint64 // last entry on disk, still the same or not
+	stable            uint64 // last entry on disk that this Step has not truncated
+	stableLast        uint64 // last entry on disk, including truncated ones
 	hardStateChanged  bool
 	receivedChunks    []Chunk
 	installedSnapshot *Snapshot
 	appendResponse    pendingAppendResponse
 }
 
-// New makes a member from what it found on its disk. The state machine must start from the recovered snapshot; entries
-// after it come as CommittedEntries once they are known to be committed. The first Step, with an empty Input, tells when the
-// next one is due. Invalid options and an inconsistent disk are errors (trace.BadParameter).
+// New creates a member from the state recovered from its disk. The state machine must start from the recovered snapshot;
+// later entries are returned in CommittedEntries once they are known to be committed. The NextWake of the first Step, which
+// may have an empty Input, tells when the next Step is due. Invalid options and inconsistent recovered state are errors
+// (trace.BadParameter).
 func New(options Options, recovered Recovered, now time.Duration) (*Replica, error) {
 	if err := options.validate(); err != nil {
 		return nil, err
@@ -101,7 +102,7 @@
 	return r, nil
 }
 
-// recover takes over snapshot and entries from the disk.
+// recover restores the snapshot and the entries from disk.
 func (r *Replica) recover(recovered Recovered) error {
 	base := newConfiguration(0, slices.Clone(r.options.InitialMembers))
 	if snapshot := recovered.Snapshot; snapshot != nil {
@@ -119,7 +120,7 @@
 	}
 	r.log.append(entries...)
 	if r.log.lastTerm() > r.hardState.Term {
-		return trace.BadParameter("the hard state of term %d is older than the log's term %d",
+		return trace.BadParameter("the recovered hard state has term %d, but the last log entry has the later term %d",
 			r.hardState.Term, r.log.lastTerm())
 	}
 	configurations, err := configurationHistory{base}.extend(entries)
@@ -127,22 +128,22 @@
 	return err
 }
 
-// checkSequence returns an error unless entries follow each other without a gap from the one after index on, and no term
-// is lower than the one before.
+// checkSequence returns an error unless the entries continue the log after index without gaps and their terms never
+// decrease.
 func checkSequence(index, term uint64, entries []Entry) error {
 	for i := range entries {
 		if entries[i].Index != index+1 {
-			return trace.BadParameter("entry %d follows entry %d", entries[i].Index, index)
+			return trace.BadParameter("entry %d directly follows entry %d; indexes must have no gaps", entries[i].Index, index)
 		}
 		if entries[i].Term < term {
-			return trace.BadParameter("entry %d of term %d follows term %d", entries[i].Index, entries[i].Term, term)
+			return trace.BadParameter("entry %d has term %d, lower than term %d of the entry before it", entries[i].Index, entries[i].Term, term)
 		}
 		index, term = entries[i].Index, entries[i].Term
 	}
 	return nil
 }
 
-// Step takes in all that has happened up to now, and returns what must be done. The time must never go back.
+// Step processes all events since the last Step and returns what the caller must do. The time must never go back.
 func (r *Replica) Step(now time.Duration, input Input) Ready {
 	r.beginStep(now)
 	r.compact(input.Compact)
@@ -172,7 +173,8 @@
 	r.step = stepState{stable: last, stableLast: last}
 }
 
-// handleMessage handles one message. Those meant for another identity are dropped: an address may have changed hands.
+// handleMessage handles one message. It drops a message for another identity, since another process may have had this
+// address before.
 func (r *Replica) handleMessage(message *Message) {
 	if message.To != r.options.ID || message.From == r.options.ID {
 		return
@@ -193,7 +195,7 @@
 	}
 }
 
-// tick acts on the timers that are due.
+// tick acts on expired timers.
 func (r *Replica) tick() {
 	r.expireIncomingSnapshot()
 	if r.role == leader {
@@ -206,12 +208,13 @@
 	switch {
 	case r.isPromotable():
 		r.campaignPreVote()
-	case r.isOutside():
-		r.inquire()
+	case r.isKnownNonMember():
+		r.checkMembership()
 	}
 }
 
-// takeReady completes the Ready of a Step. If term or vote change, no message may leave before they are on disk.
+// takeReady completes the Ready of a Step. If the term or the vote has changed, no message may be sent before they are on
+// disk.
 func (r *Replica) takeReady() Ready {
 	r.flushAppendResponse()
 	ready := &r.step.ready
@@ -237,7 +240,7 @@
 	return taken
 }
 
-// nextDeadline is when the next timer is due.
+// nextDeadline returns when the next timer expires.
 func (r *Replica) nextDeadline() time.Duration {
 	if r.role == leader {
 		if r.commitsOnLocalSync() {
@@ -246,7 +249,7 @@
 		return r.leadership.heartbeatDeadline
 	}
 	wake := r.now + maxIdle
-	if r.isPromotable() || r.isOutside() {
+	if r.isPromotable() || r.isKnownNonMember() {
 		wake = r.electionDeadline
 	}
 	if r.IsReceivingSnapshot() {
@@ -255,8 +258,8 @@
 	return wake
 }
 
-// appendEntries adds entries to the log. A configuration among them is in force at once, committed or not (thesis section
-// 4.1).
+// appendEntries appends entries to the log. A configuration among them takes effect at once, committed or not (thesis
+// section 4.1).
 func (r *Replica) appendEntries(entries []Entry) error {
 	configurations, err := r.configurations.extend(entries)
 	if err != nil {
@@ -267,14 +270,14 @@
 	return nil
 }
 
-// truncate drops the entries from index on, and the configurations among them.
+// truncate drops the entries from index on, and the configurations that they introduced.
 func (r *Replica) truncate(index uint64) {
 	r.log.truncate(index)
 	r.step.stable = min(r.step.stable, index-1)
 	r.configurations = r.configurations.truncate(index)
 }
 
-// commitTo records that the entries up to index are committed. The commit index never goes back.
+// commitTo records that the entries up to index are committed. The commit index never decreases.
 func (r *Replica) commitTo(index uint64) {
 	if index <= r.commit {
 		return
@@ -285,15 +288,14 @@
 	}
 }
 
-// sendAfterSync sends a message once what this Step changes is on disk.
+// sendAfterSync queues a message that must not be sent before the changes of this Step are on disk.
 func (r *Replica) sendAfterSync(message Message) {
 	message.From, message.Address = r.options.ID, r.options.Address
 	r.step.ready.MessagesAfterSync = append(r.step.ready.MessagesAfterSync, message)
 }
 
-// sendBeforeSync sends a message that does not wait for the local sync: what a leader sends its followers may reach their
-// disks before its own (thesis section 10.2.1). A chunk of a snapshot does not count as a heartbeat, since the follower may
-// drop it.
+// sendBeforeSync queues a message that need not wait for the local sync: a leader's entries may reach the followers' disks
+// before its own (thesis section 10.2.1). A snapshot chunk does not replace a heartbeat, since the follower may drop it.
 func (r *Replica) sendBeforeSync(p *progress, message Message) {
 	message.From, message.Address = r.options.ID, r.options.Address
 	if message.Kind == AppendEntries {
--- a/internal/tier/replica/raft_test.go
+++ b/internal/tier/replica/raft_test.go
@@ -15,7 +15,7 @@
 		{name: "empty"},
 		{name: "complete", recovered: diskOf(2, 1, 2)},
 		{name: "a gap", recovered: Recovered{Entries: []Entry{{Index: 2}}}, rejected: true},
-		{name: "terms go back", recovered: diskOf(2, 2, 1), rejected: true},
+		{name: "a term lower than the one before", recovered: diskOf(2, 2, 1), rejected: true},
 		{name: "hard state lost", recovered: diskOf(1, 1, 2), rejected: true},
 		{name: "hard state lost beside a snapshot", recovered: Recovered{Snapshot: snapshot}, rejected: true},
 		{
@@ -40,7 +40,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			_, err := New(options, tc.recovered, 0)
 			if rejected := err != nil; rejected != tc.rejected {
-				t.Errorf("error %v", err)
+				t.Errorf("wrong result: error %v", err)
 			}
 		})
 	}
@@ -54,7 +54,7 @@
 	}
 	for _, options := range cases {
 		if _, err := New(options, Recovered{}, 0); err == nil {
-			t.Errorf("%+v is accepted", options)
+			t.Errorf("invalid options %+v are accepted", options)
 		}
 	}
 }
--- a/internal/tier/replica/random.go
+++ b/internal/tier/replica/random.go
@@ -2,17 +2,17 @@
 
 import "hash/fnv"
 
-// randomSource is a small generator of the splitmix kind. It is a plain value, so that a copy goes on in the same way.
+// randomSource is a SplitMix64 pseudorandom generator. It is a plain value, so that a copy continues the same sequence.
 type randomSource uint64
 
-// newRandomSource mixes the identity in, so that members with one seed draw different numbers.
+// newRandomSource combines the seed with the identity, so that members with the same seed draw different numbers.
 func newRandomSource(seed uint64, id string) randomSource {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(id))
 	return randomSource(seed ^ hash.Sum64())
 }
 
-// uint64N draws a number from 0 to limit-1.
+// uint64N returns a number from 0 to limit-1.
 func (s *randomSource) uint64N(limit uint64) uint64 {
 	*s += 0x9e3779b97f4a7c15
 	mixed := uint64(*s)
--- a/internal/tier/replica/read_only.go
+++ b/internal/tier/replica/read_only.go
@@ -1,14 +1,14 @@
 package replica
 
-// pendingRead waits for a majority to respond to heartbeats with its context or a newer one.
+// pendingRead is a read that waits until a majority has responded to heartbeats with its context or a newer one.
 type pendingRead struct {
 	context uint64
 	token   uint64
 }
 
-// read gives all reads of a Step one context, which goes out with heartbeats (ReadIndex, thesis section 6.4). Once a majority
-// has responded to it, no other member led when the reads came in, so that this member's commit index covers all that was
-// acknowledged before them.
+// read assigns all reads of a Step one context, which is sent with heartbeats (ReadIndex, thesis section 6.4). Once a
+// majority has responded to it, no other member can have been the leader when the reads arrived, so this member's commit
+// index covers everything that was acknowledged before them.
 func (r *Replica) read(tokens []uint64) {
 	if len(tokens) == 0 {
 		return
@@ -25,8 +25,8 @@
 	}
 }
 
-// confirmReads resolves the reads whose context a majority has responded to. None is resolved before an entry of the own
-// term is committed.
+// confirmReads resolves the reads whose context a majority has responded to. No read is resolved before an entry of the
+// current term is committed.
 func (r *Replica) confirmReads() {
 	reads := r.leadership.pendingReads
 	if len(reads) == 0 || !r.hasCommittedInTerm() {
--- a/internal/tier/replica/read_only_test.go
+++ b/internal/tier/replica/read_only_test.go
@@ -11,15 +11,15 @@
 	p := newManualLeader(t, "a", "b", "c")
 	ready := p.step(Input{Reads: []uint64{7, 8}})
 	if len(ready.Outcomes) != 0 || len(ready.MessagesBeforeSync) != 2 {
-		t.Fatalf("ready %+v", ready)
+		t.Fatalf("ready %+v, want two heartbeats and no outcome", ready)
 	}
 	context := ready.MessagesBeforeSync[0].ReadContext
 	late := Message{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 1, ReadContext: context - 1}
 	if ready = p.step(Input{Messages: []Message{late}}); len(ready.Outcomes) != 0 {
-		t.Errorf("an earlier context confirms: %+v", ready.Outcomes)
+		t.Errorf("a response with an earlier context confirms reads: %+v", ready.Outcomes)
 	}
-	answer := Message{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 1, ReadContext: context}
-	ready = p.step(Input{Messages: []Message{answer}})
+	response := Message{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 1, ReadContext: context}
+	ready = p.step(Input{Messages: []Message{response}})
 	want := []Outcome{{Token: 7, Done: true}, {Token: 8, Done: true}}
 	if difference := cmp.Diff(want, ready.Outcomes); difference != "" {
 		t.Errorf("outcomes (-want +got):\n%s", difference)
@@ -56,23 +56,23 @@
 	sim.runUntil(time.Second, func() bool { return sim.anyLeader() != nil })
 	first := sim.anyLeader()
 	if first.replica.hasCommittedInTerm() {
-		t.Fatal("an entry of the term is committed already")
+		t.Fatal("an entry of the current term is already committed")
 	}
 	sim.drop = func(m Message) bool { return m.Kind == AppendEntriesResponse && !m.Reject && m.Index > 0 }
 	sim.read(first)
 	sim.runFor(testElection / 2)
 	if sim.checker.reads != 0 {
-		t.Error("a read is confirmed before an entry of the term is committed")
+		t.Error("a read is confirmed before an entry of the current term is committed")
 	}
 	sim.drop = nil
 	sim.runFor(2 * testHeartbeat)
 	if sim.checker.reads != 1 {
-		t.Errorf("%d reads are confirmed", sim.checker.reads)
+		t.Errorf("%d reads are confirmed, want 1", sim.checker.reads)
 	}
 	sim.requireSafe(t)
 }
 
-// anyLeader is a node that leads, whether an entry of its term is committed or not.
+// anyLeader returns a node that leads, even if no entry of its term is committed yet.
 func (s *simulation) anyLeader() *node {
 	for _, n := range s.nodes {
 		if n.alive && n.replica.role == leader {
@@ -100,13 +100,13 @@
 	sim.freeze(first)
 	sim.runFor(3 * testElection)
 	if !sim.commitsWithin(time.Second) {
-		t.Fatal("the others have no leader")
+		t.Fatal("the other members commit nothing while the leader is frozen")
 	}
 	sim.read(first)
 	sim.thaw(first)
 	sim.runFor(testElection)
 	if sim.checker.reads != 0 {
-		t.Error("a leader that was frozen confirms a read")
+		t.Error("a leader that was frozen confirms a read after it was replaced")
 	}
 	sim.requireSafe(t)
 }
@@ -119,6 +119,6 @@
 	sim.drop = nil
 	sim.runFor(2 * testHeartbeat)
 	if sim.checker.reads != 1 {
-		t.Errorf("%d reads are confirmed", sim.checker.reads)
+		t.Errorf("%d reads are confirmed, want 1", sim.checker.reads)
 	}
 }
--- a/internal/tier/replica/replication.go
+++ b/internal/tier/replica/replication.go
@@ -1,6 +1,6 @@
 package replica
 
-// replicate sends each follower what it lacks, and heartbeats when they are due.
+// replicate sends each follower the entries or snapshot chunks that it lacks, and heartbeats when they are due.
 func (r *Replica) replicate() {
 	heartbeatDue := r.now >= r.leadership.heartbeatDeadline
 	if heartbeatDue {
@@ -11,8 +11,8 @@
 			r.probeInactive(p)
 		}
 		r.sendEntries(p)
-		confirm := !p.learner && p.sentReadContext < r.leadership.readContext
-		if confirm || heartbeatDue && !p.sentSinceHeartbeat {
+		mustConfirmRead := !p.learner && p.sentReadContext < r.leadership.readContext
+		if mustConfirmRead || heartbeatDue && !p.sentSinceHeartbeat {
 			r.sendHeartbeat(p)
 		}
 		if heartbeatDue {
@@ -21,7 +21,7 @@
 	}
 }
 
-// probeInactive sends no more entries to a follower that does not respond, until it does.
+// probeInactive stops sending entries to a follower that does not respond, until it responds again.
 func (r *Replica) probeInactive(p *progress) {
 	if p.state == stateReplicate && !r.isActive(p) {
 		p.becomeProbe(p.match + 1)
@@ -29,7 +29,7 @@
 	}
 }
 
-// sendEntries sends as much of the log as the follower may have in flight.
+// sendEntries sends the follower as many entries or snapshot chunks as may be in flight.
 func (r *Replica) sendEntries(p *progress) {
 	switch p.state {
 	case stateProbe:
@@ -45,7 +45,7 @@
 	}
 }
 
-// sendAppend sends the next entries, or a snapshot if they are no longer in the log.
+// sendAppend sends the next entries, or switches to a snapshot if they are no longer in the log.
 func (r *Replica) sendAppend(p *progress) {
 	if p.next <= r.log.offset {
 		r.becomeSnapshot(p)
@@ -63,7 +63,7 @@
 	p.inflightBytes += size
 }
 
-// sendHeartbeat sends an append without entries. It also shows whether the entries before it have arrived.
+// sendHeartbeat sends an append without entries. The response shows whether the entries before it have arrived.
 func (r *Replica) sendHeartbeat(p *progress) {
 	if p.state != stateSnapshot && p.next <= r.log.offset {
 		r.becomeSnapshot(p)
@@ -75,7 +75,7 @@
 	r.sendBeforeSync(p, r.newAppendEntries(p, previous, nil))
 }
 
-// newAppendEntries is an append with the entries after previous.
+// newAppendEntries creates an append of entries, which follow the entry at previous.
 func (r *Replica) newAppendEntries(p *progress, previous uint64, entries []Entry) Message {
 	term, _ := r.log.termAt(previous)
 	return Message{
@@ -113,8 +113,8 @@
 	}
 }
 
-// handleAppendRejection goes back to where the follower's log may agree with the leader's. Rejections that were overtaken
-// by an acknowledgement or by another probe are ignored.
+// handleAppendRejection moves back to where the follower's log may match the leader's. It ignores outdated rejections, after
+// an acknowledgement or a later probe.
 func (r *Replica) handleAppendRejection(p *progress, response *Message) {
 	outdated := response.Index <= p.match || p.state == stateSnapshot || p.state == stateProbe && response.Index != p.next-1
 	if outdated {
--- a/internal/tier/replica/replication_test.go
+++ b/internal/tier/replica/replication_test.go
@@ -52,12 +52,12 @@
 	ready := p.acknowledge("b", 101)
 	for _, indexes := range appendsTo(ready.MessagesBeforeSync, "b") {
 		if len(indexes)*size > defaultLimits.maxMessageBytes {
-			t.Errorf("a message of %d entries", len(indexes))
+			t.Errorf("a message has %d entries, more than maxMessageBytes allows", len(indexes))
 		}
 	}
 	large := p.step(Input{Proposals: []Proposal{command(999, 2*defaultLimits.maxMessageBytes)}})
 	if len(large.Entries) != 1 || large.Entries[0].Index != 302 {
-		t.Errorf("a large entry is not taken: %d", len(large.Entries))
+		t.Errorf("a single entry larger than a message is not appended: %d entries", len(large.Entries))
 	}
 }
 
@@ -82,14 +82,14 @@
 	}
 	sim.startAll()
 	if !sim.commitsWithin(time.Second) {
-		t.Fatal("nothing is committed")
+		t.Fatal("no command is committed")
 	}
 	sim.runFor(4 * testHeartbeat)
 	if got := sim.nodes[1].machine.Index; got < 600 {
-		t.Errorf("the member with the other log has applied %d entries", got)
+		t.Errorf("the member with the conflicting log has applied %d entries, want at least 600", got)
 	}
 	if rejections > 4 {
-		t.Errorf("%d rejections", rejections)
+		t.Errorf("%d rejections, want at most 4", rejections)
 	}
 	sim.requireSafe(t)
 }
@@ -102,7 +102,7 @@
 	sim.drop = nil
 	sim.runFor(2 * testHeartbeat)
 	if sim.checker.commands != 1 {
-		t.Errorf("%d commands are done", sim.checker.commands)
+		t.Errorf("%d commands are acknowledged, want 1", sim.checker.commands)
 	}
 	sim.requireSafe(t)
 }
@@ -124,12 +124,12 @@
 		sim.runFor(testHeartbeat / 10)
 	}
 	if entries > 0 {
-		t.Errorf("%d entries were sent", entries)
+		t.Errorf("%d entries were sent to an inactive follower", entries)
 	}
 	sim.start(inactive)
 	sim.runFor(4 * testHeartbeat)
 	if got := inactive.machine.Index; got < 100 {
-		t.Errorf("it has applied only %d entries", got)
+		t.Errorf("after its restart the follower has applied only %d entries, want at least 100", got)
 	}
 	sim.requireSafe(t)
 }
--- a/internal/tier/replica/simulation_asserts_test.go
+++ b/internal/tier/replica/simulation_asserts_test.go
@@ -20,7 +20,7 @@
 	return sim, sim.leader()
 }
 
-// requireSafe fails the test if the checker has seen a violation.
+// requireSafe fails the test if the checker has found a violation.
 func (s *simulation) requireSafe(t *testing.T) {
 	t.Helper()
 	if s.checker.violation != "" {
@@ -28,7 +28,7 @@
 	}
 }
 
-// commitsWithin proposes a command at the leader of the moment until one is acknowledged.
+// commitsWithin proposes commands to the current leader until one is acknowledged. It returns false on timeout.
 func (s *simulation) commitsWithin(within time.Duration) bool {
 	end := s.now + within
 	done := s.checker.commands
@@ -44,7 +44,7 @@
 	return false
 }
 
-// others are the living nodes but one.
+// others returns all running nodes except one.
 func (s *simulation) others(not *node) []*node {
 	var others []*node
 	for _, n := range s.nodes {
@@ -57,12 +57,12 @@
 
 var anyOrder = cmpopts.SortSlices(func(a, b Member) bool { return a.ID < b.ID })
 
-// requireMembers waits until the committed group is the one given.
+// requireMembers waits until the committed members are the given ones.
 func (s *simulation) requireMembers(t *testing.T, within time.Duration, want []Member) {
 	t.Helper()
 	s.runUntil(s.now+within, func() bool { return cmp.Equal(s.checker.members, want, anyOrder) })
 	if difference := cmp.Diff(want, s.checker.members, anyOrder); difference != "" {
-		t.Fatalf("group after %v (-want +got):\n%s", within, difference)
+		t.Fatalf("committed members after %v (-want +got):\n%s", within, difference)
 	}
 	s.requireSafe(t)
 }
--- a/internal/tier/replica/simulation_node_test.go
+++ b/internal/tier/replica/simulation_node_test.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// node is one machine: its disk outlasts its process.
+// node is a simulated machine. Its disk survives its process.
 type node struct {
 	slot              int
 	id                string
-	rate              float64       // of its clock
-	clockAtRateChange time.Duration // what its clock showed when the rate was set
-	rateChangedAt     time.Duration // when that was
+	clockRate         float64       // speed of its clock; 1 is exact
+	clockAtRateChange time.Duration // reading of its clock when clockRate was set
+	rateChangedAt     time.Duration // simulation time at which clockRate was set
 	initial           []Member
 	disk              Recovered
-	chunks            [][]byte // of a snapshot that is being received: written and not synced
+	chunks            [][]byte // received chunks of an incomplete snapshot, written but not synced
 	replica           *Replica
 	machine           machine
 	alive             bool
 	frozen            bool
-	syncing           bool // a sync is under way
+	syncing           bool // a sync is in progress
 	ready             Ready
 	inbox             Input
 	wakeAt            time.Duration
-	incarnation       int // counts processes, so that events of an earlier one are void
+	incarnation       int // counts process starts and ends, so that events of an earlier process are ignored
 }
 
 // machine is the state machine: a checksum over all commands up to an index.
@@ -35,10 +35,10 @@
 
 func (m *machine) apply(entry Entry) {
 	m.Index = entry.Index
-	m.Checksum = fold(m.Checksum, entry)
+	m.Checksum = updateChecksum(m.Checksum, entry)
 }
 
-func fold(checksum uint64, entry Entry) uint64 {
+func updateChecksum(checksum uint64, entry Entry) uint64 {
 	if entry.Kind != Command {
 		return checksum
 	}
@@ -48,14 +48,14 @@
 	return checksum * 31
 }
 
-// identify gives a node a new identity, as on an empty disk.
-func (s *simulation) identify(node *node) {
-	s.identities++
-	node.id = fmt.Sprintf("m%d", s.identities)
+// assignIdentity gives a node a new identity, as for an empty disk.
+func (s *simulation) assignIdentity(node *node) {
+	s.lastIdentity++
+	node.id = fmt.Sprintf("m%d", s.lastIdentity)
 	s.slotOf[node.id] = node.slot
 }
 
-// start starts a node's process on its disk.
+// start starts a node's process from its disk.
 func (s *simulation) start(node *node) {
 	options := Options{
 		ID:                     node.id,
@@ -85,7 +85,7 @@
 	s.step(node)
 }
 
-// kill ends a process. Of the writes that are not synced, a prefix may last.
+// kill ends a process. A prefix of the writes that are not synced may survive.
 func (s *simulation) kill(node *node) {
 	if !node.alive {
 		return
@@ -96,18 +96,18 @@
 	node.alive, node.syncing = false, false
 	node.replica, node.chunks = nil, nil
 	node.incarnation++
-	s.checker.forget(node.id)
+	s.checker.dropPending(node.id)
 }
 
-// wipe ends a process and empties its disk; it comes back with a new identity and no group.
+// wipe ends a process and empties its disk. The node gets a new identity and no initial members.
 func (s *simulation) wipe(node *node) {
 	s.kill(node)
 	node.disk = Recovered{}
 	node.initial = nil
-	s.identify(node)
+	s.assignIdentity(node)
 }
 
-// wake gives a node a step as soon as it is free.
+// wake schedules a step for a node that can take one. A syncing node takes its step when the sync completes.
 func (s *simulation) wake(node *node) {
 	if node.alive && !node.frozen && !node.syncing {
 		incarnation := node.incarnation
@@ -124,7 +124,8 @@
 	return len(in.Messages)+len(in.Proposals)+len(in.Reads) > 0 || in.TargetMembers != nil || in.Contacts != nil || in.Compact != nil || in.TransferLeadership
 }
 
-// step hands a node all that has come in. What must not wait leaves at once, the rest after the sync.
+// step passes all pending input to a node's member. Messages that need not wait for the sync are sent at once, the rest
+// afterwards.
 func (s *simulation) step(node *node) {
 	input := node.inbox
 	node.inbox = Input{}
@@ -157,7 +158,7 @@
 	})
 }
 
-// complete does what comes after the sync.
+// complete carries out the rest of a Ready once its writes are synced.
 func (s *simulation) complete(node *node) {
 	ready := node.ready
 	node.syncing = false
@@ -191,19 +192,19 @@
 	s.setTimer(node, ready.NextWake)
 }
 
-// clock is what a node's own clock shows.
+// clock returns the reading of a node's own clock.
 func (s *simulation) clock(node *node) time.Duration {
-	return node.clockAtRateChange + time.Duration(float64(s.now-node.rateChangedAt)*node.rate)
+	return node.clockAtRateChange + time.Duration(float64(s.now-node.rateChangedAt)*node.clockRate)
 }
 
-// setRate makes a node's clock slower or faster from now on.
-func (s *simulation) setRate(n *node, rate float64) {
-	n.clockAtRateChange, n.rateChangedAt, n.rate = s.clock(n), s.now, rate
+// setClockRate sets the speed of a node's clock from now on.
+func (s *simulation) setClockRate(n *node, rate float64) {
+	n.clockAtRateChange, n.rateChangedAt, n.clockRate = s.clock(n), s.now, rate
 }
 
-// setTimer gives a node a step at a time of its own clock.
+// setTimer schedules a step at a time of the node's own clock.
 func (s *simulation) setTimer(n *node, wake time.Duration) {
-	at := n.rateChangedAt + time.Duration(float64(wake-n.clockAtRateChange)/n.rate) + 1
+	at := n.rateChangedAt + time.Duration(float64(wake-n.clockAtRateChange)/n.clockRate) + 1
 	n.wakeAt = at
 	incarnation := n.incarnation
 	s.after(max(0, at-s.now), func() {
@@ -213,10 +214,10 @@
 	})
 }
 
-// freeze stops a process without ending it; what is sent to it waits.
+// freeze suspends a process. Messages to it are queued.
 func (s *simulation) freeze(node *node) { node.frozen = true }
 
-// thaw lets a frozen process go on.
+// thaw resumes a frozen process.
 func (s *simulation) thaw(node *node) {
 	if !node.frozen {
 		return
--- a/internal/tier/replica/simulation_test.go
+++ b/internal/tier/replica/simulation_test.go
@@ -13,41 +13,41 @@
 	testElection  = 80 * time.Millisecond
 )
 
-// conditions are what links and disks of a simulated group are like.
+// conditions describe the links and disks of a simulated group.
 type conditions struct {
 	loss, duplicate float64
-	delay, jitter   time.Duration // of a message
-	straggler       float64       // share of messages that take up to stragglerDelay
+	delay, jitter   time.Duration // of a message; jitter is added at random
+	straggler       float64       // probability that a message is delayed by up to stragglerDelay more
 	stragglerDelay  time.Duration
-	syncTime        time.Duration // at most
+	syncTime        time.Duration // maximum
 }
 
 var noFaults = conditions{delay: time.Millisecond, syncTime: time.Millisecond}
 
-// simulation is a group in virtual time. The same seed gives the same run.
+// simulation is a group in simulated time. The same seed gives the same run.
 type simulation struct {
 	random                 *rand.Rand
 	conditions             conditions
-	limits                 *limits       // nil: the usual ones
-	initialElectionTimeout time.Duration // of the members' options
+	limits                 *limits       // nil: defaultLimits
+	initialElectionTimeout time.Duration // set in the members' options
 	now                    time.Duration
 	sequence               int
 	queue                  eventQueue
 	nodes                  []*node
-	slotOf                 map[string]int // where an identity lives or lived
+	slotOf                 map[string]int // node of each identity, including earlier ones
 	partitioned            map[[2]int]bool
 	targetMembers          []Member
 	checker                *checker
-	tokens                 uint64
-	identities             int
+	lastToken              uint64
+	lastIdentity           int
 	delivered              int
 	messages               map[MessageKind]int
-	drop                   func(Message) bool // nil: nothing is dropped on purpose
+	drop                   func(Message) bool // selects messages to drop; nil: none
 	onOutcome              func(*node, Outcome)
-	onSync                 func(*node) // before a step's saves are synced
+	onSync                 func(*node) // called when a sync begins
 }
 
-// newSimulation starts a group with the members, and spares that belong to no group yet.
+// newSimulation creates nodes for the initial members of a group, and spares that belong to no group. No node is started.
 func newSimulation(seed uint64, members, spares int, with conditions) *simulation {
 	s := &simulation{
 		random:      rand.New(rand.NewPCG(seed, 7)),
@@ -58,9 +58,9 @@
 	}
 	var initial []Member
 	for slot := range members + spares {
-		n := &node{slot: slot, rate: 1}
+		n := &node{slot: slot, clockRate: 1}
 		s.nodes = append(s.nodes, n)
-		s.identify(n)
+		s.assignIdentity(n)
 		if slot < members {
 			initial = append(initial, Member{ID: n.id, Address: address(slot)})
 		}
@@ -81,7 +81,7 @@
 	}
 }
 
-// setTargetMembers sets the target of all members.
+// setTargetMembers sets the target members on all running nodes, and for nodes that start later.
 func (s *simulation) setTargetMembers(target []Member) {
 	s.targetMembers = target
 	for _, n := range s.nodes {
@@ -97,12 +97,12 @@
 	heap.Push(&s.queue, &event{at: s.now + delay, sequence: s.sequence, run: run})
 }
 
-// runFor plays the events of a span.
+// runFor runs the events of a period.
 func (s *simulation) runFor(span time.Duration) {
 	s.runUntil(s.now+span, func() bool { return false })
 }
 
-// runUntil plays events until the condition holds or the time is over, and tells whether it holds.
+// runUntil runs events until the condition holds or the end time is reached, and reports whether the condition holds.
 func (s *simulation) runUntil(end time.Duration, condition func() bool) bool {
 	for len(s.queue) > 0 && s.queue[0].at <= end && s.checker.violation == "" {
 		if condition() {
@@ -116,7 +116,7 @@
 	return condition()
 }
 
-// send brings messages on their way.
+// send sends messages over the simulated links.
 func (s *simulation) send(from *node, messages []Message) {
 	for i := range messages {
 		message := messages[i]
@@ -155,7 +155,7 @@
 	})
 }
 
-// isolate cuts a node off from all others, in both directions.
+// isolate disconnects a node from all others, in both directions.
 func (s *simulation) isolate(n *node) {
 	for _, other := range s.nodes {
 		s.partitioned[[2]int{n.slot, other.slot}] = true
@@ -163,13 +163,13 @@
 	}
 }
 
-// heal joins all nodes again.
+// heal reconnects all nodes.
 func (s *simulation) heal() { clear(s.partitioned) }
 
-// propose hands a new command to a node.
+// propose queues a new command at a node and returns its token.
 func (s *simulation) propose(n *node) uint64 {
-	s.tokens++
-	token := s.tokens
+	s.lastToken++
+	token := s.lastToken
 	data := strconv.AppendUint(nil, token, 10)
 	s.checker.invoked(n, token, false)
 	n.inbox.Proposals = append(n.inbox.Proposals, Proposal{Token: token, Data: data})
@@ -177,16 +177,16 @@
 	return token
 }
 
-// read asks a node for a confirmed read.
+// read queues a read at a node and returns its token.
 func (s *simulation) read(n *node) uint64 {
-	s.tokens++
-	s.checker.invoked(n, s.tokens, true)
-	n.inbox.Reads = append(n.inbox.Reads, s.tokens)
+	s.lastToken++
+	s.checker.invoked(n, s.lastToken, true)
+	n.inbox.Reads = append(n.inbox.Reads, s.lastToken)
 	s.wake(n)
-	return s.tokens
+	return s.lastToken
 }
 
-// compactNode takes a snapshot of a node's machine; its disk keeps the entries after it.
+// compactNode saves a snapshot of a node's state machine. Its disk then keeps only the entries after the snapshot.
 func (s *simulation) compactNode(n *node) {
 	if !n.alive || n.syncing || n.frozen {
 		return
@@ -197,7 +197,7 @@
 	}
 	snapshot.State, _ = json.Marshal(n.machine)
 	snapshot.Chunks = snapshotChunks
-	n.chunks = nil // the new one is written in their place
+	n.chunks = nil // the saved snapshot overwrites them
 	for len(n.disk.Entries) > 0 && n.disk.Entries[0].Index <= snapshot.Index {
 		n.disk.Entries = n.disk.Entries[1:]
 	}
@@ -206,7 +206,7 @@
 	s.wake(n)
 }
 
-// leader is the living node that believes itself the leader in the highest term, or nil.
+// leader returns the running node whose member leads in the highest term, or nil.
 func (s *simulation) leader() *node {
 	var best *node
 	for _, n := range s.nodes {
--- a/internal/tier/replica/snapshot_mutants_test.go
+++ b/internal/tier/replica/snapshot_mutants_test.go
@@ -6,19 +6,19 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// Tests that notice mistakes in the sending and receiving of snapshots.
+// Tests that detect mistakes in sending and receiving snapshots.
 const (
-	orderOfChunks     = "^TestExploration_OrdersOfSnapshotChunks_AreSafe$"
-	responsesToChunks = "^TestFollower_SnapshotChunks_AreTakenInOrder$"
-	chunksSent        = "^TestLeader_SnapshotChunks_AreSentAFewAhead$"
-	compactedMiddle   = "^TestCompaction_SnapshotIncoming_IsGivenUp$"
+	orderOfChunks           = "^TestExploration_OrdersOfSnapshotChunks_AreSafe$"
+	responsesToChunks       = "^TestFollower_SnapshotChunks_AreTakenInOrder$"
+	chunksSent              = "^TestLeader_SnapshotChunks_AreSentAFewAhead$"
+	compactionDuringReceive = "^TestCompaction_SnapshotIncoming_IsGivenUp$"
 )
 
 func TestSnapshotMutants_AreNoticed(t *testing.T) {
 	t.Parallel()
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name:   "a gap is taken over",
+			Name:   "chunks after a gap are accepted",
 			Change: mutation.Change{File: "snapshot_receiver.go", Old: "if message.Chunk != incoming.expectedChunk {", New: "if message.Chunk < incoming.expectedChunk {"},
 			Run:    orderOfChunks,
 		},
@@ -29,12 +29,12 @@
 			Run:    responsesToChunks,
 		},
 		{
-			Name:   "installed without the last chunk",
+			Name:   "a snapshot is installed without its last chunk",
 			Change: mutation.Change{File: "snapshot_receiver.go", Old: "if incoming.expectedChunk < incoming.snapshot.Chunks {", New: "if incoming.expectedChunk < incoming.snapshot.Chunks-1 {"},
 			Run:    orderOfChunks,
 		},
 		{
-			Name: "an incomplete snapshot counts as a match",
+			Name: "an incomplete snapshot is acknowledged",
 			Change: mutation.Change{
 				File: "snapshot_receiver.go",
 				Old:  "		r.requestChunk(message, incoming.expectedChunk, false)\n",
@@ -48,17 +48,17 @@
 			Run:    chunksSent,
 		},
 		{
-			Name:   "a chunk of an older snapshot ends the newer one",
+			Name:   "a chunk of an older snapshot replaces the newer one",
 			Change: mutation.Change{File: "snapshot_receiver.go", Old: "if r.incoming.isNewerThan(message) {", New: "if false {"},
 			Run:    responsesToChunks,
 		},
 		{
-			Name:   "a compaction keeps what was being received",
+			Name:   "a compaction does not abort the snapshot being received",
 			Change: mutation.Change{File: "compaction.go", Old: "	r.incoming = incomingSnapshot{}\n", New: ""},
-			Run:    compactedMiddle,
+			Run:    compactionDuringReceive,
 		},
 		{
-			Name:   "a stalled snapshot is never given up",
+			Name:   "a stalled snapshot is never aborted",
 			Change: mutation.Change{File: "snapshot_receiver.go", Old: "if r.IsReceivingSnapshot() && r.now >= r.incoming.deadline {", New: "if false {"},
 			Run:    "^TestFollower_SnapshotStalls_IsGivenUp$",
 		},
--- a/internal/tier/replica/snapshot_receiver.go
+++ b/internal/tier/replica/snapshot_receiver.go
@@ -2,49 +2,50 @@
 
 import "time"
 
-// incomingSnapshot is a snapshot that is being received. Nothing of it counts before it is complete: neither as a match nor
-// for a vote.
+// incomingSnapshot is a snapshot that is being received. It has no effect on the log, acknowledgements or votes before it is
+// complete.
 type incomingSnapshot struct {
-	from          string // identity of the leader that sends it; empty: none is being received
+	from          string // ID of the leader that sends it; empty: none is being received
 	term          uint64 // of that leader
 	snapshot      *Snapshot
-	expectedChunk int           // the chunk that is needed next
-	deadline      time.Duration // when it is given up unless another chunk has come
+	expectedChunk int           // number of the chunk that is needed next
+	deadline      time.Duration // when the transfer is aborted unless another chunk arrives
 }
 
-// matches tells whether a message brings a chunk of the snapshot that is being received.
+// matches reports whether a message carries a chunk of the snapshot that is being received.
 func (i *incomingSnapshot) matches(message *Message) bool {
 	return i.from == message.From && i.term == message.Term &&
 		i.snapshot.Index == message.Snapshot.Index && i.snapshot.Chunks == message.Snapshot.Chunks
 }
 
-// isNewerThan tells whether a message comes late, with a chunk of an older snapshot of the same leader.
+// isNewerThan reports whether a delayed message carries a chunk of an older snapshot from the same leader.
 func (i *incomingSnapshot) isNewerThan(message *Message) bool {
 	return i.from == message.From && i.term == message.Term && i.snapshot.Index > message.Snapshot.Index
 }
 
-// IsReceivingSnapshot tells whether chunks of a snapshot have been received and it is not complete yet.
+// IsReceivingSnapshot reports whether some but not all chunks of a snapshot have been received.
 func (r *Replica) IsReceivingSnapshot() bool { return r.incoming.from != "" }
 
-// expireIncomingSnapshot gives up a snapshot whose sender sends no more of it.
+// expireIncomingSnapshot aborts a snapshot transfer when no chunk has arrived before its deadline.
 func (r *Replica) expireIncomingSnapshot() {
 	if r.IsReceivingSnapshot() && r.now >= r.incoming.deadline {
 		r.incoming = incomingSnapshot{}
 	}
 }
 
-// GiveUpIncomingSnapshot drops a snapshot that is being received, since the place of its chunks on the disk is needed. The caller
-// must not do that between a Step and the end of its Ready. The leader is told with the next chunk, and starts over.
+// GiveUpIncomingSnapshot aborts the snapshot that is being received, because the caller needs its space on disk. The caller
+// must not do this between a Step and the completion of its Ready. The response to the next chunk makes the leader start
+// over.
 func (r *Replica) GiveUpIncomingSnapshot() { r.incoming = incomingSnapshot{} }
 
-// postponedSnapshot is a snapshot of which a chunk came while the caller had no capacity for it.
+// postponedSnapshot is a snapshot that the leader offered while the caller had no capacity to receive it.
 type postponedSnapshot struct {
-	from  string // identity of the leader that sent it; empty: none is postponed
+	from  string // ID of the leader that sent it; empty: none is postponed
 	term  uint64 // of that leader
-	index uint64 // last entry of the snapshot
+	index uint64 // last entry that the snapshot covers
 }
 
-// requestPostponedSnapshot asks the leader for a postponed snapshot, unless it isn't the leader any more.
+// requestPostponedSnapshot asks the leader for a postponed snapshot, unless the leader has changed.
 func (r *Replica) requestPostponedSnapshot() {
 	postponed := r.postponed
 	r.postponed = postponedSnapshot{}
@@ -54,8 +55,8 @@
 	r.sendAfterSync(Message{Kind: InstallSnapshotResponse, To: postponed.from, Term: postponed.term, Index: postponed.index, Reject: true})
 }
 
-// handleInstallSnapshot takes one chunk of a snapshot in. A message without a snapshot is one that the caller has no
-// capacity for: it only shows that the leader is there, and what it has.
+// handleInstallSnapshot receives one chunk of a snapshot. If the caller had no capacity and removed the snapshot from the
+// message, the message only shows that the leader is active and which snapshot it offers.
 func (r *Replica) handleInstallSnapshot(message *Message) {
 	snapshot := message.Snapshot
 	if !r.acceptLeader(message) {
@@ -76,12 +77,12 @@
 		return
 	}
 	if r.step.installedSnapshot != nil {
-		return // its chunks lie where the next one's would be written
+		return // new chunks would overwrite those of the snapshot that this Step installs
 	}
 	r.receiveChunk(message)
 }
 
-// receiveChunk takes the chunk that is needed, and tells the leader which one is needed then.
+// receiveChunk stores the chunk if it is the expected one, and tells the leader which one is needed next.
 func (r *Replica) receiveChunk(message *Message) {
 	if r.incoming.isNewerThan(message) {
 		return
@@ -110,7 +111,8 @@
 	r.acknowledge(message, message.Snapshot.Index)
 }
 
-// requestChunk tells the leader which chunk is needed next; with reject, that those before the one it has sent are missing.
+// requestChunk tells the leader which chunk is needed next. With reject, the chunks from that number up to the received one
+// are missing.
 func (r *Replica) requestChunk(message *Message, number int, reject bool) {
 	r.sendAfterSync(Message{
 		Kind: InstallSnapshotResponse, To: message.From, Term: message.Term, Index: message.Snapshot.Index,
@@ -118,7 +120,7 @@
 	})
 }
 
-// installSnapshot puts a snapshot in place of the log.
+// installSnapshot replaces the log with a snapshot.
 func (r *Replica) installSnapshot(snapshot *Snapshot) {
 	r.incoming = incomingSnapshot{}
 	r.snapshot = snapshot
--- a/internal/tier/replica/snapshot_retry_test.go
+++ b/internal/tier/replica/snapshot_retry_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestSnapshot_FirstChunkDropped_IsRetriedSoon has a member that takes no snapshot for a while, since its process receives others, and goes on
-// soon after.
+// TestSnapshot_FirstChunkDropped_IsRetriedSoon drops all chunks to a member for a while, as if its process were receiving
+// other snapshots. The transfer must begin soon after the process is free again.
 func TestSnapshot_FirstChunkDropped_IsRetriedSoon(t *testing.T) {
 	for seed := range uint64(6) {
 		s, _ := newCompactedGroup(t, 40+seed, 3, 1)
@@ -15,14 +15,14 @@
 		s.setTargetMembers(membersOf(s.nodes...))
 		s.runFor(7*testElection + time.Duration(seed)*7*time.Millisecond)
 
-		// When its process has a free slot, it has the complete snapshot soon.
+		// When the process is free, the member soon has the complete snapshot.
 		busy = false
 		began := s.now
 		if !s.runUntil(s.now+time.Second, func() bool { return s.nodes[3].machine.Index > 0 }) {
-			t.Fatal("it gets no snapshot")
+			t.Fatal("the member gets no snapshot")
 		}
 		if took := s.now - began; took > (firstChunkRetryHeartbeats+2)*testHeartbeat {
-			t.Errorf("seed %d: the snapshot is there %v later", seed, took)
+			t.Errorf("seed %d: the snapshot is installed only after %v", seed, took)
 		}
 		s.requireSafe(t)
 	}
--- a/internal/tier/replica/snapshot_sender.go
+++ b/internal/tier/replica/snapshot_sender.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// chunkRetryElectionTimeouts is the number of election timeouts without a response after which chunks of a snapshot are sent
+// chunkRetryElectionTimeouts is the number of election timeouts without an acknowledgement after which chunks are sent
 // again.
 const chunkRetryElectionTimeouts = 2
 
-// firstChunkRetryHeartbeats is the number of heartbeats after which the first chunk is sent again: where the follower's
-// process is receiving other snapshots it drops that chunk without a response, and must begin soon after those are complete.
+// firstChunkRetryHeartbeats is the number of heartbeat intervals after which the first chunk is sent again. A follower whose
+// process is receiving other snapshots drops that chunk without a response, and should start soon after those are complete.
 const firstChunkRetryHeartbeats = 2
 
-// snapshotTransfer is the sending of a snapshot, chunk by chunk, to one follower. After a lost chunk it goes back to that
-// one.
+// snapshotTransfer is the state of sending a snapshot to one follower in chunks. After a loss, sending resumes at the lost
+// chunk.
 type snapshotTransfer struct {
-	snapshot      *Snapshot     // nil: none has begun
-	expectedChunk int           // the chunk that the follower needs next, as far as is known
-	nextChunk     int           // the chunk to send next
-	retryAt       time.Duration // when chunks are sent again unless one is acknowledged before
-	rewound       bool          // chunks are being sent again since the last one was acknowledged
+	snapshot      *Snapshot     // nil: not started
+	expectedChunk int           // number of the chunk that the follower needs next, as far as known
+	nextChunk     int           // number of the chunk to send next
+	retryAt       time.Duration // when chunks are sent again unless one is acknowledged first
+	rewound       bool          // chunks have been sent again since the last acknowledgement
 	window        chunkWindow
 }
 
-// becomeSnapshot turns from entries to a snapshot.
+// becomeSnapshot switches from sending entries to sending a snapshot.
 func (r *Replica) becomeSnapshot(p *progress) {
 	p.state = stateSnapshot
 	p.clearInflights()
@@ -29,7 +29,7 @@
 	r.sendChunks(p)
 }
 
-// sendChunks sends chunks of the newest snapshot to a follower that responds, a few beyond those that it has acknowledged.
+// sendChunks sends chunks of the newest snapshot to an active follower, up to a window beyond the acknowledged ones.
 func (r *Replica) sendChunks(p *progress) {
 	if !r.isActive(p) {
 		return
@@ -45,7 +45,7 @@
 	}
 	window := t.window.size
 	if t.expectedChunk == 0 {
-		window = 1 // the follower may not be able to take it now
+		window = 1 // the follower may have no capacity for the snapshot now
 	}
 	for t.nextChunk < min(t.expectedChunk+window, t.snapshot.Chunks) {
 		r.sendBeforeSync(p, Message{
@@ -56,13 +56,13 @@
 	}
 }
 
-// rewind goes back to a chunk that the follower lacks.
+// rewind resumes sending at a chunk that the follower lacks.
 func (t *snapshotTransfer) rewind(chunk int) {
 	t.expectedChunk, t.nextChunk, t.rewound = chunk, chunk, true
 	t.window.lost()
 }
 
-// chunkRetryAt is when chunks are sent again unless one is acknowledged before.
+// chunkRetryAt returns when chunks are sent again unless one is acknowledged first.
 func (r *Replica) chunkRetryAt(t *snapshotTransfer) time.Duration {
 	if t.expectedChunk == 0 {
 		return r.now + firstChunkRetryHeartbeats*r.options.HeartbeatInterval
@@ -70,7 +70,8 @@
 	return r.now + chunkRetryElectionTimeouts*r.options.ElectionTimeout
 }
 
-// IsSendingSnapshot tells whether a snapshot is on its way to a member that takes it: the disk should keep it for a while.
+// IsSendingSnapshot reports whether an active follower is receiving the current snapshot. The caller should then delay
+// replacing that snapshot on disk.
 func (r *Replica) IsSendingSnapshot() bool {
 	if r.role != leader {
 		return false
@@ -83,8 +84,8 @@
 	return false
 }
 
-// handleInstallSnapshotResponse records which chunk a follower needs next. One that asks for the first chunk gets it at once, also
-// where that was sent before: it had no capacity for it.
+// handleInstallSnapshotResponse records which chunk a follower needs next. A rejection that asks for the first chunk is
+// always obeyed, even if that chunk is being sent again already: the follower had no capacity for it before.
 func (r *Replica) handleInstallSnapshotResponse(response *Message) {
 	if r.role != leader || response.Term != r.hardState.Term {
 		return
--- a/internal/tier/replica/snapshot_test.go
+++ b/internal/tier/replica/snapshot_test.go
@@ -7,7 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// newCompactedGroup starts a group whose first 200 entries only the snapshots hold, but for those kept as a tail.
+// newCompactedGroup starts a group that has compacted its first 200 entries, except for the trailing ones that each log
+// keeps.
 func newCompactedGroup(t *testing.T, seed uint64, members, spares int) (*simulation, *node) {
 	t.Helper()
 	sim, first := newGroupWithLeader(t, seed, members, spares)
@@ -20,7 +21,7 @@
 	}
 	sim.runFor(testHeartbeat)
 	if first.replica.log.offset == 0 {
-		t.Fatal("nothing was compacted")
+		t.Fatal("the leader's log was not compacted")
 	}
 	return sim, first
 }
@@ -34,7 +35,7 @@
 	s.requireMembers(t, time.Second, membersOf(s.nodes...))
 	s.runFor(2 * testHeartbeat)
 	if got := s.messages[InstallSnapshot]; got != snapshotChunks {
-		t.Errorf("%d chunks of snapshots were sent, want %d", got, snapshotChunks)
+		t.Errorf("%d snapshot chunks were sent, want %d", got, snapshotChunks)
 	}
 	if s.nodes[3].machine != first.machine {
 		t.Errorf("state %+v, want %+v", s.nodes[3].machine, first.machine)
@@ -54,7 +55,7 @@
 	s.setTargetMembers(membersOf(s.nodes...))
 	s.requireMembers(t, time.Second, membersOf(s.nodes...))
 	if lost != 1 {
-		t.Error("no snapshot was lost")
+		t.Error("no chunk was dropped")
 	}
 }
 
@@ -106,7 +107,7 @@
 	}
 	s.startAll()
 	if !s.commitsWithin(time.Second) {
-		t.Error("nothing is committed after the restart")
+		t.Error("no command is committed after the restart")
 	}
 	s.requireSafe(t)
 }
@@ -125,9 +126,9 @@
 		last    uint64
 	}{
 		{name: "far behind", log: []uint64{1}, sent: snapshot(9, 2), matched: 9, install: true, last: 9},
-		{name: "another log", log: []uint64{1, 1, 1, 1}, sent: snapshot(3, 2), matched: 3, install: true, last: 3},
-		{name: "has it all", log: []uint64{1, 2, 2, 2}, sent: snapshot(3, 2), matched: 3, last: 4},
-		{name: "committed more", log: []uint64{1, 2, 2, 2}, commit: 4, sent: snapshot(3, 2), matched: 4, last: 4},
+		{name: "a conflicting log", log: []uint64{1, 1, 1, 1}, sent: snapshot(3, 2), matched: 3, install: true, last: 3},
+		{name: "the log has the snapshot's last entry", log: []uint64{1, 2, 2, 2}, sent: snapshot(3, 2), matched: 3, last: 4},
+		{name: "more is committed than the snapshot covers", log: []uint64{1, 2, 2, 2}, commit: 4, sent: snapshot(3, 2), matched: 4, last: 4},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -142,13 +143,13 @@
 			ready := r.Step(0, Input{Messages: []Message{message}})
 			want := []Message{{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 2, Index: tc.matched}}
 			if difference := cmp.Diff(want, ready.MessagesAfterSync); difference != "" {
-				t.Errorf("answer (-want +got):\n%s", difference)
+				t.Errorf("response (-want +got):\n%s", difference)
 			}
 			if installed := ready.Snapshot != nil; installed != tc.install || r.Status().LastIndex != tc.last {
-				t.Errorf("installed %v, last %d", installed, r.Status().LastIndex)
+				t.Errorf("wrong result: installed %v, last index %d", installed, r.Status().LastIndex)
 			}
 			if ready.TruncateFrom != 0 || len(ready.Entries) != 0 {
-				t.Errorf("truncate %d, append %v", ready.TruncateFrom, ready.Entries)
+				t.Errorf("truncated from %d, appended %v, want neither", ready.TruncateFrom, ready.Entries)
 			}
 		})
 	}
@@ -168,19 +169,19 @@
 	ahead.Index = 151
 	p.step(Input{Compact: &ahead})
 	if got := p.r.log.offset; got != 0 {
-		t.Errorf("compacted to %d", got)
+		t.Errorf("the log is compacted to %d by a snapshot beyond the applied entries", got)
 	}
 	p.step(Input{Compact: &metadata})
 	if got, want := p.r.log.offset, metadata.Index-defaultLimits.trailingEntries; got != want {
-		t.Errorf("compacted to %d, want %d", got, want)
+		t.Errorf("the log is compacted to %d, want %d", got, want)
 	}
 	if got := p.r.Status().LastIndex; got != 201 {
-		t.Errorf("last %d", got)
+		t.Errorf("last index %d, want 201", got)
 	}
 }
 
 func TestCompaction_TrailingEntries_AreBoundedInBytes(t *testing.T) {
-	// Given a leader with 20 large commands, of which those that fit into what may be in flight are kept,
+	// A leader keeps as many trailing entries of the given size as may be in flight.
 	const size = 100 << 10
 	p := newManualLeader(t, "a", "b", "c")
 	for token := range uint64(20) {
@@ -192,7 +193,7 @@
 	if got, want := p.r.log.offset, uint64(21-defaultLimits.maxInflightBytes/size); got != want {
 		t.Errorf("the leader's log is compacted to %d, want %d", got, want)
 	}
-	// and a follower with the same, which keeps less.
+	// A follower keeps fewer of them.
 	r := newTestFollower(t, 2)
 	entries := make([]Entry, 20)
 	for i := range entries {
--- a/internal/tier/replica/status.go
+++ b/internal/tier/replica/status.go
@@ -9,17 +9,17 @@
 type Status struct {
 	ID                string
 	Term              uint64
-	Leader            string          // identity of the leader; empty: not known
-	IsLeader          bool            // this member leads, and has committed an entry of its own term
-	LeaderLastContact time.Duration   // when another member that leads was last heard, by the clock that Step is given
-	Members           []Member        // of the latest configuration in the log, committed or not; none: this member is in no group
-	Informant         string          // without Members: the member that lately told this one that it is in no group; empty: none
-	Commit            uint64          // last entry known to be committed
-	LastIndex         uint64          // last entry of the log
-	CaughtUp          map[string]bool // at the leader: identities of the members that have all but the newest entries
+	Leader            string          // ID of the leader; empty: unknown
+	IsLeader          bool            // this member leads and has committed an entry of its own term
+	LeaderLastContact time.Duration   // last contact from a leader other than this member, on the clock passed to Step
+	Members           []Member        // latest configuration in the log, committed or not; empty: this member is in no group
+	Informant         string          // if Members is empty: ID of the member that recently reported this; empty: none
+	Commit            uint64          // index of the last entry known to be committed
+	LastIndex         uint64          // index of the last entry in the log
+	CaughtUp          map[string]bool // on the leader: IDs of the members that have all but the newest entries
 }
 
-// OtherAddresses lists the addresses of the other members.
+// OtherAddresses returns the addresses of the other members.
 func (s *Status) OtherAddresses() []string {
 	var addresses []string
 	for i := range s.Members {
@@ -45,8 +45,8 @@
 	if r.isExcluded() {
 		status.Members = nil
 	}
-	if r.isOutside() {
-		status.Informant = r.informant()
+	if r.isKnownNonMember() {
+		status.Informant = r.exclusionReporter()
 	}
 	if r.role == leader {
 		status.Leader = r.options.ID
@@ -55,14 +55,14 @@
 	return status
 }
 
-// IsLeader tells whether this member leads and has committed an entry of its own term. Before that it may not know yet all
-// that was committed in earlier terms.
+// IsLeader reports whether this member leads and has committed an entry of its own term. Before that commit it may not know
+// all entries that were committed in earlier terms.
 func (r *Replica) IsLeader() bool {
 	return r.role == leader && r.hasCommittedInTerm()
 }
 
-// Address returns where the member of that identity is reached; empty when it is not known. A member that is being removed
-// is still looked up in the older configurations.
+// Address returns the address of the member with the given ID, or an empty string if it is unknown. Older configurations are
+// searched too, for members that are being removed.
 func (r *Replica) Address(id string) string {
 	for i := len(r.configurations) - 1; i >= 0; i-- {
 		if member := r.configurations[i].find(id); member != nil {
--- a/internal/tier/replica/transfer.go
+++ b/internal/tier/replica/transfer.go
@@ -1,7 +1,7 @@
 package replica
 
-// beginLeadershipTransfer stops taking proposals, so that the leadership can be handed over once the pending ones are
-// resolved.
+// beginLeadershipTransfer stops accepting proposals. The leadership is transferred once the pending proposals and reads are
+// resolved or the deadline has passed.
 func (r *Replica) beginLeadershipTransfer() {
 	if r.role != leader || r.leadership.transferring {
 		return
@@ -10,7 +10,7 @@
 	r.leadership.transferDeadline = r.now + r.options.ElectionTimeout
 }
 
-// isTransferReady tells whether a leader that is to hand over waits no longer.
+// isTransferReady reports whether a leadership transfer that has begun need not wait any longer.
 func (r *Replica) isTransferReady() bool {
 	if !r.leadership.transferring {
 		return false
@@ -18,13 +18,13 @@
 	return len(r.leadership.pendingProposals) == 0 && len(r.leadership.pendingReads) == 0 || r.now >= r.leadership.transferDeadline
 }
 
-// isRemoved tells whether it is committed that this leader has no vote any more.
+// isRemoved reports whether a committed configuration gives this leader no vote.
 func (r *Replica) isRemoved() bool {
 	latest := r.configurations.latest()
 	return latest.index <= r.commit && !latest.isVoter(r.options.ID) && r.hasCommittedInTerm()
 }
 
-// transferLeadership ends the leadership and asks the voter that has most of the log to campaign at once (thesis section
+// transferLeadership ends the leadership and asks the active voter with the longest log to campaign at once (thesis section
 // 3.10).
 func (r *Replica) transferLeadership() {
 	if target := r.transferTarget(); target != nil {
@@ -36,7 +36,7 @@
 	r.leader = leaderContact{}
 }
 
-// transferTarget is the active voter with the longest log, or nil.
+// transferTarget returns the active voter with the longest matching log, or nil.
 func (r *Replica) transferTarget() *progress {
 	var best *progress
 	for _, p := range r.leadership.followers {
@@ -50,7 +50,7 @@
 	return best
 }
 
-// entriesAfter are the entries after index that fit into one message.
+// entriesAfter returns the entries after index that fit into one message.
 func (r *Replica) entriesAfter(index uint64) []Entry {
 	entries, _ := r.log.batch(index+1, r.limits.maxMessageBytes)
 	return entries
