--- a/internal/tier/replica/campaign_faults_test.go
+++ b/internal/tier/replica/campaign_faults_test.go
@@ -179,8 +179,8 @@
 	c.replaceTargetMember(leaving, Member{ID: spare.id, Address: address(spare.slot)})
 }
 
-// change wants one :: replaceTargetMember replaces one target member with another. With an empty leaving, the joining member
-// is only added; if leaving is not a target member, nothing changes.
+// replaceTargetMember replaces one target member with another. With an empty leaving, the joining member is only added; if
+// leaving is not a target member, nothing changes.
 func (c *campaign) replaceTargetMember(leaving string, joining Member) {
 	remaining := slices.DeleteFunc(slices.Clone(c.targetMembers), func(m Member) bool { return m.ID == leaving })
 	if leaving != "" && len(remaining) == len(c.targetMembers) {
--- a/internal/tier/replica/campaign_test.go
+++ b/internal/tier/replica/campaign_test.go
@@ -105,8 +105,7 @@
 	c.wake(n)
 }
 
-// clients hands :: issueRequests sends proposals and reads to a member that considers itself the leader, sometimes to a
-// random one.
+// issueRequests sends proposals and reads to a member that considers itself the leader, sometimes to a random one.
 func (c *campaign) issueRequests() {
 	n := c.nodes[c.random.IntN(len(c.nodes))]
 	if claimed := c.claimedLeaders(); len(claimed) > 0 && c.random.IntN(5) > 0 {
--- a/internal/tier/replica/checker_test.go
+++ b/internal/tier/replica/checker_test.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// changed looks :: membersCommitted checks a committed configuration: it may change the vote of at most one member.
+// membersCommitted checks a committed configuration: it may change the vote of at most one member.
 func (c *checker) membersCommitted(entry Entry) {
 	var members []Member
 	if err := json.Unmarshal(entry.Data, &members); err != nil {
--- a/internal/tier/replica/confchange_test.go
+++ b/internal/tier/replica/confchange_test.go
@@ -95,7 +95,7 @@
 		group := newConfiguration(0, sim.checker.members)
 		maxVoters = max(maxVoters, group.voters)
 		if group.voters < 3 {
-			t.Fatalf("only %d voters", group.voters)
+			t.Fatalf("only %d voters during the change, want at least 3", group.voters)
 		}
 	}
 	if maxVoters != 4 {
--- a/internal/tier/replica/disk_test.go
+++ b/internal/tier/replica/disk_test.go
@@ -74,8 +74,8 @@
 }
 
 // receiveChunks appends received chunks to the earlier ones, and fills in the state of a snapshot that is installed. The
-// returned chunks are not synced and are lost in a crash. The returned text describes an error in the chunks, if any.
-func receiveChunks(incoming [][]byte, ready *Ready) (chunks [][]byte, wrong string) {
+// returned chunks are not synced and are lost in a crash. The returned text describes an error in the chunks, or is empty.
+func receiveChunks(incoming [][]byte, ready *Ready) (chunks [][]byte, problem string) {
 	chunks = incoming[:len(incoming):len(incoming)]
 	for _, chunk := range ready.ReceivedChunks {
 		if chunk.Number == 0 {
--- a/internal/tier/replica/election_test.go
+++ b/internal/tier/replica/election_test.go
@@ -34,7 +34,7 @@
 	sim.heal()
 	sim.runFor(2 * time.Second)
 	if sim.leader() != first || first.replica.Status().Term != term {
-		t.Errorf("the leader changed from %s in %d to %v", first.id, term, sim.leader())
+		t.Errorf("the leader changed from %s in term %d to %v", first.id, term, sim.leader())
 	}
 	if got := isolated.replica.Status(); got.Leader != first.id || got.Term != term {
 		t.Errorf("after the partition the member follows %q in term %d", got.Leader, got.Term)
@@ -51,7 +51,7 @@
 	}
 	sim.runFor(2 * time.Second)
 	if sim.leader() != first || first.replica.Status().Term != term {
-		t.Errorf("the leader changed from %s in %d to %v", first.id, term, sim.leader())
+		t.Errorf("the leader changed from %s in term %d to %v", first.id, term, sim.leader())
 	}
 	sim.requireSafe(t)
 }
@@ -132,10 +132,10 @@
 	second := Message{Kind: RequestVote, From: "c", To: "b", Term: 1}
 	ready := r.Step(0, Input{Messages: []Message{first, second}})
 	if ready.HardState == nil || *ready.HardState != (HardState{Term: 1, Vote: "a"}) {
-		t.Errorf("hard state %+v", ready.HardState)
+		t.Errorf("hard state %+v, want term 1 with a vote for a", ready.HardState)
 	}
 	if len(ready.MessagesBeforeSync) != 0 || len(ready.MessagesAfterSync) != 2 {
-		t.Fatalf("messages %+v and %+v", ready.MessagesBeforeSync, ready.MessagesAfterSync)
+		t.Fatalf("messages before the sync %+v and after it %+v, want none and two", ready.MessagesBeforeSync, ready.MessagesAfterSync)
 	}
 	if ready.MessagesAfterSync[0].Reject || !ready.MessagesAfterSync[1].Reject {
 		t.Errorf("responses %+v, want the first vote granted and the second rejected", ready.MessagesAfterSync)
@@ -169,7 +169,7 @@
 	}
 	for seed := range uint64(100) {
 		if got := wake("a", seed); got < testElection || got >= 2*testElection {
-			t.Errorf("seed %d: timeout %v", seed, got)
+			t.Errorf("seed %d: timeout %v, want at least one and less than two election timeouts", seed, got)
 		}
 	}
 }
--- a/internal/tier/replica/exclusion.go
+++ b/internal/tier/replica/exclusion.go
@@ -9,8 +9,8 @@
 // and reports no members. Like a member that was never in a group, it sends PreVote requests at intervals to check whether
 // it is still outside; Status names the member that last confirmed it.
 
-// exclusionReporterElectionTimeouts is the number of election timeouts for which the member that last reported the exclusion counts
-// as running. An excluded member asks again within two.
+// exclusionReporterElectionTimeouts is the number of election timeouts for which the member that last reported the exclusion
+// counts as running. An excluded member asks again within two.
 const exclusionReporterElectionTimeouts = 4
 
 // exclusion is what a member knows of its removal from the group.
@@ -60,8 +60,8 @@
 	return r.exclusion.at.Index > r.commit && !r.log.matchTerm(r.exclusion.at.Index, r.exclusion.at.Term)
 }
 
-// isKnownNonMember reports whether this member knows that it is in no group: either it was removed, or it has no configuration. A
-// member without a configuration counts only if it has contacts that it can ask.
+// isKnownNonMember reports whether this member knows that it is in no group: either it was removed, or it has no
+// configuration. A member without a configuration counts only if it has contacts that it can ask.
 func (r *Replica) isKnownNonMember() bool {
 	return r.isExcluded() || len(r.contacts) > 0 && len(r.configurations.latest().members) == 0
 }
@@ -74,7 +74,8 @@
 	return r.exclusion.reportedBy
 }
 
-// checkMembership checks whether this member is still outside the group. It sends PreVote requests but does not become a candidate.
+// checkMembership checks whether this member is still outside the group. It sends PreVote requests but does not become a
+// candidate.
 func (r *Replica) checkMembership() {
 	r.resetElectionTimer()
 	r.electionDeadline = max(r.electionDeadline, r.now+r.options.ElectionTimeout)
--- a/internal/tier/replica/explore_confchange_state_test.go
+++ b/internal/tier/replica/explore_confchange_state_test.go
@@ -82,7 +82,7 @@
 	m.replica = replica
 }
 
-// deliverAll delivers all messages, the given number of times, and lets leaders send a heartbeat after each time.
+// deliverAll delivers all messages, then as often as given lets leaders send a heartbeat and delivers all messages again.
 func (s *confChangeState) deliverAll(t *testing.T, heartbeats int) {
 	t.Helper()
 	for range heartbeats {
@@ -163,9 +163,9 @@
 // applyReady carries out the Ready of a step on a member, up to a crash.
 func (s *confChangeState) applyReady(i int, ready Ready, crash crashPoint) {
 	m := &s.members[i]
-	chunks, wrong := receiveChunks(m.incoming, &ready)
-	if wrong != "" {
-		s.violation = wrong
+	chunks, problem := receiveChunks(m.incoming, &ready)
+	if problem != "" {
+		s.violation = problem
 	}
 	m.incoming = chunks
 	s.send(m, ready.MessagesBeforeSync)
--- a/internal/tier/replica/explore_state_test.go
+++ b/internal/tier/replica/explore_state_test.go
@@ -153,10 +153,10 @@
 // receiveChunks keeps the snapshot chunks received in a step, and checks that an installed snapshot has the complete state.
 func (s *systemState) receiveChunks(i int, ready *Ready) {
 	m := &s.members[i]
-	chunks, wrong := receiveChunks(m.chunks, ready)
+	chunks, problem := receiveChunks(m.chunks, ready)
 	m.chunks = chunks
-	if wrong != "" {
-		s.violation = fmt.Sprintf("%s: %s", explorationIDs[i], wrong)
+	if problem != "" {
+		s.violation = fmt.Sprintf("%s: %s", explorationIDs[i], problem)
 	}
 	if installed := ready.Snapshot; installed != nil && string(installed.State) != string(exploredState(installed.Index)) {
 		s.violation = fmt.Sprintf("%s installs %q as the state at entry %d", explorationIDs[i], installed.State, installed.Index)
--- a/internal/tier/replica/leader_test.go
+++ b/internal/tier/replica/leader_test.go
@@ -8,34 +8,34 @@
 )
 
 func TestLeader_ProposalsBeyondPendingLimit_AreDropped(t *testing.T) {
-	p := newManualLeader(t, "a", "b", "c")
+	manual := newManualLeader(t, "a", "b", "c")
 	half := defaultLimits.maxPendingBytes/2 - 100
 	input := Input{Proposals: []Proposal{command(1, half), command(2, half), command(3, half)}}
-	ready := p.step(input)
+	ready := manual.step(input)
 	if difference := cmp.Diff([]Outcome{{Token: 3, Dropped: true}}, ready.Outcomes); difference != "" {
 		t.Errorf("outcomes (-want +got):\n%s", difference)
 	}
-	p.acknowledge("b", 3)
-	if ready = p.step(Input{Proposals: []Proposal{command(4, half)}}); len(ready.Outcomes) != 0 {
+	manual.acknowledge("b", 3)
+	if ready = manual.step(Input{Proposals: []Proposal{command(4, half)}}); len(ready.Outcomes) != 0 {
 		t.Errorf("a command is dropped although nothing is pending: %+v", ready.Outcomes)
 	}
 }
 
 func TestCommit_SingleVoter_FollowsItsSync(t *testing.T) {
-	p := newManualLeader(t, "a")
-	ready := p.step(Input{Proposals: []Proposal{command(1, 10)}})
-	if len(ready.Entries) != 1 || len(ready.CommittedEntries) != 0 || ready.NextWake != p.now {
+	manual := newManualLeader(t, "a")
+	ready := manual.step(Input{Proposals: []Proposal{command(1, 10)}})
+	if len(ready.Entries) != 1 || len(ready.CommittedEntries) != 0 || ready.NextWake != manual.now {
 		t.Errorf("first step %+v, want one entry, nothing committed and an immediate wake", ready)
 	}
-	ready = p.step(Input{})
-	if len(ready.CommittedEntries) != 1 || len(ready.Outcomes) != 1 || ready.NextWake <= p.now {
+	ready = manual.step(Input{})
+	if len(ready.CommittedEntries) != 1 || len(ready.Outcomes) != 1 || ready.NextWake <= manual.now {
 		t.Errorf("second step %+v, want the entry committed and a later wake", ready)
 	}
 }
 
 func TestCommit_OtherVotersSynced_NeedsNoLocalSync(t *testing.T) {
-	p := newManualLeader(t, "a", "b", "c")
-	p.step(Input{Proposals: []Proposal{command(1, 10)}})
+	manual := newManualLeader(t, "a", "b", "c")
+	manual.step(Input{Proposals: []Proposal{command(1, 10)}})
 	input := Input{
 		Proposals: []Proposal{command(2, 10)},
 		Messages: []Message{
@@ -43,7 +43,7 @@
 			{Kind: AppendEntriesResponse, From: "c", To: "a", Term: 1, Index: 2},
 		},
 	}
-	if ready := p.step(input); len(ready.CommittedEntries) != 1 || ready.CommittedEntries[0].Index != 2 {
+	if ready := manual.step(input); len(ready.CommittedEntries) != 1 || ready.CommittedEntries[0].Index != 2 {
 		t.Errorf("committed %+v, want only entry 2", ready.CommittedEntries)
 	}
 }
--- a/internal/tier/replica/manual_leader_test.go
+++ b/internal/tier/replica/manual_leader_test.go
@@ -26,33 +26,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &manualLeader{t: t, r: r}
-	p.now = p.step(Input{}).NextWake
-	p.step(Input{})
+	manual := &manualLeader{t: t, r: r}
+	manual.now = manual.step(Input{}).NextWake
+	manual.step(Input{})
 	for _, id := range initial[1:] {
-		p.step(Input{Messages: []Message{{Kind: RequestVoteResponse, From: id, To: "a", Term: 1, PreVote: true}}})
+		manual.step(Input{Messages: []Message{{Kind: RequestVoteResponse, From: id, To: "a", Term: 1, PreVote: true}}})
 	}
 	for _, id := range initial[1:] {
-		p.step(Input{Messages: []Message{{Kind: RequestVoteResponse, From: id, To: "a", Term: 1}}})
+		manual.step(Input{Messages: []Message{{Kind: RequestVoteResponse, From: id, To: "a", Term: 1}}})
 	}
 	for _, id := range initial[1:] {
-		p.acknowledge(id, 1)
+		manual.acknowledge(id, 1)
 	}
-	p.step(Input{})
+	manual.step(Input{})
 	if !r.Status().IsLeader {
-		t.Fatalf("not the leader: %+v", r.Status())
+		t.Fatalf("the member is not the leader: %+v", r.Status())
 	}
-	return p
+	return manual
 }
 
-func (p *manualLeader) step(input Input) Ready {
-	return p.r.Step(p.now, input)
+func (m *manualLeader) step(input Input) Ready {
+	return m.r.Step(m.now, input)
 }
 
 // acknowledge delivers a response from a follower that its log matches up to index.
-func (p *manualLeader) acknowledge(id string, index uint64) Ready {
+func (m *manualLeader) acknowledge(id string, index uint64) Ready {
 	response := Message{Kind: AppendEntriesResponse, From: id, To: "a", Term: 1, Index: index}
-	return p.step(Input{Messages: []Message{response}})
+	return m.step(Input{Messages: []Message{response}})
 }
 
 func command(token uint64, size int) Proposal {
--- a/internal/tier/replica/message.go
+++ b/internal/tier/replica/message.go
@@ -4,8 +4,8 @@
 
 // Member is one member of a group.
 type Member struct {
-	ID      string `json:"id"`                // identity of the member, stored on its disk
-	Address string `json:"address"`           // host:port of its control link
+	ID      string `json:"id"`                // identity, stored on the member's disk
+	Address string `json:"address"`           // host:port at which other members reach it
 	Learner bool   `json:"learner,omitempty"` // receives the log but has no vote
 }
 
--- a/internal/tier/replica/read_only_test.go
+++ b/internal/tier/replica/read_only_test.go
@@ -8,18 +8,18 @@
 )
 
 func TestReadIndex_EarlierContext_DoesNotConfirm(t *testing.T) {
-	p := newManualLeader(t, "a", "b", "c")
-	ready := p.step(Input{Reads: []uint64{7, 8}})
+	manual := newManualLeader(t, "a", "b", "c")
+	ready := manual.step(Input{Reads: []uint64{7, 8}})
 	if len(ready.Outcomes) != 0 || len(ready.MessagesBeforeSync) != 2 {
 		t.Fatalf("ready %+v, want two heartbeats and no outcome", ready)
 	}
 	context := ready.MessagesBeforeSync[0].ReadContext
 	late := Message{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 1, ReadContext: context - 1}
-	if ready = p.step(Input{Messages: []Message{late}}); len(ready.Outcomes) != 0 {
+	if ready = manual.step(Input{Messages: []Message{late}}); len(ready.Outcomes) != 0 {
 		t.Errorf("a response with an earlier context confirms reads: %+v", ready.Outcomes)
 	}
 	response := Message{Kind: AppendEntriesResponse, From: "b", To: "a", Term: 1, Index: 1, ReadContext: context}
-	ready = p.step(Input{Messages: []Message{response}})
+	ready = manual.step(Input{Messages: []Message{response}})
 	want := []Outcome{{Token: 7, Done: true}, {Token: 8, Done: true}}
 	if difference := cmp.Diff(want, ready.Outcomes); difference != "" {
 		t.Errorf("outcomes (-want +got):\n%s", difference)
@@ -27,16 +27,16 @@
 }
 
 func TestReadIndex_ReadsOfOneStep_ShareAContextWithAppends(t *testing.T) {
-	p := newManualLeader(t, "a", "b", "c")
-	ready := p.step(Input{Reads: []uint64{1, 2}, Proposals: []Proposal{command(3, 10)}})
+	manual := newManualLeader(t, "a", "b", "c")
+	ready := manual.step(Input{Reads: []uint64{1, 2}, Proposals: []Proposal{command(3, 10)}})
 	if len(ready.MessagesBeforeSync) != 2 || len(ready.MessagesBeforeSync[0].Entries) != 1 || ready.MessagesBeforeSync[0].ReadContext == 0 {
-		t.Errorf("messages %+v", ready.MessagesBeforeSync)
+		t.Errorf("messages %+v, want two appends with the entry and a read context", ready.MessagesBeforeSync)
 	}
 }
 
 func TestReadIndex_SingleVoter_ConfirmsAtOnce(t *testing.T) {
-	p := newManualLeader(t, "a")
-	ready := p.step(Input{Reads: []uint64{5}})
+	manual := newManualLeader(t, "a")
+	ready := manual.step(Input{Reads: []uint64{5}})
 	if difference := cmp.Diff([]Outcome{{Token: 5, Done: true}}, ready.Outcomes); difference != "" {
 		t.Errorf("outcomes (-want +got):\n%s", difference)
 	}
--- a/internal/tier/replica/ready.go
+++ b/internal/tier/replica/ready.go
@@ -37,8 +37,8 @@
 	// RequestSnapshot reports that the caller can now receive a snapshot for which it had no capacity before. The caller had
 	// then removed Snapshot from the InstallSnapshot message.
 	RequestSnapshot bool
-	// TransferLeadership asks a leader to transfer its leadership once the pending proposals and reads are resolved, but no
-	// later than after an election timeout.
+	// TransferLeadership asks a leader to transfer its leadership once the pending proposals and reads are resolved, or
+	// after an election timeout if that comes first.
 	TransferLeadership bool
 }
 
--- a/internal/tier/replica/replication_test.go
+++ b/internal/tier/replica/replication_test.go
@@ -9,17 +9,17 @@
 )
 
 func TestReplication_ProposalsOfOneStep_LeaveBeforeSyncInOneAppend(t *testing.T) {
-	p := newManualLeader(t, "a", "b", "c")
-	ready := p.step(Input{Proposals: []Proposal{command(1, 10), command(2, 10), command(3, 10)}})
+	manual := newManualLeader(t, "a", "b", "c")
+	ready := manual.step(Input{Proposals: []Proposal{command(1, 10), command(2, 10), command(3, 10)}})
 	for _, id := range []string{"b", "c"} {
 		if difference := cmp.Diff([][]uint64{{2, 3, 4}}, appendsTo(ready.MessagesBeforeSync, id)); difference != "" {
 			t.Errorf("appends to %s (-want +got):\n%s", id, difference)
 		}
 	}
 	if len(ready.Entries) != 3 || len(ready.CommittedEntries) != 0 || len(ready.Outcomes) != 0 {
-		t.Errorf("ready %+v", ready)
+		t.Errorf("ready %+v, want three entries, nothing committed and no outcome", ready)
 	}
-	ready = p.acknowledge("c", 3)
+	ready = manual.acknowledge("c", 3)
 	want := []Outcome{{Token: 1, Done: true}, {Token: 2, Done: true}}
 	if difference := cmp.Diff(want, ready.Outcomes); difference != "" || len(ready.CommittedEntries) != 2 {
 		t.Errorf("committed %v, outcomes (-want +got):\n%s", ready.CommittedEntries, difference)
@@ -27,9 +27,9 @@
 }
 
 func TestReplication_NoResponses_AppendsArePipelined(t *testing.T) {
-	p := newManualLeader(t, "a", "b", "c")
+	manual := newManualLeader(t, "a", "b", "c")
 	for token := uint64(1); token <= 3; token++ {
-		ready := p.step(Input{Proposals: []Proposal{command(token, 10)}})
+		ready := manual.step(Input{Proposals: []Proposal{command(token, 10)}})
 		if difference := cmp.Diff([][]uint64{{token + 1}}, appendsTo(ready.MessagesBeforeSync, "b")); difference != "" {
 			t.Errorf("appends (-want +got):\n%s", difference)
 		}
@@ -37,11 +37,11 @@
 }
 
 func TestReplication_BytesInFlightAndPerMessage_AreBounded(t *testing.T) {
-	p := newManualLeader(t, "a", "b", "c")
+	manual := newManualLeader(t, "a", "b", "c")
 	const size = 10 << 10
 	sent := 0
 	for token := range uint64(300) {
-		ready := p.step(Input{Proposals: []Proposal{command(token, size)}})
+		ready := manual.step(Input{Proposals: []Proposal{command(token, size)}})
 		for _, indexes := range appendsTo(ready.MessagesBeforeSync, "b") {
 			sent += len(indexes) * size
 		}
@@ -49,13 +49,13 @@
 	if sent < defaultLimits.maxInflightBytes-2*size || sent > defaultLimits.maxInflightBytes+size {
 		t.Errorf("%d bytes in flight, want about %d", sent, defaultLimits.maxInflightBytes)
 	}
-	ready := p.acknowledge("b", 101)
+	ready := manual.acknowledge("b", 101)
 	for _, indexes := range appendsTo(ready.MessagesBeforeSync, "b") {
 		if len(indexes)*size > defaultLimits.maxMessageBytes {
 			t.Errorf("a message has %d entries, more than maxMessageBytes allows", len(indexes))
 		}
 	}
-	large := p.step(Input{Proposals: []Proposal{command(999, 2*defaultLimits.maxMessageBytes)}})
+	large := manual.step(Input{Proposals: []Proposal{command(999, 2*defaultLimits.maxMessageBytes)}})
 	if len(large.Entries) != 1 || large.Entries[0].Index != 302 {
 		t.Errorf("a single entry larger than a message is not appended: %d entries", len(large.Entries))
 	}
--- a/internal/tier/replica/simulation_asserts_test.go
+++ b/internal/tier/replica/simulation_asserts_test.go
@@ -45,10 +45,10 @@
 }
 
 // others returns all running nodes except one.
-func (s *simulation) others(not *node) []*node {
+func (s *simulation) others(except *node) []*node {
 	var others []*node
 	for _, n := range s.nodes {
-		if n != not && n.alive {
+		if n != except && n.alive {
 			others = append(others, n)
 		}
 	}
--- a/internal/tier/replica/simulation_node_test.go
+++ b/internal/tier/replica/simulation_node_test.go
@@ -8,7 +8,7 @@
 
 // node is a simulated machine. Its disk survives its process.
 type node struct {
-	slot              int
+	slot              int // index in simulation.nodes
 	id                string
 	clockRate         float64       // speed of its clock; 1 is exact
 	clockAtRateChange time.Duration // reading of its clock when clockRate was set
@@ -130,9 +130,9 @@
 	input := node.inbox
 	node.inbox = Input{}
 	node.ready = node.replica.Step(s.clock(node), input)
-	chunks, wrong := receiveChunks(node.chunks, &node.ready)
-	if node.chunks = chunks; wrong != "" {
-		s.checker.fail("%s: %s", node.id, wrong)
+	chunks, problem := receiveChunks(node.chunks, &node.ready)
+	if node.chunks = chunks; problem != "" {
+		s.checker.fail("%s: %s", node.id, problem)
 	}
 	s.send(node, node.ready.MessagesBeforeSync)
 	incarnation := node.incarnation
--- a/internal/tier/replica/snapshot_chunks_test.go
+++ b/internal/tier/replica/snapshot_chunks_test.go
@@ -105,21 +105,21 @@
 // newSnapshotSender returns a manual leader with a snapshot whose entries c lacks.
 func newSnapshotSender(t *testing.T) *manualLeader {
 	t.Helper()
-	p := newManualLeader(t, "a", "b", "c")
+	manual := newManualLeader(t, "a", "b", "c")
 	for token := range uint64(200) {
-		p.step(Input{Proposals: []Proposal{command(token, 1)}})
+		manual.step(Input{Proposals: []Proposal{command(token, 1)}})
 	}
-	p.acknowledge("b", 150)
-	metadata := p.r.SnapshotMetadata()
+	manual.acknowledge("b", 150)
+	metadata := manual.r.SnapshotMetadata()
 	metadata.Chunks = 9
-	p.step(Input{Compact: &metadata})
-	return p
+	manual.step(Input{Compact: &metadata})
+	return manual
 }
 
 // respondChunk delivers the response that c expects the given chunk next, and returns the numbers of the chunks that the
 // leader then sends.
-func (p *manualLeader) respondChunk(chunk int, rejected bool) []int {
-	ready := p.step(Input{Messages: []Message{{Kind: InstallSnapshotResponse, From: "c", To: "a", Term: 1, Index: p.r.snapshotIndex(), Chunk: chunk, Reject: rejected}}})
+func (m *manualLeader) respondChunk(chunk int, rejected bool) []int {
+	ready := m.step(Input{Messages: []Message{{Kind: InstallSnapshotResponse, From: "c", To: "a", Term: 1, Index: m.r.snapshotIndex(), Chunk: chunk, Reject: rejected}}})
 	return chunksIn(ready.MessagesBeforeSync)
 }
 
--- a/internal/tier/replica/snapshot_test.go
+++ b/internal/tier/replica/snapshot_test.go
@@ -71,7 +71,7 @@
 	sim.compactNode(first)
 	sim.runFor(10 * testElection)
 	if got := sim.messages[InstallSnapshot]; got != 0 {
-		t.Errorf("%d snapshots were sent", got)
+		t.Errorf("%d snapshot chunks were sent to an inactive follower", got)
 	}
 	sim.start(lost)
 	sim.runFor(4 * testHeartbeat)
@@ -93,7 +93,7 @@
 	sim.start(behind)
 	sim.runFor(4 * testHeartbeat)
 	if got := sim.messages[InstallSnapshot]; got != 0 {
-		t.Errorf("%d snapshots were sent", got)
+		t.Errorf("%d snapshot chunks were sent, want none", got)
 	}
 	if behind.machine != first.machine {
 		t.Errorf("state %+v, want %+v", behind.machine, first.machine)
@@ -156,26 +156,26 @@
 }
 
 func TestCompaction_BeyondApplied_IsIgnored(t *testing.T) {
-	p := newManualLeader(t, "a", "b", "c")
+	manual := newManualLeader(t, "a", "b", "c")
 	for token := range uint64(200) {
-		p.step(Input{Proposals: []Proposal{command(token, 1)}})
+		manual.step(Input{Proposals: []Proposal{command(token, 1)}})
 	}
-	p.acknowledge("b", 150)
-	metadata := p.r.SnapshotMetadata()
+	manual.acknowledge("b", 150)
+	metadata := manual.r.SnapshotMetadata()
 	if metadata.Index != 150 || metadata.Term != 1 || len(metadata.Members) != 3 {
-		t.Fatalf("metadata %+v", metadata)
+		t.Fatalf("metadata %+v, want index 150, term 1 and three members", metadata)
 	}
 	ahead := metadata
 	ahead.Index = 151
-	p.step(Input{Compact: &ahead})
-	if got := p.r.log.offset; got != 0 {
+	manual.step(Input{Compact: &ahead})
+	if got := manual.r.log.offset; got != 0 {
 		t.Errorf("the log is compacted to %d by a snapshot beyond the applied entries", got)
 	}
-	p.step(Input{Compact: &metadata})
-	if got, want := p.r.log.offset, metadata.Index-defaultLimits.trailingEntries; got != want {
+	manual.step(Input{Compact: &metadata})
+	if got, want := manual.r.log.offset, metadata.Index-defaultLimits.trailingEntries; got != want {
 		t.Errorf("the log is compacted to %d, want %d", got, want)
 	}
-	if got := p.r.Status().LastIndex; got != 201 {
+	if got := manual.r.Status().LastIndex; got != 201 {
 		t.Errorf("last index %d, want 201", got)
 	}
 }
@@ -183,14 +183,14 @@
 func TestCompaction_TrailingEntries_AreBoundedInBytes(t *testing.T) {
 	// A leader keeps as many trailing entries of the given size as may be in flight.
 	const size = 100 << 10
-	p := newManualLeader(t, "a", "b", "c")
+	manual := newManualLeader(t, "a", "b", "c")
 	for token := range uint64(20) {
-		p.step(Input{Proposals: []Proposal{command(token, size)}})
+		manual.step(Input{Proposals: []Proposal{command(token, size)}})
 	}
-	p.acknowledge("b", 21)
-	metadata := p.r.SnapshotMetadata()
-	p.step(Input{Compact: &metadata})
-	if got, want := p.r.log.offset, uint64(21-defaultLimits.maxInflightBytes/size); got != want {
+	manual.acknowledge("b", 21)
+	metadata := manual.r.SnapshotMetadata()
+	manual.step(Input{Compact: &metadata})
+	if got, want := manual.r.log.offset, uint64(21-defaultLimits.maxInflightBytes/size); got != want {
 		t.Errorf("the leader's log is compacted to %d, want %d", got, want)
 	}
 	// A follower keeps fewer of them.
