--- a/internal/tier/replica/explore_confchange_state_test.go
+++ b/internal/tier/replica/explore_confchange_state_test.go
@@ -271,8 +271,8 @@
 // campaigns, heartbeats, proposals and reads.
 func (s *confChangeState) appendMemberEvents(all []*confChangeState, i int) []*confChangeState {
 	r := s.members[i].replica
-	attempt := func(remaining int, spend func(*confChangeBudget), do func(*confChangeState) bool) {
-		if remaining == 0 {
+	attempt := func(budget int, spend func(*confChangeBudget), do func(*confChangeState) bool) {
+		if budget == 0 {
 			return
 		}
 		next := s.clone()
--- a/internal/tier/replica/simulation_node_test.go
+++ b/internal/tier/replica/simulation_node_test.go
@@ -198,8 +198,8 @@
 }
 
 // setClockRate sets the speed of a node's clock from now on.
-func (s *simulation) setClockRate(n *node, rate float64) {
-	n.clockAtRateChange, n.rateChangedAt, n.clockRate = s.clock(n), s.now, rate
+func (s *simulation) setClockRate(n *node, clockRate float64) {
+	n.clockAtRateChange, n.rateChangedAt, n.clockRate = s.clock(n), s.now, clockRate
 }
 
 // setTimer schedules a step at a time of the node's own clock.
--- a/internal/tier/replica/snapshot_chunks_test.go
+++ b/internal/tier/replica/snapshot_chunks_test.go
@@ -25,23 +25,23 @@
 		name      string
 		before    []Message
 		message   Message
-		answer    chunkResponse
+		response  chunkResponse
 		received  []Chunk
 		receiving bool
 		installed bool
 	}
 	first, second, third := chunkMessage("a", 2, 9, 0), chunkMessage("a", 2, 9, 1), chunkMessage("a", 2, 9, 2)
 	cases := []testCase{
-		{name: "the first chunk", message: first, answer: chunkResponse{Index: 9, Chunk: 1}, received: []Chunk{{0, []byte("0")}}, receiving: true},
-		{name: "a later chunk without the first", message: second, answer: chunkResponse{Index: 9, Chunk: 0, Rejected: true}},
-		{name: "the next chunk", before: []Message{first}, message: second, answer: chunkResponse{Index: 9, Chunk: 2}, received: []Chunk{{1, []byte("1")}}, receiving: true},
-		{name: "a gap", before: []Message{first}, message: third, answer: chunkResponse{Index: 9, Chunk: 1, Rejected: true}, receiving: true},
-		{name: "the first chunk again", before: []Message{first, second}, message: first, answer: chunkResponse{Index: 9, Chunk: 2}, receiving: true},
-		{name: "a newer snapshot", before: []Message{first, second}, message: chunkMessage("a", 2, 12, 0), answer: chunkResponse{Index: 12, Chunk: 1},
+		{name: "the first chunk", message: first, response: chunkResponse{Index: 9, Chunk: 1}, received: []Chunk{{0, []byte("0")}}, receiving: true},
+		{name: "a later chunk without the first", message: second, response: chunkResponse{Index: 9, Chunk: 0, Rejected: true}},
+		{name: "the next chunk", before: []Message{first}, message: second, response: chunkResponse{Index: 9, Chunk: 2}, received: []Chunk{{1, []byte("1")}}, receiving: true},
+		{name: "a gap", before: []Message{first}, message: third, response: chunkResponse{Index: 9, Chunk: 1, Rejected: true}, receiving: true},
+		{name: "the first chunk again", before: []Message{first, second}, message: first, response: chunkResponse{Index: 9, Chunk: 2}, receiving: true},
+		{name: "a newer snapshot", before: []Message{first, second}, message: chunkMessage("a", 2, 12, 0), response: chunkResponse{Index: 12, Chunk: 1},
 			received: []Chunk{{0, []byte("0")}}, receiving: true},
-		{name: "a later chunk of a newer snapshot", before: []Message{first}, message: chunkMessage("a", 2, 12, 1), answer: chunkResponse{Index: 12, Chunk: 0, Rejected: true}},
+		{name: "a later chunk of a newer snapshot", before: []Message{first}, message: chunkMessage("a", 2, 12, 1), response: chunkResponse{Index: 12, Chunk: 0, Rejected: true}},
 		{name: "a delayed chunk of an older snapshot", before: []Message{first}, message: chunkMessage("a", 2, 7, 0), receiving: true},
-		{name: "a later chunk from a new leader", before: []Message{first}, message: chunkMessage("c", 3, 9, 1), answer: chunkResponse{Index: 9, Chunk: 0, Rejected: true}},
+		{name: "a later chunk from a new leader", before: []Message{first}, message: chunkMessage("c", 3, 9, 1), response: chunkResponse{Index: 9, Chunk: 0, Rejected: true}},
 		{name: "a chunk from the leader of an older term", before: []Message{first, chunkMessage("c", 3, 9, 0)}, message: second, receiving: true},
 		{name: "the last chunk", before: []Message{first, second}, message: third, received: []Chunk{{2, []byte("2")}}, installed: true},
 		{name: "a message without a snapshot", before: []Message{first}, message: Message{Kind: InstallSnapshot, From: "a", To: "b", Term: 2}, receiving: true},
@@ -61,8 +61,8 @@
 					got = chunkResponse{Index: response.Index, Chunk: response.Chunk, Rejected: response.Reject}
 				}
 			}
-			if got != tc.answer {
-				t.Errorf("response %+v, want %+v", got, tc.answer)
+			if got != tc.response {
+				t.Errorf("response %+v, want %+v", got, tc.response)
 			}
 			if diff := cmp.Diff(tc.received, ready.ReceivedChunks); diff != "" {
 				t.Errorf("received (-want +got):\n%s", diff)
