--- a/internal/tier/replica/mutants_test.go
+++ b/internal/tier/replica/mutants_test.go
@@ -193,7 +193,7 @@
 		Run: campaigns,
 	},
 	{
-		Name: "leaders of older terms are obeyed",
+		Name: "leaders of older terms are accepted",
 		Change: mutation.Change{
 			File: "follower.go",
 			Old:  "if message.Term < r.hardState.Term {",
--- a/internal/tier/replica/snapshot_sender.go
+++ b/internal/tier/replica/snapshot_sender.go
@@ -85,7 +85,7 @@
 }
 
 // handleInstallSnapshotResponse records which chunk a follower needs next. A rejection that asks for the first chunk is
-// always obeyed, even if that chunk is being sent again already: the follower had no capacity for it before.
+// always followed, even if that chunk is being sent again already: the follower had no capacity for it before.
 func (r *Replica) handleInstallSnapshotResponse(response *Message) {
 	if r.role != leader || response.Term != r.hardState.Term {
 		return
