--- a/internal/tier/replica/manual_leader_test.go
+++ b/internal/tier/replica/manual_leader_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// manualLeader is a leader "a" whose steps a test makes one by one, while the test plays the other members.
+// manualLeader is the leader "a", whose steps a test makes one by one. The test supplies the messages of the other members.
 type manualLeader struct {
 	t   *testing.T
 	r   *Replica
 	now time.Duration
 }
 
-// newManualLeader makes "a" the leader of term 1 with its first entry committed.
+// newManualLeader returns the leader of term 1 with its first entry committed.
 func newManualLeader(t *testing.T, initial ...string) *manualLeader {
 	t.Helper()
 	var members []Member
@@ -26,33 +26,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &manualLeader{t: t, r: r}
-	p.now = p.step(Input{}).NextWake
-	p.step(Input{})
+	manual := &manualLeader{t: t, r: r}
+	manual.now = manual.step(Input{}).NextWake
+	manual.step(Input{})
 	for _, id := range initial[1:] {
-		p.step(Input{Messages: []Message{{Kind: RequestVoteResponse, From: id, To: "a", Term: 1, PreVote: true}}})
+		manual.step(Input{Messages: []Message{{Kind: RequestVoteResponse, From: id, To: "a", Term: 1, PreVote: true}}})
 	}
 	for _, id := range initial[1:] {
-		p.step(Input{Messages: []Message{{Kind: RequestVoteResponse, From: id, To: "a", Term: 1}}})
+		manual.step(Input{Messages: []Message{{Kind: RequestVoteResponse, From: id, To: "a", Term: 1}}})
 	}
 	for _, id := range initial[1:] {
-		p.acknowledge(id, 1)
+		manual.acknowledge(id, 1)
 	}
-	p.step(Input{})
+	manual.step(Input{})
 	if !r.Status().IsLeader {
-		t.Fatalf("not the leader: %+v", r.Status())
+		t.Fatalf("the member is not the leader: %+v", r.Status())
 	}
-	return p
+	return manual
 }
 
-func (p *manualLeader) step(input Input) Ready {
-	return p.r.Step(p.now, input)
+func (m *manualLeader) step(input Input) Ready {
+	return m.r.Step(m.now, input)
 }
 
-// acknowledge lets a follower respond that it has the log up to index.
-func (p *manualLeader) acknowledge(id string, index uint64) Ready {
-	answer := Message{Kind: AppendEntriesResponse, From: id, To: "a", Term: 1, Index: index}
-	return p.step(Input{Messages: []Message{answer}})
+// acknowledge delivers a response from a follower that its log matches up to index.
+func (m *manualLeader) acknowledge(id string, index uint64) Ready {
+	response := Message{Kind: AppendEntriesResponse, From: id, To: "a", Term: 1, Index: index}
+	return m.step(Input{Messages: []Message{response}})
 }
 
 func command(token uint64, size int) Proposal {
@@ -60,7 +60,7 @@
 	return Proposal{Token: token, Data: data}
 }
 
-// appendsTo are the entries of each append that goes to a follower.
+// appendsTo returns the indexes of the entries in each append to the given follower.
 func appendsTo(messages []Message, id string) [][]uint64 {
 	var appends [][]uint64
 	for _, message := range messages {
