--- a/internal/tier/configuration/delivery_order_test.go
+++ b/internal/tier/configuration/delivery_order_test.go
@@ -7,73 +7,74 @@
 	"mastusher/internal/tier/configuration"
 )
 
-// arrivals explores every sequence in which copies of some orders can be agreed on: each copy at any place or never, with a
-// snapshot before any of them.
-type deliveryOrders struct {
+// deliveryExplorer explores every sequence in which copies of some proposals can be committed: each copy at any position or never,
+// with a snapshot and a restore before each.
+type deliveryExplorer struct {
 	t          *testing.T
-	orders     []*configuration.Proposal
-	copiesLeft []int // copies of each order that may still arrive
-	answers    []answer
+	proposals  []*configuration.Proposal
+	copiesLeft []int // number of copies of each proposal that may still be committed
+	results    []copyResult
 	states     int
 	paths      int
 }
 
-// sight is what one copy was answered.
-type answer struct {
-	order  int
-	result configuration.Result
+// copyResult is the result of applying one copy of a proposal.
+type copyResult struct {
+	proposal int
+	result   configuration.Result
 }
 
-func (a *deliveryOrders) explore(state configuration.Snapshot, index uint64) {
-	a.paths++
-	for order := range a.orders {
-		if a.copiesLeft[order] == 0 {
+func (d *deliveryExplorer) explore(state configuration.Snapshot, index uint64) {
+	d.paths++
+	for number := range d.proposals {
+		if d.copiesLeft[number] == 0 {
 			continue
 		}
-		a.copiesLeft[order]--
-		register, err := configuration.Restore(state)
+		d.copiesLeft[number]--
+		machine, err := configuration.Restore(state)
 		if err != nil {
-			a.t.Fatal(err)
+			d.t.Fatal(err)
 		}
-		a.answers = append(a.answers, answer{order, register.Apply(index, a.orders[order])})
-		a.check(register)
-		a.states++
-		a.explore(register.Snapshot(), index+1)
-		a.answers = a.answers[:len(a.answers)-1]
-		a.copiesLeft[order]++
+		d.results = append(d.results, copyResult{number, machine.Apply(index, d.proposals[number])})
+		d.check(machine)
+		d.states++
+		d.explore(machine.Snapshot(), index+1)
+		d.results = d.results[:len(d.results)-1]
+		d.copiesLeft[number]++
 	}
 }
 
-// check tells what must not be after any of the copies.
-func (a *deliveryOrders) check(register *configuration.StateMachine) {
-	last := a.answers[len(a.answers)-1]
-	byBase, byNumber := map[uint64]int{}, map[uint64]int{}
-	for _, s := range a.answers {
-		if s.order == last.order && s.result == configuration.Accepted != (last.result == configuration.Accepted) {
-			a.t.Fatalf("copies of one proposal were answered in both ways: %v", a.answers)
+// check fails the test if the results so far break an invariant: all copies of a proposal get the same decision, at most one proposal
+// is accepted per base and per number, and WasAccepted agrees with the results.
+func (d *deliveryExplorer) check(machine *configuration.StateMachine) {
+	last := d.results[len(d.results)-1]
+	acceptedByBase, acceptedByNumber := map[uint64]int{}, map[uint64]int{}
+	for _, r := range d.results {
+		if r.proposal == last.proposal && r.result == configuration.Accepted != (last.result == configuration.Accepted) {
+			d.t.Fatalf("some copies of a proposal were accepted and others not: %v", d.results)
 		}
-		if s.result != configuration.Accepted {
+		if r.result != configuration.Accepted {
 			continue
 		}
-		order := a.orders[s.order]
-		for key, by := range map[uint64]map[uint64]int{order.Base: byBase, order.Number: byNumber} {
-			if other, known := by[key]; known && other != s.order {
-				a.t.Fatalf("two orders were confirmed: %v", a.answers)
+		proposal := d.proposals[r.proposal]
+		for key, by := range map[uint64]map[uint64]int{proposal.Base: acceptedByBase, proposal.Number: acceptedByNumber} {
+			if other, known := by[key]; known && other != r.proposal {
+				d.t.Fatalf("two proposals with the same base or number were accepted: %v", d.results)
 			}
-			by[key] = s.order
+			by[key] = r.proposal
 		}
 	}
-	taken := slices.Contains(a.answers, answer{last.order, configuration.Accepted})
-	if taken != register.WasAccepted(a.orders[last.order]) {
-		a.t.Fatalf("what was accepted isn't known, or what wasn't is: %v", a.answers)
+	isAccepted := slices.Contains(d.results, copyResult{last.proposal, configuration.Accepted})
+	if isAccepted != machine.WasAccepted(d.proposals[last.proposal]) {
+		d.t.Fatalf("WasAccepted disagrees with the results: %v", d.results)
 	}
 }
 
-// TestStateMachine_CopiesInAnyOrder_OneWinnerPerVersion has two operators send different orders under one number and on one version, another one that builds
-// on them, and the same content on another version; each copy arrives at any time, also before the version on which it builds.
+// TestStateMachine_CopiesInAnyOrder_OneWinnerPerVersion commits two different proposals with the same base and number, two on top of
+// them, and the content of one of these on another base. Each copy is committed at any time, also before its base version exists.
 func TestStateMachine_CopiesInAnyOrder_OneWinnerPerVersion(t *testing.T) {
-	a := &deliveryOrders{t: t, copiesLeft: []int{2, 2, 2, 2, 1}, orders: []*configuration.Proposal{
+	d := &deliveryExplorer{t: t, copiesLeft: []int{2, 2, 2, 2, 1}, proposals: []*configuration.Proposal{
 		proposal(0, 3, "first"), proposal(0, 3, "other"), proposal(3, 5, "next"), proposal(3, 5, "rival"), proposal(0, 5, "next")}}
-	a.explore(configuration.New().Snapshot(), 1)
-	t.Logf("%d sequences, %d results", a.paths, a.states)
+	d.explore(configuration.New().Snapshot(), 1)
+	t.Logf("%d sequences, %d results", d.paths, d.states)
 }
--- a/internal/tier/configuration/history.go
+++ b/internal/tier/configuration/history.go
@@ -12,7 +12,7 @@
 // costs about 17 bytes an entry in memory and in each snapshot.
 const maxHistory = 32768
 
-// ErrCorruptHistory says that the history in a snapshot cannot be decoded.
+// ErrCorruptHistory is the error of Restore for a snapshot whose history cannot be decoded.
 var ErrCorruptHistory = errors.New("corrupt history of configurations")
 
 // historyEntry is one accepted proposal. It builds on the number of the entry before.
@@ -27,13 +27,13 @@
 	entries []historyEntry
 }
 
-// lookupResult says what the history knows of a proposal.
+// lookupResult is the result of looking up a proposal in the history.
 type lookupResult int
 
 const (
-	notFound  lookupResult = iota // it was not accepted
-	found                         // it was accepted
-	truncated                     // its base is older than the first entry
+	notFound  lookupResult = iota // the proposal was not accepted
+	found                         // the proposal was accepted
+	truncated                     // the proposal's base is older than the first entry
 )
 
 // find looks up the proposal that was accepted on a version, by binary search.
@@ -83,7 +83,7 @@
 	for len(raw) > 0 {
 		difference, size := binary.Uvarint(raw)
 		if size <= 0 || difference == 0 || len(raw) < size+len(fingerprint{}) {
-			return history{}, fmt.Errorf("%w: entry %d", ErrCorruptHistory, len(decoded.entries))
+			return history{}, fmt.Errorf("%w: entry %d is truncated or has an invalid number", ErrCorruptHistory, len(decoded.entries))
 		}
 		number += difference
 		e := historyEntry{number: number}
--- a/internal/tier/configuration/mutants_test.go
+++ b/internal/tier/configuration/mutants_test.go
@@ -7,7 +7,7 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// duplicateMutants take another proposal for a duplicate, or a duplicate for another.
+// duplicateMutants mistake another proposal for a duplicate, or a duplicate for another proposal.
 var duplicateMutants = []mutation.Mutant{
 	{
 		Name: "no duplicate is recognized",
@@ -84,7 +84,7 @@
 	},
 }
 
-// rejectionMutants forget what was rejected.
+// rejectionMutants lose rejections.
 var rejectionMutants = []mutation.Mutant{
 	{
 		Name: "a rejected proposal is accepted later",
--- a/internal/tier/configuration/snapshot.go
+++ b/internal/tier/configuration/snapshot.go
@@ -23,7 +23,7 @@
 	return snapshot
 }
 
-// Restore returns the state machine of a snapshot. A history that can't be decoded gives ErrCorruptHistory.
+// Restore returns the state machine of a snapshot, or an ErrCorruptHistory if its history can't be decoded.
 func Restore(snapshot Snapshot) (*StateMachine, error) {
 	s := &StateMachine{current: snapshot.Current}
 	var err error
--- a/internal/tier/configuration/state_machine.go
+++ b/internal/tier/configuration/state_machine.go
@@ -11,7 +11,7 @@
 // Current is the configuration in force.
 type Current struct {
 	Number uint64          `json:"number"` // 0: none yet
-	Index  uint64          `json:"index"`  // log index of the entry that brought it
+	Index  uint64          `json:"index"`  // log index of the proposal's entry
 	Raw    json.RawMessage `json:"raw,omitempty"`
 }
 
@@ -36,7 +36,7 @@
 func (s *StateMachine) Current() Current { return s.current }
 
 // Apply decides a proposal that was committed at that log index. A duplicate of an accepted proposal is acknowledged, whatever
-// was accepted since; a duplicate of a rejected one stays rejected, also where its base version exists by now.
+// was accepted since; a duplicate of a rejected one stays rejected, even if its base version exists by now.
 func (s *StateMachine) Apply(index uint64, proposal *Proposal) Result {
 	digest := fingerprintOf(proposal)
 	switch s.history.find(proposal.Base, digest) {
@@ -66,7 +66,7 @@
 	return s.history.find(proposal.Base, fingerprintOf(proposal)) == found
 }
 
-// rememberRejection records a rejection on a version that may still come: a copy of the proposal may arrive after it.
+// rememberRejection records a rejection on a version that may still be created: a copy of the proposal may arrive after that version.
 func (s *StateMachine) rememberRejection(base uint64, digest fingerprint) {
 	if base < s.current.Number || slices.Contains(s.rejected, rejection{base, digest}) {
 		return
--- a/internal/tier/configuration/state_machine_test.go
+++ b/internal/tier/configuration/state_machine_test.go
@@ -19,25 +19,25 @@
 func TestStateMachine_Apply(t *testing.T) {
 	first, second := proposal(0, 3, "first"), proposal(3, 7, "second")
 	tests := []struct {
-		name  string
-		given []*configuration.Proposal
-		order *configuration.Proposal
-		want  configuration.Result
-		now   uint64 // current number after it
+		name    string
+		given   []*configuration.Proposal
+		applied *configuration.Proposal
+		want    configuration.Result
+		now     uint64 // current number afterwards
 	}{
-		{"the first one", nil, first, configuration.Accepted, 3},
-		{"on the current one", []*configuration.Proposal{first}, second, configuration.Accepted, 7},
-		{"the same again", []*configuration.Proposal{first}, first, configuration.Accepted, 3},
-		{"the same again after another", []*configuration.Proposal{first, second}, first, configuration.Accepted, 7},
+		{"the first proposal", nil, first, configuration.Accepted, 3},
+		{"on the current version", []*configuration.Proposal{first}, second, configuration.Accepted, 7},
+		{"a duplicate", []*configuration.Proposal{first}, first, configuration.Accepted, 3},
+		{"a duplicate after another was accepted", []*configuration.Proposal{first, second}, first, configuration.Accepted, 7},
 		{"the same number with other content", []*configuration.Proposal{first}, proposal(0, 3, "other"), configuration.Conflict, 3},
 		{"the same content on another version", []*configuration.Proposal{first}, proposal(3, 3, "first"), configuration.NotNewer, 3},
 		{"on an older version", []*configuration.Proposal{first, second}, proposal(3, 9, "late"), configuration.Conflict, 7},
-		{"on a version that never was", []*configuration.Proposal{first}, proposal(4, 9, "lost"), configuration.Conflict, 3},
-		{"rejected before its version came", []*configuration.Proposal{proposal(3, 7, "early"), first}, proposal(3, 7, "early"), configuration.Conflict, 3},
-		{"another than the one rejected before its version came", []*configuration.Proposal{proposal(3, 7, "early"), first}, second, configuration.Accepted, 7},
+		{"on a version that never existed", []*configuration.Proposal{first}, proposal(4, 9, "lost"), configuration.Conflict, 3},
+		{"a duplicate of one that was rejected before its base version existed", []*configuration.Proposal{proposal(3, 7, "early"), first}, proposal(3, 7, "early"), configuration.Conflict, 3},
+		{"other content than the one rejected before its base version existed", []*configuration.Proposal{proposal(3, 7, "early"), first}, second, configuration.Accepted, 7},
 		{"the same number on another base", []*configuration.Proposal{first, second}, proposal(3, 7, "other"), configuration.Conflict, 7},
 		{"with a lower number", []*configuration.Proposal{first, second}, proposal(7, 5, "back"), configuration.NotNewer, 7},
-		{"the first one, with number 0", nil, proposal(0, 0, "nothing"), configuration.NotNewer, 0},
+		{"the first proposal, with number 0", nil, proposal(0, 0, "nothing"), configuration.NotNewer, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 			for i, given := range test.given {
 				r.Apply(uint64(i+1), given)
 			}
-			if got := r.Apply(10, test.order); got != test.want {
+			if got := r.Apply(10, test.applied); got != test.want {
 				t.Errorf("result %s, want %s", got, test.want)
 			}
 			if got := r.Current().Number; got != test.now {
@@ -55,12 +55,12 @@
 	}
 }
 
-// reference keeps everything and compares by whole content.
+// reference is a model of the state machine that keeps all proposals and compares them completely.
 type reference struct {
 	current  *configuration.Proposal
 	index    uint64
 	accepted []*configuration.Proposal
-	rejected []*configuration.Proposal // on a version that had not come
+	rejected []*configuration.Proposal // on a version that did not exist yet
 }
 
 func (r *reference) number() uint64 {
@@ -70,65 +70,65 @@
 	return r.current.Number
 }
 
-func (r *reference) wasAccepted(o *configuration.Proposal) bool { return contains(r.accepted, o) }
+func (r *reference) wasAccepted(p *configuration.Proposal) bool { return contains(r.accepted, p) }
 
-func contains(list []*configuration.Proposal, o *configuration.Proposal) bool {
+func contains(list []*configuration.Proposal, p *configuration.Proposal) bool {
 	for _, t := range list {
-		if cmp.Equal(t, o) {
+		if cmp.Equal(t, p) {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *reference) apply(index uint64, o *configuration.Proposal) configuration.Result {
+func (r *reference) apply(index uint64, p *configuration.Proposal) configuration.Result {
 	switch {
-	case r.wasAccepted(o):
+	case r.wasAccepted(p):
 		return configuration.Accepted
-	case o.Base != r.number():
-		if o.Base > r.number() {
-			r.rejected = append(r.rejected, o)
+	case p.Base != r.number():
+		if p.Base > r.number() {
+			r.rejected = append(r.rejected, p)
 		}
 		return configuration.Conflict
-	case o.Number <= r.number():
+	case p.Number <= r.number():
 		return configuration.NotNewer
-	case contains(r.rejected, o):
+	case contains(r.rejected, p):
 		return configuration.Conflict
 	}
-	r.current, r.index = o, index
-	r.accepted = append(r.accepted, o)
+	r.current, r.index = p, index
+	r.accepted = append(r.accepted, p)
 	return configuration.Accepted
 }
 
-// TestStateMachine_RandomProposals_AgreesWithReference applies any orders, duplicates among them, with snapshots in between: the results and the
-// current one are the reference's, and each version has one successor at most.
+// TestStateMachine_RandomProposals_AgreesWithReference applies random proposals, including duplicates, with snapshots in between. The
+// results and the current version must equal the reference's, and each version must have one successor at most.
 func TestStateMachine_RandomProposals_AgreesWithReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine, want := configuration.New(), &reference{}
 		var sent []*configuration.Proposal
-		successors := map[uint64]string{} // content of the order taken on a version
-		for index := range uint64(rapid.IntRange(1, 40).Draw(t, "orders")) {
-			var o *configuration.Proposal
-			if len(sent) > 0 && rapid.Bool().Draw(t, "again") {
-				o = rapid.SampledFrom(sent).Draw(t, "which")
+		successors := map[uint64]string{} // content of the proposal accepted on each version
+		for index := range uint64(rapid.IntRange(1, 40).Draw(t, "proposals")) {
+			var p *configuration.Proposal
+			if len(sent) > 0 && rapid.Bool().Draw(t, "duplicate") {
+				p = rapid.SampledFrom(sent).Draw(t, "which")
 			} else {
 				base := rapid.SampledFrom([]uint64{want.number(), rapid.Uint64Range(0, 12).Draw(t, "base")}).Draw(t, "on")
-				o = proposal(base, rapid.Uint64Range(0, 12).Draw(t, "number"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "content"))
-				sent = append(sent, o)
+				p = proposal(base, rapid.Uint64Range(0, 12).Draw(t, "number"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "content"))
+				sent = append(sent, p)
 			}
-			known := machine.WasAccepted(o)
-			result := machine.Apply(index+1, o)
+			known := machine.WasAccepted(p)
+			result := machine.Apply(index+1, p)
 			if known && result != configuration.Accepted {
-				t.Fatalf("an order that had been taken was %s", result)
+				t.Fatalf("the result of a duplicate of an accepted proposal is %s", result)
 			}
-			if expected := want.apply(index+1, o); result != expected {
-				t.Fatalf("order %+v was %s, want %s", o, result, expected)
+			if expected := want.apply(index+1, p); result != expected {
+				t.Fatalf("the result of proposal %+v is %s, want %s", p, result, expected)
 			}
 			if result == configuration.Accepted {
-				if other, ok := successors[o.Base]; ok && other != string(o.Raw) {
-					t.Fatalf("two changes on version %d", o.Base)
+				if other, ok := successors[p.Base]; ok && other != string(p.Raw) {
+					t.Fatalf("two different proposals on version %d were accepted", p.Base)
 				}
-				successors[o.Base] = string(o.Raw)
+				successors[p.Base] = string(p.Raw)
 			}
 			if current := machine.Current(); current.Number != want.number() || current.Index != want.index {
 				t.Fatalf("current %d of entry %d, want %d of entry %d", current.Number, current.Index, want.number(), want.index)
@@ -140,7 +140,7 @@
 	})
 }
 
-// restored is the state machine after its snapshot has been written and read.
+// restored returns the state machine after its snapshot has been encoded, decoded and restored.
 func restored(t rapid.TB, r *configuration.StateMachine) *configuration.StateMachine {
 	raw, err := json.Marshal(r.Snapshot())
 	if err != nil {
@@ -157,57 +157,58 @@
 	return restored
 }
 
-// TestHistory_BeyondBound_TruncatesOldest checks that only the oldest orders are truncated, that none of them is rejected for it, and how much
-// the rest takes.
+// TestHistory_BeyondBound_TruncatesOldest checks that only the oldest proposals are truncated, that a duplicate of a truncated one is
+// not rejected, and the size of the remaining history.
 func TestHistory_BeyondBound_TruncatesOldest(t *testing.T) {
 	const (
-		bound       = 32768
-		recordBytes = 17 // with the numbers in steps of one
+		bound      = 32768
+		entryBytes = 17 // if each number is one higher than the one before
 	)
 	r := configuration.New()
 	for number := uint64(1); number <= bound+1; number++ {
 		if got := r.Apply(number, proposal(number-1, number, "x")); got != configuration.Accepted {
-			t.Fatalf("order %d was %s", number, got)
+			t.Fatalf("the result of proposal %d is %s", number, got)
 		}
 	}
 	for _, known := range []*configuration.StateMachine{r, restored(t, r)} {
 		if !known.WasAccepted(proposal(1, 2, "x")) || known.WasAccepted(proposal(0, 1, "x")) {
-			t.Error("not the oldest order was truncated")
+			t.Error("not exactly the oldest proposal was truncated")
 		}
 		if got := known.Apply(bound+2, proposal(0, 1, "x")); got != configuration.HistoryTruncated {
-			t.Errorf("an order that may have been taken was %s", got)
+			t.Errorf("the result of a proposal that may have been accepted is %s", got)
 		}
 		if got := known.Apply(bound+3, proposal(1, 2, "y")); got != configuration.Conflict {
-			t.Errorf("an order on a version that another one replaced was %s", got)
+			t.Errorf("the result of a proposal on a version that has been replaced is %s", got)
 		}
 	}
-	if got := len(r.Snapshot().History); got != bound*recordBytes {
-		t.Errorf("the history takes %d bytes, want %d", got, bound*recordBytes)
+	if got := len(r.Snapshot().History); got != bound*entryBytes {
+		t.Errorf("the history takes %d bytes, want %d", got, bound*entryBytes)
 	}
 }
 
-// TestStateMachine_DuplicatesAfterManyChanges_Acknowledged sends each of 1,000 orders again after all of them, in uneven steps and over snapshots.
+// TestStateMachine_DuplicatesAfterManyChanges_Acknowledged applies 1,000 proposals whose numbers grow in uneven steps, restores a
+// snapshot, and applies each of them again.
 func TestStateMachine_DuplicatesAfterManyChanges_Acknowledged(t *testing.T) {
 	const changes = 1000
 	r := configuration.New()
 	var sent []*configuration.Proposal
 	for i := range uint64(changes) {
-		o := proposal(r.Current().Number, r.Current().Number+1+i*i%97, fmt.Sprint(i))
-		if got := r.Apply(i+1, o); got != configuration.Accepted {
-			t.Fatalf("order %d was %s", i, got)
+		p := proposal(r.Current().Number, r.Current().Number+1+i*i%97, fmt.Sprint(i))
+		if got := r.Apply(i+1, p); got != configuration.Accepted {
+			t.Fatalf("the result of proposal %d is %s", i, got)
 		}
-		sent = append(sent, o)
+		sent = append(sent, p)
 	}
 	r = restored(t, r)
 	now := r.Current()
-	for i, o := range sent {
-		if got := r.Apply(changes+1, o); got != configuration.Accepted {
-			t.Errorf("order %d was %s when it came again", i, got)
+	for i, p := range sent {
+		if got := r.Apply(changes+1, p); got != configuration.Accepted {
+			t.Errorf("the result of a duplicate of proposal %d is %s", i, got)
 		}
-		other := *o
+		other := *p
 		other.Raw = json.RawMessage(`"other"`)
 		if got := r.Apply(changes+1, &other); got != configuration.Conflict {
-			t.Errorf("another order with the base and the number of order %d was %s", i, got)
+			t.Errorf("the result of another proposal with the base and number of proposal %d is %s", i, got)
 		}
 	}
 	if diff := cmp.Diff(now, r.Current()); diff != "" {
@@ -224,7 +225,8 @@
 	t.Logf("a snapshot after %d changes takes %d bytes", changes, len(raw))
 }
 
-// TestRejections_BeyondBound_DropsOldest has many orders come before their version; those that still can be taken are remembered.
+// TestRejections_BeyondBound_DropsOldest applies many proposals before their base versions exist. The rejections of the newest ones are
+// kept until their base versions are replaced.
 func TestRejections_BeyondBound_DropsOldest(t *testing.T) {
 	const bound = 64
 	r := configuration.New()
@@ -232,16 +234,16 @@
 		r.Apply(i+1, proposal(5+i%2, 90, fmt.Sprint(i)))
 	}
 	if got := len(r.Snapshot().Rejected); got != bound {
-		t.Errorf("%d rejections are kept, want %d", got, bound)
+		t.Errorf("got %d rejections, want %d", got, bound)
 	}
 	last := proposal(5+(3*bound-1)%2, 90, fmt.Sprint(3*bound-1))
 	r.Apply(500, proposal(0, last.Base, "now"))
 	if got := restored(t, r).Apply(501, last); got != configuration.Conflict {
-		t.Errorf("an order that was rejected is %s", got)
+		t.Errorf("the result of a duplicate of a rejected proposal is %s", got)
 	}
 	r.Apply(502, proposal(last.Base, 91, "next"))
 	if got := r.Snapshot().Rejected; len(got) > 0 {
-		t.Errorf("%d rejections are kept of versions that have been replaced", len(got))
+		t.Errorf("%d rejections on replaced versions are still kept", len(got))
 	}
 }
 
--- a/internal/tier/decommission/drained_test.go
+++ b/internal/tier/decommission/drained_test.go
@@ -37,32 +37,32 @@
 		change func(groups map[int]decommission.GroupStatus, placement *decommission.Placement)
 		want   bool
 	}{
-		{"all have moved", func(map[int]decommission.GroupStatus, *decommission.Placement) {}, true},
-		{"nothing is placed", func(_ map[int]decommission.GroupStatus, p *decommission.Placement) { p.Shards = nil }, false},
+		{"all replicas have moved", func(map[int]decommission.GroupStatus, *decommission.Placement) {}, true},
+		{"there is no placement", func(_ map[int]decommission.GroupStatus, p *decommission.Placement) { p.Shards = nil }, false},
 		{"a shard's leader does not report", func(g map[int]decommission.GroupStatus, _ *decommission.Placement) { delete(g, 1) }, false},
 		{"a group follows an older placement", func(g map[int]decommission.GroupStatus, _ *decommission.Placement) {
 			g[1] = decommission.GroupStatus{PlacementIndex: 8, Members: ids("c", "d", "e"), CaughtUp: ids("c", "d", "e")}
 		}, false},
-		{"the machine still is a member", func(g map[int]decommission.GroupStatus, _ *decommission.Placement) {
+		{"the machine is still a member", func(g map[int]decommission.GroupStatus, _ *decommission.Placement) {
 			g[1] = decommission.GroupStatus{PlacementIndex: 9, Members: ids("a", "c", "d", "e"), CaughtUp: ids("c", "d", "e")}
 		}, false},
-		{"a new replica has no vote or lags", func(g map[int]decommission.GroupStatus, _ *decommission.Placement) {
+		{"a new replica is a learner or lags", func(g map[int]decommission.GroupStatus, _ *decommission.Placement) {
 			g[1] = decommission.GroupStatus{PlacementIndex: 9, Members: ids("c", "d", "e"), CaughtUp: ids("c", "d")}
 		}, false},
 		{"a new replica is missing", func(g map[int]decommission.GroupStatus, _ *decommission.Placement) {
 			g[1] = decommission.GroupStatus{PlacementIndex: 9, Members: ids("c", "d"), CaughtUp: ids("c", "d")}
 		}, false},
-		{"the machine is wanted under another identity", func(g map[int]decommission.GroupStatus, p *decommission.Placement) {
+		{"the placement has the machine under another identity", func(g map[int]decommission.GroupStatus, p *decommission.Placement) {
 			p.Shards[1] = shard("c", "d", "a")
 			p.Shards[1].Replicas[2].ID = "a-2"
 			g[1] = decommission.GroupStatus{PlacementIndex: 9, Members: []string{"c-1", "d-1", "a-2"}, CaughtUp: []string{"c-1", "d-1", "a-2"}}
 		}, false},
-		{"the identity is wanted under another name", func(g map[int]decommission.GroupStatus, p *decommission.Placement) {
+		{"the placement has the identity on another machine", func(g map[int]decommission.GroupStatus, p *decommission.Placement) {
 			p.Shards[1] = shard("c", "d", "e")
 			p.Shards[1].Replicas[2].ID = "a-1"
 			g[1] = decommission.GroupStatus{PlacementIndex: 9, Members: ids("c", "d", "a"), CaughtUp: ids("c", "d", "a")}
 		}, false},
-		{"too few replicas are wanted", func(g map[int]decommission.GroupStatus, p *decommission.Placement) {
+		{"the placement has too few replicas", func(g map[int]decommission.GroupStatus, p *decommission.Placement) {
 			p.Shards[1] = shard("c", "d")
 			g[1] = decommission.GroupStatus{PlacementIndex: 9, Members: ids("c", "d"), CaughtUp: ids("c", "d")}
 		}, false},
@@ -73,7 +73,7 @@
 			placement := decommission.Placement{Index: placed.Index, Shards: append([]view.ShardPlacement(nil), placed.Shards...)}
 			test.change(groups, &placement)
 			if got := decommission.IsDrained(operation, placement, groups, 3); got != test.want {
-				t.Errorf("drained: %v, want %v", got, test.want)
+				t.Errorf("IsDrained is %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/tier/decommission/duplicate_mutants_test.go
+++ b/internal/tier/decommission/duplicate_mutants_test.go
@@ -19,7 +19,7 @@
 			Run: "^TestStateMachine_Duplicates_NeverRejected$",
 		},
 		{
-			Name: "an order is acknowledged whenever the machine was drained before",
+			Name: "a proposal is acknowledged whenever the machine was drained before",
 			Change: mutation.Change{
 				File: "state_machine.go",
 				Old:  "exists && operation.Index > proposal.DedupExpiredIndex",
@@ -28,7 +28,7 @@
 			Run: "^TestStateMachine_Duplicates_NeverRejected$",
 		},
 		{
-			Name: "an ended operation begins again",
+			Name: "a finished operation starts again",
 			Change: mutation.Change{
 				File: "state_machine.go",
 				Old:  `operation.State == InService || proposal.ID == "" || operation.has(proposal.ID)`,
--- a/internal/tier/decommission/proposal.go
+++ b/internal/tier/decommission/proposal.go
@@ -1,6 +1,6 @@
 package decommission
 
-// State is how far a decommissioning has come. The values are part of the operator's API and of stored data.
+// State is the progress of a decommissioning. The values are part of the operator's API and of stored data.
 type State string
 
 // The states of an operation.
@@ -15,8 +15,8 @@
 	ID   string `json:"id"`
 }
 
-// Proposal asks to drain a store. It is stored in the replicated log, with all that the leader saw when it proposed it: replicas
-// must decide alike.
+// Proposal asks to drain a store. It is stored in the replicated log with the leader's view of the stores, so that all replicas
+// decide alike.
 type Proposal struct {
 	Store
 	RunningStores []Store `json:"running"` // when the leader proposed this
--- a/internal/tier/decommission/state_machine.go
+++ b/internal/tier/decommission/state_machine.go
@@ -18,7 +18,7 @@
 // has reports whether the identity is one of the machine's.
 func (o *Operation) has(id string) bool { return slices.Contains(o.IDs, id) }
 
-// add adds identities.
+// add adds identities, without duplicates and empty ones.
 func (o *Operation) add(ids ...string) {
 	all := slices.Clone(o.IDs)
 	for _, id := range ids {
@@ -39,8 +39,8 @@
 func New() *StateMachine { return &StateMachine{operations: map[string]Operation{}} }
 
 // ApplyProposal decides a proposal that was committed at that log index. A duplicate changes nothing, also after the operation's
-// end; a machine that has come back with a new identity is drained anew. Where too few stores would remain for that, a proposal
-// that may be a late copy of an accepted one is acknowledged nevertheless: that one has been carried out.
+// end; a machine that has returned with a new identity is drained again. If too few stores would remain, a proposal that may be a
+// late duplicate of an accepted one is acknowledged nevertheless, since the accepted one has been carried out.
 func (s *StateMachine) ApplyProposal(index uint64, proposal Proposal) Result {
 	operation, exists := s.operations[proposal.Node]
 	if exists && (operation.State == InService || proposal.ID == "" || operation.has(proposal.ID)) {
--- a/internal/tier/decommission/state_machine_test.go
+++ b/internal/tier/decommission/state_machine_test.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/tier/decommission"
 )
 
-// running are machines a, b, ... with the identities a-1, b-1, ...
+// runningStores returns machines a, b, ... with the identities a-1, b-1, ...
 func runningStores(nodes ...string) []decommission.Store {
 	var machines []decommission.Store
 	for _, node := range nodes {
@@ -29,29 +29,29 @@
 
 func TestStateMachine_Proposal_KeepsMinimumOfStores(t *testing.T) {
 	tests := []struct {
-		name  string
-		given func(machine *decommission.StateMachine)
-		order decommission.Proposal
-		want  decommission.Result
+		name    string
+		given   func(machine *decommission.StateMachine)
+		applied decommission.Proposal
+		want    decommission.Result
 	}{
 		{"three remain", nil, proposal("a", "a", "b", "c", "d"), decommission.Accepted},
 		{"two remain", nil, proposal("a", "a", "b", "c"), decommission.TooFewStores},
 		{"the machine is down and three remain", nil, proposal("a", "b", "c", "d"), decommission.Accepted},
 		{"the machine is down and two remain", nil, proposal("a", "b", "c"), decommission.TooFewStores},
-		{"another is being drained", func(machine *decommission.StateMachine) { machine.ApplyProposal(1, proposal("b", "a", "b", "c", "d")) },
+		{"another machine is being drained", func(machine *decommission.StateMachine) { machine.ApplyProposal(1, proposal("b", "a", "b", "c", "d")) },
 			proposal("a", "a", "b", "c", "d"), decommission.TooFewStores},
-		{"another was drained and still runs", func(machine *decommission.StateMachine) {
+		{"another machine was drained and still runs", func(machine *decommission.StateMachine) {
 			machine.ApplyProposal(1, proposal("b", "a", "b", "c", "d"))
 			machine.ApplyDecision(finished("b"))
 		},
 			proposal("a", "a", "b", "c", "d"), decommission.TooFewStores},
-		{"two at once and three remain", func(machine *decommission.StateMachine) {
+		{"two are drained at once and three remain", func(machine *decommission.StateMachine) {
 			machine.ApplyProposal(1, proposal("b", "a", "b", "c", "d", "e"))
 		},
 			proposal("a", "a", "b", "c", "d", "e"), decommission.Accepted},
-		{"the same again, though now too few would remain", func(machine *decommission.StateMachine) { machine.ApplyProposal(1, proposal("a", "a", "b", "c", "d")) },
+		{"a duplicate, though now too few would remain", func(machine *decommission.StateMachine) { machine.ApplyProposal(1, proposal("a", "a", "b", "c", "d")) },
 			proposal("a", "a", "b"), decommission.Accepted},
-		{"the same again after its end", func(machine *decommission.StateMachine) {
+		{"a duplicate after the end of the operation", func(machine *decommission.StateMachine) {
 			machine.ApplyProposal(1, proposal("a", "a", "b", "c", "d"))
 			machine.ApplyDecision(finished("a"))
 		},
@@ -63,15 +63,15 @@
 			if test.given != nil {
 				test.given(r)
 			}
-			if got := r.ApplyProposal(1, test.order); got != test.want {
-				t.Errorf("order was %s, want %s", got, test.want)
+			if got := r.ApplyProposal(1, test.applied); got != test.want {
+				t.Errorf("result %s, want %s", got, test.want)
 			}
 		})
 	}
 }
 
 func TestStateMachine_RetiredIdentities_StayExcluded(t *testing.T) {
-	// Given a machine that was drained after its disk had been replaced on the way.
+	// Given a machine that was drained, and whose disk was replaced meanwhile.
 	r := decommission.New()
 	r.ApplyProposal(1, proposal("a", "a", "b", "c", "d"))
 	if !r.Excludes(decommission.Store{Node: "a", ID: "a-2"}) {
@@ -79,18 +79,18 @@
 	}
 	r.ApplyDecision(decommission.Decision{Node: "a", IDs: []string{"a-2"}})
 
-	// Then neither identity may have replicas again, wherever it appears, but a third one may.
+	// Then neither identity may get replicas again, on whichever machine, but a third one may.
 	for id, want := range map[string]bool{"a-1": true, "a-2": true, "a-3": false} {
 		if got := r.Excludes(decommission.Store{Node: "a", ID: id}); got != want {
 			t.Errorf("identity %s is excluded: %v, want %v", id, got, want)
 		}
 	}
 
-	// And the machine can be drained again under the third.
-	reordered := proposal("a", "a", "b", "c", "d")
-	reordered.ID, reordered.AtMs = "a-3", 70
-	if got := r.ApplyProposal(9, reordered); got != decommission.Accepted {
-		t.Fatalf("order about the new identity was %s", got)
+	// And the machine can be drained again under the third identity.
+	repeated := proposal("a", "a", "b", "c", "d")
+	repeated.ID, repeated.AtMs = "a-3", 70
+	if got := r.ApplyProposal(9, repeated); got != decommission.Accepted {
+		t.Fatalf("the result for the new identity is %s", got)
 	}
 	want := decommission.Operation{Node: "a", IDs: []string{"a-1", "a-2", "a-3"}, State: decommission.InService, Index: 9, AtMs: 70}
 	got, _ := r.Operation("a")
@@ -99,42 +99,42 @@
 	}
 }
 
-// TestStateMachine_Duplicates_NeverRejected has an order come again when the machine has come back with another disk, and too few machines
-// would remain without it.
+// TestStateMachine_Duplicates_NeverRejected applies a duplicate after the machine has returned with another disk, when too few
+// machines would remain without it.
 func TestStateMachine_Duplicates_NeverRejected(t *testing.T) {
 	const index = 7
 	tests := []struct {
-		name  string
-		order func(order *decommission.Proposal)
-		want  decommission.Result
-		state decommission.State
+		name   string
+		change func(proposal *decommission.Proposal)
+		want   decommission.Result
+		state  decommission.State
 	}{
 		{"the same machine", func(*decommission.Proposal) {}, decommission.Accepted, decommission.Finished},
-		{"the same machine, long after", func(o *decommission.Proposal) { o.DedupExpiredIndex = index }, decommission.Accepted, decommission.Finished},
-		{"a machine that is away", func(o *decommission.Proposal) { o.ID, o.DedupExpiredIndex = "", index }, decommission.Accepted, decommission.Finished},
-		{"another disk, and enough remain", func(o *decommission.Proposal) { o.ID, o.RunningStores = "a-2", runningStores("b", "c", "d") }, decommission.Accepted, decommission.InService},
-		{"another disk, and too few remain", func(o *decommission.Proposal) { o.ID = "a-2" }, decommission.Accepted, decommission.Finished},
-		{"another disk, and too few remain, long after", func(o *decommission.Proposal) { o.ID, o.DedupExpiredIndex = "a-2", index }, decommission.TooFewStores, decommission.Finished},
-		{"another machine, and too few remain", func(o *decommission.Proposal) { o.Store = decommission.Store{Node: "b", ID: "b-1"} }, decommission.TooFewStores, ""},
+		{"the same machine, after the dedup window", func(p *decommission.Proposal) { p.DedupExpiredIndex = index }, decommission.Accepted, decommission.Finished},
+		{"a machine that is down", func(p *decommission.Proposal) { p.ID, p.DedupExpiredIndex = "", index }, decommission.Accepted, decommission.Finished},
+		{"another disk, and enough remain", func(p *decommission.Proposal) { p.ID, p.RunningStores = "a-2", runningStores("b", "c", "d") }, decommission.Accepted, decommission.InService},
+		{"another disk, and too few remain", func(p *decommission.Proposal) { p.ID = "a-2" }, decommission.Accepted, decommission.Finished},
+		{"another disk, and too few remain, after the dedup window", func(p *decommission.Proposal) { p.ID, p.DedupExpiredIndex = "a-2", index }, decommission.TooFewStores, decommission.Finished},
+		{"another machine, and too few remain", func(p *decommission.Proposal) { p.Store = decommission.Store{Node: "b", ID: "b-1"} }, decommission.TooFewStores, ""},
 	}
 	for _, test := range tests {
 		for _, snapshot := range []bool{false, true} {
 			t.Run(fmt.Sprint(test.name, ", after a snapshot: ", snapshot), func(t *testing.T) {
-				// Given a machine that was drained, and of the others two that run.
+				// Given a machine that was drained, and two other machines that run.
 				r := decommission.New()
 				r.ApplyProposal(index, proposal("a", "a", "b", "c", "d"))
 				r.ApplyDecision(finished("a"))
 				if snapshot {
 					r = decommission.Restore(r.Snapshot())
 				}
-				// When an order comes.
-				asked := proposal("a", "b", "c")
-				test.order(&asked)
-				got := r.ApplyProposal(index+5, asked)
+				// When a proposal is committed.
+				proposed := proposal("a", "b", "c")
+				test.change(&proposed)
+				got := r.ApplyProposal(index+5, proposed)
 				// Then a duplicate is acknowledged.
-				known, _ := r.Operation(asked.Node)
+				known, _ := r.Operation(proposed.Node)
 				if got != test.want || known.State != test.state {
-					t.Errorf("the order is %s and the machine %q, want %s and %q", got, known.State, test.want, test.state)
+					t.Errorf("result %s and state %q, want %s and %q", got, known.State, test.want, test.state)
 				}
 			})
 		}
@@ -144,19 +144,19 @@
 func TestStateMachine_RepeatedDecision_ChangesNothing(t *testing.T) {
 	r := decommission.New()
 	r.ApplyDecision(finished("a"))
-	if _, asked := r.Operation("a"); asked {
-		t.Error("a decision without an order made one")
+	if _, exists := r.Operation("a"); exists {
+		t.Error("a decision without a proposal created an operation")
 	}
 	r.ApplyProposal(1, proposal("a", "a", "b", "c", "d"))
 	r.ApplyDecision(finished("a"))
 	r.ApplyDecision(decommission.Decision{Node: "a", IDs: []string{"late"}})
 	if r.Excludes(decommission.Store{Node: "z", ID: "late"}) {
-		t.Error("a second decision changed a finished order")
+		t.Error("a second decision changed a finished operation")
 	}
 }
 
-// TestStateMachine_RandomProposals_KeepsInvariants checks any sequence of orders and decisions: a finished order stays finished for its identity,
-// too few machines never remain, and a snapshot at any point changes nothing.
+// TestStateMachine_RandomProposals_KeepsInvariants applies random proposals and decisions: identities of finished operations stay
+// excluded, too few machines never remain, and a snapshot at any point changes nothing.
 func TestStateMachine_RandomProposals_KeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stateMachine := decommission.New()
@@ -166,21 +166,21 @@
 			machine.ID = fmt.Sprint(machine.Node, "-", rapid.IntRange(1, 2).Draw(t, "identity"))
 			switch rapid.IntRange(0, 2).Draw(t, "kind") {
 			case 0:
-				asked := decommission.Proposal{Store: machine, MinRemaining: 3,
+				proposed := decommission.Proposal{Store: machine, MinRemaining: 3,
 					RunningStores: rapid.Permutation(runningStores("a", "b", "c", "d", "e")).Draw(t, "running")[:rapid.IntRange(0, 5).Draw(t, "count")]}
 				before := stateMachine.Snapshot()
-				result := stateMachine.ApplyProposal(1, asked)
+				result := stateMachine.ApplyProposal(1, proposed)
 				if result == decommission.TooFewStores && !cmp.Equal(before, stateMachine.Snapshot()) {
-					t.Fatal("a rejected order changed something")
+					t.Fatal("a rejected proposal changed the state")
 				}
-				if result == decommission.Accepted && !cmp.Equal(before, stateMachine.Snapshot()) && remaining(stateMachine, asked.RunningStores) < 3 {
-					t.Fatal("an order left too few machines")
+				if result == decommission.Accepted && !cmp.Equal(before, stateMachine.Snapshot()) && remaining(stateMachine, proposed.RunningStores) < 3 {
+					t.Fatal("an accepted proposal left too few machines")
 				}
 			case 1:
-				open := stateMachine.Active()
-				if len(open) > 0 {
-					stateMachine.ApplyDecision(decommission.Decision{Node: open[0].Node, IDs: open[0].IDs})
-					for _, id := range open[0].IDs {
+				active := stateMachine.Active()
+				if len(active) > 0 {
+					stateMachine.ApplyDecision(decommission.Decision{Node: active[0].Node, IDs: active[0].IDs})
+					for _, id := range active[0].IDs {
 						finished[id] = true
 					}
 				}
--- a/internal/tier/view/view.go
+++ b/internal/tier/view/view.go
@@ -1,8 +1,8 @@
 // Package view holds what the control plane disseminates to every process: one section each for the configuration, the endpoints,
 // the roll-outs and the placement of shards. The leader of the controllers writes sections; package gossip spreads them between
-// processes, and a proxy's feed brings them to proxies. A section is replaced as a whole by one with a higher stamp, so that
-// updates may arrive in any order and more than once. Values are immutable once shared. The JSON goes between processes of
-// different versions: tags must not change.
+// processes, and package viewfeed streams them to proxies. A section is replaced as a whole by one with a higher stamp, so that
+// updates may arrive in any order and more than once. Values are immutable once shared. Processes of different versions exchange
+// the JSON: tags must not change.
 package view
 
 import (
@@ -37,14 +37,14 @@
 // Digest is the stamp of each section that a process has.
 type Digest map[Section]Stamp
 
-// Update is one section's content with its stamp, as it goes between processes.
+// Update is one section's content with its stamp, as processes exchange it.
 type Update struct {
 	Section Section         `json:"section"`
 	Stamp   Stamp           `json:"stamp"`
 	Body    json.RawMessage `json:"body"`
 }
 
-// AppendJSON implements transport.Appender: the bytes are those of encoding/json, without encoding the body again.
+// AppendJSON implements transport.Appender. It gives the same bytes as encoding/json, without encoding the body again.
 func (u Update) AppendJSON(buffer []byte) ([]byte, error) {
 	section, err := json.Marshal(u.Section)
 	if err != nil {
@@ -103,10 +103,10 @@
 	Shards []ShardPlacement `json:"shards"` // the index is the shard's number
 }
 
-// ShardPlacement lists the replicas that a shard is to have.
+// ShardPlacement lists the replicas that a shard should have.
 type ShardPlacement struct {
-	Initial  []Replica `json:"initial"`  // the members with which the group began
-	Replicas []Replica `json:"replicas"` // the members that it is to have now
+	Initial  []Replica `json:"initial"`  // the group's initial members
+	Replicas []Replica `json:"replicas"` // the group's target members
 }
 
 // Replica is one replica of a shard.
--- a/internal/tier/viewfeed/feed.go
+++ b/internal/tier/viewfeed/feed.go
@@ -1,5 +1,5 @@
 // Package viewfeed maintains a proxy's view: the configuration, the endpoints, the rollouts and the placement of shards. A Feed
-// streams updates from the agent on the same machine, and keeps the last ones while the agent is unavailable.
+// streams updates from the agent on the same machine, and keeps the newest ones while the agent is unavailable.
 //
 // Package command runs one Feed in each proxy. Run applies updates in one goroutine; Routes and Ready are safe to call from
 // any.
@@ -48,7 +48,7 @@
 	hasEndpoints atomic.Bool // a list of endpoints has been applied
 }
 
-// New returns a feed without any section of a view.
+// New returns a feed that has no section yet.
 func New(address string, pool *transport.Pool, programs *programclient.Client, endpoints Endpoints, logger log.Logger) *Feed {
 	return &Feed{address: address, pool: pool, programs: programs, endpoints: endpoints, logger: logger, digest: view.Digest{}}
 }
@@ -93,7 +93,7 @@
 	f.digest[update.Section] = update.Stamp
 }
 
-// apply decodes an update and passes it on. Sections that it doesn't know are ignored.
+// apply decodes an update and applies it. Unknown sections are ignored.
 func (f *Feed) apply(update view.Update) error {
 	switch update.Section {
 	case view.ConfigurationSection:
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// applyConfiguration swaps the routes. The configuration's number must not decrease, whatever the update's stamp.
+// applyConfiguration replaces the routes. The configuration's number must not decrease, whatever the update's stamp.
 func (f *Feed) applyConfiguration(body json.RawMessage) error {
 	var config view.Config
 	if err := json.Unmarshal(body, &config); err != nil {
@@ -132,7 +132,7 @@
 		return err
 	}
 	if current := f.routes.Load(); current != nil && configuration.Version < current.Number {
-		return fmt.Errorf("configuration %d is older than %d, which is in force", configuration.Version, current.Number)
+		return fmt.Errorf("configuration number %d is lower than %d, which is in force", configuration.Version, current.Number)
 	}
 	f.routes.Store(proxy.NewRoutes(configuration))
 	level.Info(f.logger).Log("msg", "configuration in force", "number", configuration.Version)
--- a/internal/tier/viewfeed/feed_test.go
+++ b/internal/tier/viewfeed/feed_test.go
@@ -14,7 +14,7 @@
 	"mastusher/internal/tier/view"
 )
 
-// recordedEndpoints records what a feed passes on.
+// recordedEndpoints records the endpoints and versions that a feed applies.
 type recordedEndpoints struct {
 	lists    [][]model.Endpoint
 	versions [][]view.ServiceVersions
@@ -37,7 +37,7 @@
 	return view.Update{Section: section, Stamp: view.Stamp{Term: term, Sequence: sequence}, Body: json.RawMessage(body)}
 }
 
-// configuration returns a configuration's section: one route, whose turns may be remembered.
+// configuration returns the configuration section with one route, which is stateful if its turns are remembered.
 func configuration(term, sequence uint64, number int, remembered bool) view.Update {
 	raw := fmt.Sprintf(`{"number":%d,"routes":[{"name":"r","host":"a.example","startsWith":"/r/","kind":"streaming","giveUpMs":5000,
 		"targetMs":200,"rank":1,"service":"s","tries":1,"remembered":%t,"keepForS":60}],"services":[{"name":"s","healthPath":"/h",
@@ -54,21 +54,21 @@
 		updates []view.Update
 		want    bool
 	}{
-		{"given nothing then it isn't ready", nil, false},
-		{"given no list then it isn't ready", []view.Update{configuration(1, 1, 1, true), placement}, false},
+		{"given no updates then it isn't ready", nil, false},
+		{"given no endpoints then it isn't ready", []view.Update{configuration(1, 1, 1, true), placement}, false},
 		{"given no configuration then it isn't ready", []view.Update{list, placement}, false},
-		{"given remembered turns and no placement then it isn't ready", []view.Update{configuration(1, 1, 1, true), list}, false},
-		{"given all three then it is ready", []view.Update{configuration(1, 1, 1, true), list, placement}, true},
-		{"given no remembered turns then it needs no placement", []view.Update{configuration(1, 1, 1, false), list}, true},
+		{"given a stateful route and no placement then it isn't ready", []view.Update{configuration(1, 1, 1, true), list}, false},
+		{"given configuration, endpoints and placement then it is ready", []view.Update{configuration(1, 1, 1, true), list, placement}, true},
+		{"given no stateful route then it needs no placement", []view.Update{configuration(1, 1, 1, false), list}, true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			f, _ := newFeed(t)
-			for _, one := range test.updates {
-				f.handle(one)
+			for _, u := range test.updates {
+				f.handle(u)
 			}
 			if got := f.Ready(); got != test.want {
-				t.Errorf("ready: %v", got)
+				t.Errorf("Ready is %v", got)
 			}
 		})
 	}
@@ -80,20 +80,20 @@
 		updates []view.Update
 		want    uint64
 	}{
-		{"given a newer one then it is applied", []view.Update{configuration(1, 1, 4, false), configuration(1, 2, 7, false)}, 7},
+		{"given a newer configuration then it is applied", []view.Update{configuration(1, 1, 4, false), configuration(1, 2, 7, false)}, 7},
 		{"given an older stamp then it is ignored", []view.Update{configuration(1, 2, 4, false), configuration(1, 1, 7, false)}, 4},
 		{"given an older number under a newer stamp then it is ignored",
 			[]view.Update{configuration(1, 1, 7, false), configuration(2, 1, 4, false)}, 7},
-		{"given one that can't be decoded then the one before stays",
+		{"given a configuration that can't be decoded then the previous one stays",
 			[]view.Update{configuration(1, 1, 7, false), update(view.ConfigurationSection, 2, 1, `{"raw":{"number":`)}, 7},
-		{"given one that comes after an older number then it is applied",
+		{"given a newer number after an older one was ignored then it is applied",
 			[]view.Update{configuration(1, 1, 7, false), configuration(2, 1, 4, false), configuration(2, 2, 9, false)}, 9},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			f, _ := newFeed(t)
-			for _, one := range test.updates {
-				f.handle(one)
+			for _, u := range test.updates {
+				f.handle(u)
 			}
 			if got := f.Routes().Number; got != test.want {
 				t.Errorf("configuration %d is in force, want %d", got, test.want)
