--- a/internal/tier/controller/api_decommission.go
+++ b/internal/tier/controller/api_decommission.go
@@ -32,7 +32,7 @@
 	}
 	ctx, cancel := context.WithTimeout(e.Request().Context(), proposeTimeout)
 	defer cancel()
-	// What this member knows of machines must not reject the order unless a majority still confirms it as the leader.
+	// A deposed leader must not reject the request by an outdated list of machines, so a majority confirms its leadership first.
 	if err := c.group.Read(ctx, func() {}); err != nil {
 		return readError(err)
 	}
@@ -52,7 +52,7 @@
 	case decommission.TooFewStores:
 		return c.tooFewStoresError(time.Now(), proposal)
 	}
-	return apierror.New(apierror.Internal, "the order has no outcome")
+	return apierror.New(apierror.Internal, "the committed proposal has no known result")
 }
 
 // readDecommissionRequest validates the body. Its duration isn't used.
@@ -65,12 +65,12 @@
 	case err != nil:
 		return bodyError(err)
 	case !(body.OverS >= 0 && body.OverS <= maxOverS):
-		return apierror.New(apierror.BadRequest, "overS: not a time between 0 and %g s", maxOverS)
+		return apierror.New(apierror.BadRequest, "overS: must be from 0 to %g s", maxOverS)
 	}
 	return nil
 }
 
-// decommissionProposal returns the proposal to drain a machine as it is known now.
+// decommissionProposal returns the proposal to drain a machine, with the stores that are running now.
 func (c *Controller) decommissionProposal(now time.Time, node string) (*decommission.Proposal, error) {
 	c.reconcilerMutex.Lock()
 	defer c.reconcilerMutex.Unlock()
@@ -83,7 +83,7 @@
 		store, known = c.absentStore(node)
 	}
 	if !known && !c.hasCompleteView(now) {
-		return nil, apierror.New(apierror.NotReady, "not all machines have been heard of yet")
+		return nil, apierror.New(apierror.NotReady, "the list of storage machines may still be incomplete")
 	}
 	if !known {
 		return nil, apierror.New(apierror.UnknownNode, "no storage machine is named %s", node)
@@ -96,8 +96,8 @@
 	return proposal, nil
 }
 
-// hasCompleteView reports whether what this member knows of machines may reject an order for good. A leader that was partitioned
-// before its election may not know some machines, or take them for dead. The caller must hold reconcilerMutex.
+// hasCompleteView reports whether this member's list of machines is complete enough to reject a request permanently. A leader that
+// was partitioned before its election may lack some machines, or consider them dead. The caller must hold reconcilerMutex.
 func (c *Controller) hasCompleteView(now time.Time) bool {
 	return c.reconciler.Tracker().HasCompleteView(now, c.group.Status().Term)
 }
@@ -112,7 +112,7 @@
 	return placement.Store{}, false
 }
 
-// absentStore finds a store that membership has forgotten, by its replicas or by an earlier operation.
+// absentStore finds a store that membership no longer lists, by its replicas or by an earlier operation.
 func (c *Controller) absentStore(node string) (placement.Store, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -127,8 +127,8 @@
 	return placement.Store{Node: node}, exists
 }
 
-// tooFewStoresError is the error for a proposal that would leave too few stores. It isn't final as long as enough would remain
-// with the stores that are down but may soon be back, or the view isn't complete.
+// tooFewStoresError returns the error for a proposal that would leave too few stores. The error is retryable while enough stores
+// would remain if those that went down recently returned, or while the view isn't complete.
 func (c *Controller) tooFewStoresError(now time.Time, proposal *decommission.Proposal) error {
 	c.reconcilerMutex.Lock()
 	defer c.reconcilerMutex.Unlock()
@@ -141,7 +141,7 @@
 	final := c.state.decommissions.Remaining(withMissing) < proposal.MinRemaining
 	c.mutex.Unlock()
 	if !c.hasCompleteView(now) || !final {
-		return apierror.New(apierror.NotReady, "too few storage machines run now")
+		return apierror.New(apierror.NotReady, "too few storage machines are running now")
 	}
 	return apierror.New(apierror.TooFewStores, "fewer than %d storage machines would remain without %s", proposal.MinRemaining, proposal.Node)
 }
@@ -170,7 +170,7 @@
 		return readError(err)
 	}
 	if !exists {
-		return apierror.New(apierror.UnknownNode, "%s has not been asked to be emptied", node)
+		return apierror.New(apierror.UnknownNode, "no decommissioning of %s has been requested", node)
 	}
 	return e.JSON(http.StatusOK, decommissionStatus{State: operation.State})
 }
--- a/internal/tier/controller/api_errors.go
+++ b/internal/tier/controller/api_errors.go
@@ -19,7 +19,7 @@
 	Error string `json:"error"`
 }
 
-// writeError writes the response to an error, by the table of error kinds.
+// writeError writes the response to an error. Package apierror defines the status and headers of each kind of error.
 func (c *Controller) writeError(err error, e echo.Context) {
 	if e.Response().Committed {
 		return
@@ -39,8 +39,8 @@
 	_ = e.JSON(response.Status, errorBody{Error: err.Error()})
 }
 
-// proposalError is the error for a proposal that the group has not confirmed. A dropped one was certainly not taken (NotReady);
-// of any other, that is unknown (Unconfirmed), and the operator must send the same order again.
+// proposalError returns the error for a proposal whose commit is not confirmed. A dropped proposal was certainly not committed
+// (NotReady). Any other one may have been (Unconfirmed): the operator must send the same request again.
 func (c *Controller) proposalError(err error) error {
 	var notLeader *group.NotLeaderError
 	if errors.As(err, &notLeader) && notLeader.Dropped {
@@ -52,17 +52,17 @@
 	return apierror.New(apierror.Internal, "%w", err)
 }
 
-// readError is the error for a read that no majority has confirmed: the operator is to ask again.
+// readError returns the error for a read that no majority has confirmed. The operator may retry it.
 func readError(err error) error { return apierror.New(apierror.NotReady, "%w", err) }
 
-// bodyError is the error for a request body that can't be read.
+// bodyError returns the error for a request body that can't be read.
 func bodyError(err error) error {
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
-		return apierror.New(apierror.BodyTooLarge, "the body is over %d bytes: %w", large.Limit, err)
+		return apierror.New(apierror.BodyTooLarge, "the request body exceeds %d bytes: %w", large.Limit, err)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return apierror.New(apierror.RequestTimeout, "the body came too slowly: %w", err)
+		return apierror.New(apierror.RequestTimeout, "the request body was not received in time: %w", err)
 	}
-	return apierror.New(apierror.BadRequest, "the body cannot be read whole: %w", err)
+	return apierror.New(apierror.BadRequest, "the request body cannot be read or parsed: %w", err)
 }
--- a/internal/tier/controller/api_redirect.go
+++ b/internal/tier/controller/api_redirect.go
@@ -13,8 +13,8 @@
 	"mastusher/internal/tier/replica"
 )
 
-// redirect answers the request if this member isn't the leader: by a redirect to the leader, or NotReady if none is known. The
-// handler must return err if redirected is true.
+// redirect responds to the request if this member isn't the leader: with a redirect to the leader, or NotReady if none is known.
+// If redirected is true, the handler must return err.
 func (c *Controller) redirect(e echo.Context) (redirected bool, err error) {
 	status := c.group.Status()
 	if status.IsLeader {
@@ -25,15 +25,15 @@
 		address = cmp.Or(c.peerControlAddress(), c.controlAddress(status.Informant))
 	}
 	if address == "" {
-		return true, apierror.New(apierror.NotReady, "the configuration has no owner that is known now")
+		return true, apierror.New(apierror.NotReady, "no leader of the configuration group is known now")
 	}
-	// A caller that sends the complete body before it reads would lose the response if the connection closed earlier.
+	// A caller that sends the complete body before it reads would lose the response if the connection closed early.
 	_, _ = io.Copy(io.Discard, http.MaxBytesReader(e.Response(), e.Request().Body, maxConfigurationBytes))
 	return true, e.Redirect(http.StatusTemporaryRedirect, "http://"+address+e.Request().RequestURI)
 }
 
-// controlAddress is where operators reach another controller; empty if unknown. Its membership state must not matter: the group
-// has heard it lately, and membership takes seconds to notice that a partition has healed.
+// controlAddress returns the address of another controller's operator API, empty if unknown. It ignores the controller's
+// membership state: the group had contact with it recently, and membership takes seconds to detect that a partition has healed.
 func (c *Controller) controlAddress(id string) string {
 	if id == "" || id == c.options.ID {
 		return ""
@@ -46,14 +46,14 @@
 	return ""
 }
 
-// isMember reports whether this controller is in the group; only then does it learn of the group's leader.
+// isMember reports whether this controller is in the group. Only members learn who leads the group.
 func isMember(status replica.Status) bool {
 	return slices.ContainsFunc(status.Members, func(m replica.Member) bool { return m.ID == status.ID })
 }
 
-// peerControlAddress is where operators reach another running controller; empty if there is none. It cycles through the peers,
-// lest two controllers outside the group redirect a caller to each other for ever. The one that has run for the longest time is
-// first, since it most likely is in the group.
+// peerControlAddress returns the address of the operator API of another running controller, empty if there is none. It cycles
+// through the peers, so that two controllers outside the group don't redirect a caller to each other forever. The peer that has run
+// for the longest time comes first, since it is the most likely to be in the group.
 func (c *Controller) peerControlAddress() string {
 	peers := c.runningPeers()
 	if len(peers) == 0 {
--- a/internal/tier/controller/api_rollouts.go
+++ b/internal/tier/controller/api_rollouts.go
@@ -31,7 +31,7 @@
 	case r.Target == "":
 		return apierror.New(apierror.BadRequest, "target: missing")
 	case !(r.OverS > 0 && r.OverS <= maxOverS):
-		return apierror.New(apierror.BadRequest, "overS: not a time between 0 and %g s", maxOverS)
+		return apierror.New(apierror.BadRequest, "overS: must be above 0 and at most %g s", maxOverS)
 	}
 	return nil
 }
@@ -43,7 +43,7 @@
 	}
 	var body rolloutRequest
 	if err := json.NewDecoder(http.MaxBytesReader(e.Response(), e.Request().Body, maxConfigurationBytes)).Decode(&body); err != nil {
-		return apierror.New(apierror.BadRequest, "the order cannot be read: %v", err)
+		return apierror.New(apierror.BadRequest, "the request body cannot be parsed: %v", err)
 	}
 	if err := body.validate(); err != nil {
 		return err
@@ -62,10 +62,10 @@
 	case rollout.InProgress:
 		return apierror.New(apierror.OperationInProgress, "another version of %s is being rolled out", proposal.Service)
 	}
-	return apierror.New(apierror.Internal, "the order has no outcome")
+	return apierror.New(apierror.Internal, "the committed proposal has no known result")
 }
 
-// rolloutProposal returns the proposal of a request.
+// rolloutProposal converts a request to a proposal.
 func (c *Controller) rolloutProposal(body *rolloutRequest) *rollout.Proposal {
 	proposal := rollout.Proposal{Service: body.Service, Target: body.Target, OverMs: int64(math.Round(1000 * body.OverS)),
 		AtMs: c.options.Now().UnixMilli(), DedupExpiredIndex: c.dedupExpiredIndex()}
--- a/internal/tier/controller/api_settings.go
+++ b/internal/tier/controller/api_settings.go
@@ -21,7 +21,7 @@
 // maxConfigurationBytes is the maximum size of a configuration. Validating one takes a multiple of its size in memory.
 const maxConfigurationBytes = 8 << 20
 
-// putSettings proposes a configuration. Any member of the group acknowledges one that it knows to have been accepted.
+// putSettings proposes a configuration. Any member of the group, not only the leader, acknowledges a proposal that was accepted earlier.
 func (c *Controller) putSettings(e echo.Context) error {
 	start := time.Now()
 	proposal, err := readProposal(e)
@@ -48,16 +48,16 @@
 		level.Info(c.options.Logger).Log("msg", "configuration accepted", "number", proposal.Number, "base", proposal.Base)
 		return e.NoContent(http.StatusOK)
 	case configuration.Conflict:
-		return apierror.New(apierror.VersionConflict, "another version than %d is current", proposal.Base)
+		return apierror.New(apierror.VersionConflict, "If-Match: version %d is not the current one", proposal.Base)
 	case configuration.NotNewer:
 		return apierror.New(apierror.InvalidConfiguration, "number: %d is not higher than the current one", proposal.Number)
 	case configuration.HistoryTruncated:
-		return apierror.New(apierror.Unconfirmed, "version %d is so old that the orders on it are forgotten", proposal.Base)
+		return apierror.New(apierror.Unconfirmed, "If-Match: version %d is older than the history of accepted configurations", proposal.Base)
 	}
-	return apierror.New(apierror.Internal, "the order has no outcome")
+	return apierror.New(apierror.Internal, "the committed proposal has no known result")
 }
 
-// propose has the group commit a proposal, and counts the outcome.
+// propose proposes a configuration to the group, waits for the commit, and counts the outcome.
 func (c *Controller) propose(ctx context.Context, proposal *configuration.Proposal) (result any, err error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -81,7 +81,7 @@
 	return c.state.configuration.WasAccepted(proposal)
 }
 
-// readProposal reads the proposal of a request, whose configuration may still be invalid.
+// readProposal reads the proposal of a request without validating its configuration.
 func readProposal(e echo.Context) (*configuration.Proposal, error) {
 	request := e.Request()
 	base, err := readBase(request.Header)
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	if request.ContentLength > maxConfigurationBytes {
-		return nil, apierror.New(apierror.BodyTooLarge, "the body is over %d bytes", maxConfigurationBytes)
+		return nil, apierror.New(apierror.BodyTooLarge, "the request body exceeds %d bytes", maxConfigurationBytes)
 	}
 	raw, err := io.ReadAll(http.MaxBytesReader(e.Response(), request.Body, maxConfigurationBytes))
 	if err != nil {
@@ -103,28 +103,28 @@
 	return &configuration.Proposal{Base: base, Raw: compact}, nil
 }
 
-// readBase reads from If-Match the number of the version that a proposal builds on, with quotes or without. Several values are
-// an error, since none of them would be meant.
+// readBase parses the version number that a proposal builds on from If-Match, with or without quotes. Several values are an error,
+// since they don't name one version.
 func readBase(header http.Header) (uint64, error) {
 	values := header.Values("If-Match")
 	if len(values) != 1 {
-		return 0, apierror.New(apierror.InvalidConfiguration, "If-Match: %d versions are named, not one", len(values))
+		return 0, apierror.New(apierror.InvalidConfiguration, "If-Match: got %d values, want one", len(values))
 	}
 	base, err := strconv.ParseUint(strings.Trim(values[0], `" `), 10, 64)
 	if err != nil {
-		return 0, apierror.New(apierror.InvalidConfiguration, "If-Match: no number of a version: %w", err)
+		return 0, apierror.New(apierror.InvalidConfiguration, "If-Match: not a version number: %w", err)
 	}
 	return base, nil
 }
 
-// validate validates a proposal's configuration and sets its number. Only one at a time is validated, for the memory that it
-// takes.
+// validate validates a proposal's configuration and sets the proposal's number. Only one configuration at a time is validated, which
+// bounds memory.
 func (c *Controller) validate(ctx context.Context, proposal *configuration.Proposal) error {
 	select {
 	case c.validationSlot <- struct{}{}:
 		defer func() { <-c.validationSlot }()
 	case <-ctx.Done():
-		return apierror.New(apierror.NotReady, "another configuration is being checked: %w", ctx.Err())
+		return apierror.New(apierror.NotReady, "timed out while another configuration was being validated: %w", ctx.Err())
 	}
 	start := time.Now()
 	decoded, err := form.Parse(proposal.Raw)
@@ -153,7 +153,7 @@
 		return readError(err)
 	}
 	if raw == nil {
-		return apierror.New(apierror.NotReady, "no configuration has been taken yet")
+		return apierror.New(apierror.NotReady, "no configuration has been accepted yet")
 	}
 	return e.Blob(http.StatusOK, echo.MIMEApplicationJSON, raw)
 }
--- a/internal/tier/controller/api_test.go
+++ b/internal/tier/controller/api_test.go
@@ -28,10 +28,10 @@
 	rolloutsPath = "/mastusher/rollouts"
 )
 
-// callTimeout is how long a caller waits until it moves on to another controller.
+// callTimeout is how long a caller waits for a response.
 const callTimeout = time.Second
 
-// document is a valid configuration.
+// document returns a valid configuration with that version number.
 func document(number int) string {
 	return fmt.Sprintf(`{"number": %d, "routes": [{"name":"r","host":"play.example","startsWith":"/p/","kind":"retryable","giveUpMs":5000,`+
 		`"targetMs":200,"rank":1,"shares":[{"service":"a","share":90},{"service":"b","share":10}],"tries":2}],`+
@@ -40,45 +40,45 @@
 		`"limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerWaitMs":3000,"idleCloseMs":15000}}`, number)
 }
 
-func (b *fixture) put(base, body string) *httptest.ResponseRecorder {
-	return b.send(http.MethodPut, settingsPath, body, "If-Match", base)
+func (f *fixture) put(base, body string) *httptest.ResponseRecorder {
+	return f.send(http.MethodPut, settingsPath, body, "If-Match", base)
 }
 
 func TestSettingsAPI_PutThenGet_ReturnsNewest(t *testing.T) {
-	b := startFixture(t, memorydisk.New())
-	wantStatus(t, b.send(http.MethodGet, settingsPath, ""), http.StatusServiceUnavailable)
+	f := startFixture(t, memorydisk.New())
+	wantStatus(t, f.send(http.MethodGet, settingsPath, ""), http.StatusServiceUnavailable)
 
-	// Given two versions on top of each other, the second with its If-Match in quotes.
-	wantStatus(t, b.put("0", document(3)), http.StatusOK)
-	wantStatus(t, b.put(`"3"`, document(8)), http.StatusOK)
+	// Given two versions, one on top of the other, the second with its If-Match in quotes.
+	wantStatus(t, f.put("0", document(3)), http.StatusOK)
+	wantStatus(t, f.put(`"3"`, document(8)), http.StatusOK)
 
 	// Then the newest is read back as it was sent.
-	answer := b.send(http.MethodGet, settingsPath, "")
-	wantStatus(t, answer, http.StatusOK)
-	if diff := cmp.Diff(decoded(t, document(8)), decoded(t, answer.Body.String())); diff != "" {
+	response := f.send(http.MethodGet, settingsPath, "")
+	wantStatus(t, response, http.StatusOK)
+	if diff := cmp.Diff(decoded(t, document(8)), decoded(t, response.Body.String())); diff != "" {
 		t.Errorf("configuration (-sent +read back):\n%s", diff)
 	}
 
-	// And the same orders are acknowledged again, also with other spaces, in any order.
-	wantStatus(t, b.put("3", document(8)), http.StatusOK)
-	wantStatus(t, b.put("0", document(3)), http.StatusOK)
-	wantStatus(t, b.put("0", strings.ReplaceAll(document(3), ": ", ":")), http.StatusOK)
+	// And duplicates are acknowledged, also with other white space, in any sequence.
+	wantStatus(t, f.put("3", document(8)), http.StatusOK)
+	wantStatus(t, f.put("0", document(3)), http.StatusOK)
+	wantStatus(t, f.put("0", strings.ReplaceAll(document(3), ": ", ":")), http.StatusOK)
 
-	// But others on an older version are not, nor is one with the same number and other content.
-	wantStatus(t, b.put("3", document(9)), http.StatusPreconditionFailed)
-	wantStatus(t, b.put("3", strings.Replace(document(8), "90", "80", 1)), http.StatusPreconditionFailed)
-	wantStatus(t, b.put("0", document(1)), http.StatusPreconditionFailed)
-	wantStatus(t, b.put("8", document(8)), http.StatusBadRequest)
-	wantStatus(t, b.put("8", document(7)), http.StatusBadRequest)
+	// But other configurations on an older version are rejected, and so is one with the same number and other content.
+	wantStatus(t, f.put("3", document(9)), http.StatusPreconditionFailed)
+	wantStatus(t, f.put("3", strings.Replace(document(8), "90", "80", 1)), http.StatusPreconditionFailed)
+	wantStatus(t, f.put("0", document(1)), http.StatusPreconditionFailed)
+	wantStatus(t, f.put("8", document(8)), http.StatusBadRequest)
+	wantStatus(t, f.put("8", document(7)), http.StatusBadRequest)
 }
 
 func TestSettingsAPI_Proposals_Counted(t *testing.T) {
-	b := startFixture(t, memorydisk.New())
-	wantStatus(t, b.put("0", document(3)), http.StatusOK)
-	wantStatus(t, b.put("3", document(3)), http.StatusBadRequest)
-	wantStatus(t, b.put("3", "{}"), http.StatusBadRequest)
-	answer := b.send(http.MethodGet, metrics.Path, "")
-	wantStatus(t, answer, http.StatusOK)
+	f := startFixture(t, memorydisk.New())
+	wantStatus(t, f.put("0", document(3)), http.StatusOK)
+	wantStatus(t, f.put("3", document(3)), http.StatusBadRequest)
+	wantStatus(t, f.put("3", "{}"), http.StatusBadRequest)
+	response := f.send(http.MethodGet, metrics.Path, "")
+	wantStatus(t, response, http.StatusOK)
 	for _, want := range []string{
 		`mastusher_orders_total{outcome="taken"} 1`,
 		`mastusher_orders_total{outcome="refused"} 2`,
@@ -87,8 +87,8 @@
 		`mastusher_order_seconds_count{step="agree"} 2`,
 		`mastusher_elections_total 1`,
 	} {
-		if !strings.Contains(answer.Body.String(), want+"\n") {
-			t.Errorf("missing %s in:\n%s", want, answer.Body)
+		if !strings.Contains(response.Body.String(), want+"\n") {
+			t.Errorf("missing %s in:\n%s", want, response.Body)
 		}
 	}
 }
@@ -105,25 +105,25 @@
 func TestSettingsAPI_Restart_KeepsConfiguration(t *testing.T) {
 	disk := memorydisk.New()
 	t.Run("before", func(t *testing.T) {
-		b := startFixture(t, disk)
-		wantStatus(t, b.put("0", document(3)), http.StatusOK)
-		wantStatus(t, b.put("3", document(5)), http.StatusOK)
+		f := startFixture(t, disk)
+		wantStatus(t, f.put("0", document(3)), http.StatusOK)
+		wantStatus(t, f.put("3", document(5)), http.StatusOK)
 	})
 	disk.LosePower(7)
-	b := startFixture(t, disk)
-	answer := b.send(http.MethodGet, settingsPath, "")
-	wantStatus(t, answer, http.StatusOK)
-	if diff := cmp.Diff(decoded(t, document(5)), decoded(t, answer.Body.String())); diff != "" {
+	f := startFixture(t, disk)
+	response := f.send(http.MethodGet, settingsPath, "")
+	wantStatus(t, response, http.StatusOK)
+	if diff := cmp.Diff(decoded(t, document(5)), decoded(t, response.Body.String())); diff != "" {
 		t.Errorf("configuration (-sent +read back):\n%s", diff)
 	}
-	wantStatus(t, b.put("0", document(3)), http.StatusOK)
-	wantStatus(t, b.put("3", document(6)), http.StatusPreconditionFailed)
+	wantStatus(t, f.put("0", document(3)), http.StatusOK)
+	wantStatus(t, f.put("3", document(6)), http.StatusPreconditionFailed)
 }
 
 func TestSettingsAPI_InvalidConfiguration_Rejected(t *testing.T) {
 	replaced := func(old, replacement string) string {
 		if !strings.Contains(document(3), old) {
-			t.Fatalf("the document has no %s", old)
+			t.Fatalf("the document doesn't contain %s", old)
 		}
 		return strings.Replace(document(3), old, replacement, 1)
 	}
@@ -134,7 +134,7 @@
 		{"empty", "", "read whole"},
 		{"cut off", document(3)[:200], "read whole"},
 		{"followed by more", document(3) + "{}", "read whole"},
-		{"no object", `[]`, ""},
+		{"not an object", `[]`, ""},
 		{"unknown service of a share", replaced(`{"service":"b"`, `{"service":"c"`), `routes[0].shares[1].service: "c" is not known`},
 		{"unknown service", replaced(`"shares":[{"service":"a","share":90},{"service":"b","share":10}]`, `"service":"c"`), `"c" is not known`},
 		{"the same host and prefix twice", replaced(route, route+","+route), "same host and prefix"},
@@ -147,25 +147,25 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := startFixture(t, memorydisk.New())
-			answer := b.put("0", test.body)
-			wantStatus(t, answer, http.StatusBadRequest)
+			f := startFixture(t, memorydisk.New())
+			response := f.put("0", test.body)
+			wantStatus(t, response, http.StatusBadRequest)
 			var parsed errorBody
-			if err := json.Unmarshal(answer.Body.Bytes(), &parsed); err != nil || !strings.Contains(parsed.Error, test.reason) {
-				t.Errorf("reason %q, want one with %q (%v)", parsed.Error, test.reason, err)
+			if err := json.Unmarshal(response.Body.Bytes(), &parsed); err != nil || !strings.Contains(parsed.Error, test.reason) {
+				t.Errorf("error %q, want one that contains %q (decoding error: %v)", parsed.Error, test.reason, err)
 			}
-			wantStatus(t, b.send(http.MethodGet, settingsPath, ""), http.StatusServiceUnavailable)
+			wantStatus(t, f.send(http.MethodGet, settingsPath, ""), http.StatusServiceUnavailable)
 		})
 	}
 	for _, base := range []string{"", "x", "-1", `"3`, "*"} {
 		t.Run("If-Match "+base, func(t *testing.T) {
-			b := startFixture(t, memorydisk.New())
-			answer := b.put(base, document(3))
-			if base == `"3` { // a quote too few is no reason to refuse; the version is another one
-				wantStatus(t, answer, http.StatusPreconditionFailed)
+			f := startFixture(t, memorydisk.New())
+			response := f.put(base, document(3))
+			if base == `"3` { // a missing quote is tolerated; the version is not the current one
+				wantStatus(t, response, http.StatusPreconditionFailed)
 				return
 			}
-			wantStatus(t, answer, http.StatusBadRequest)
+			wantStatus(t, response, http.StatusBadRequest)
 		})
 	}
 }
@@ -195,89 +195,89 @@
 	}
 	for _, test := range tests {
 		t.Run(fmt.Sprintf("%q", test.values), func(t *testing.T) {
-			b := startFixture(t, memorydisk.New())
-			wantStatus(t, b.put("0", document(7)), http.StatusOK)
+			f := startFixture(t, memorydisk.New())
+			wantStatus(t, f.put("0", document(7)), http.StatusOK)
 			request := httptest.NewRequest(http.MethodPut, settingsPath, strings.NewReader(document(9)))
 			request.Header["If-Match"] = test.values
 			recorder := httptest.NewRecorder()
-			b.Handler().ServeHTTP(recorder, request)
+			f.Handler().ServeHTTP(recorder, request)
 			wantStatus(t, recorder, test.want)
 		})
 	}
 }
 
 func TestSettingsAPI_ConcurrentChanges_OneWins(t *testing.T) {
-	b := startFixture(t, memorydisk.New())
-	wantStatus(t, b.put("0", document(1)), http.StatusOK)
+	f := startFixture(t, memorydisk.New())
+	wantStatus(t, f.put("0", document(1)), http.StatusOK)
 	const writers = 8
 	codes := make(chan int, writers)
 	for number := range writers {
-		go func() { codes <- b.put("1", document(number+2)).Code }()
+		go func() { codes <- f.put("1", document(number+2)).Code }()
 	}
 	count := map[int]int{}
 	for range writers {
 		count[<-codes]++
 	}
 	if diff := cmp.Diff(map[int]int{http.StatusOK: 1, http.StatusPreconditionFailed: writers - 1}, count); diff != "" {
-		t.Errorf("answers (-want +got):\n%s", diff)
+		t.Errorf("number of responses by status (-want +got):\n%s", diff)
 	}
 }
 
-// roll is the newest order of a service, as this member knows it.
-func (b *fixture) roll(service string) rollout.Rollout {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	roll, _ := b.state.rollouts.Rollout(service)
-	return roll
+// newestRollout returns the newest roll-out of a service that this member has applied.
+func (f *fixture) newestRollout(service string) rollout.Rollout {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	newestRollout, _ := f.state.rollouts.Rollout(service)
+	return newestRollout
 }
 
 func TestRolloutsAPI_Statuses(t *testing.T) {
-	b := startFixture(t, memorydisk.New())
+	f := startFixture(t, memorydisk.New())
 	const path = "/mastusher/rollouts"
-	wantStatus(t, b.send(http.MethodGet, path+"/lm", ""), http.StatusNotFound)
+	wantStatus(t, f.send(http.MethodGet, path+"/lm", ""), http.StatusNotFound)
 	bad := map[string]string{
-		"no JSON":      `{"service":"lm"`,
-		"no service":   `{"target":"v2","overS":12}`,
-		"no target":    `{"service":"lm","overS":12}`,
-		"no time":      `{"service":"lm","target":"v2"}`,
-		"time below 0": `{"service":"lm","target":"v2","overS":-1}`,
-		"endless time": `{"service":"lm","target":"v2","overS":1e300}`,
-		"time as text": `{"service":"lm","target":"v2","overS":"12"}`,
+		"invalid JSON":      `{"service":"lm"`,
+		"no service":        `{"target":"v2","overS":12}`,
+		"no target":         `{"service":"lm","overS":12}`,
+		"no duration":       `{"service":"lm","target":"v2"}`,
+		"duration below 0":  `{"service":"lm","target":"v2","overS":-1}`,
+		"duration too long": `{"service":"lm","target":"v2","overS":1e300}`,
+		"duration as text":  `{"service":"lm","target":"v2","overS":"12"}`,
 	}
 	for name, body := range bad {
-		t.Run(name, func(t *testing.T) { wantStatus(t, b.send(http.MethodPost, path, body), http.StatusBadRequest) })
+		t.Run(name, func(t *testing.T) { wantStatus(t, f.send(http.MethodPost, path, body), http.StatusBadRequest) })
 	}
 
 	const order = `{"service":"lm","target":"v2","overS":12.5,"new":{}}`
-	wantStatus(t, b.send(http.MethodPost, path, order), http.StatusOK)
-	wantStatus(t, b.send(http.MethodPost, path, order), http.StatusOK)
-	wantStatus(t, b.send(http.MethodPost, path, strings.Replace(order, "v2", "v3", 1)), http.StatusConflict)
+	wantStatus(t, f.send(http.MethodPost, path, order), http.StatusOK)
+	wantStatus(t, f.send(http.MethodPost, path, order), http.StatusOK)
+	wantStatus(t, f.send(http.MethodPost, path, strings.Replace(order, "v2", "v3", 1)), http.StatusConflict)
 	wantState := func(state rollout.State) {
 		t.Helper()
-		answer := b.send(http.MethodGet, path+"/lm", "")
-		wantStatus(t, answer, http.StatusOK)
+		response := f.send(http.MethodGet, path+"/lm", "")
+		wantStatus(t, response, http.StatusOK)
 		var parsed rolloutStatus
-		if err := json.Unmarshal(answer.Body.Bytes(), &parsed); err != nil {
+		if err := json.Unmarshal(response.Body.Bytes(), &parsed); err != nil {
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(rolloutStatus{State: state, Target: "v2"}, parsed); diff != "" {
-			t.Errorf("state (-want +got):\n%s", diff)
+			t.Errorf("status (-want +got):\n%s", diff)
 		}
 	}
 	wantState(rollout.InService)
 	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
-	decision := &rollout.Decision{Service: "lm", Target: "v2", Order: b.roll("lm").Index, State: rollout.Finished}
-	if _, err := b.group.Propose(ctx, Command{RolloutDecision: decision}); err != nil {
+	decision := &rollout.Decision{Service: "lm", Target: "v2", Order: f.newestRollout("lm").Index, State: rollout.Finished}
+	if _, err := f.group.Propose(ctx, Command{RolloutDecision: decision}); err != nil {
 		t.Fatal(err)
 	}
 	wantState(rollout.Finished)
-	wantStatus(t, b.send(http.MethodPost, path, order), http.StatusOK)
+	wantStatus(t, f.send(http.MethodPost, path, order), http.StatusOK)
 	wantState(rollout.Finished)
 }
 
 func TestAPI_UnknownPathsAndMethods(t *testing.T) {
-	b := startFixture(t, memorydisk.New())
+	f := startFixture(t, memorydisk.New())
 	tests := []struct {
 		method, path string
 		want         int
@@ -293,36 +293,36 @@
 	}
 	for _, test := range tests {
 		t.Run(test.method+" "+test.path, func(t *testing.T) {
-			answer := b.send(test.method, test.path, "")
-			wantStatus(t, answer, test.want)
+			response := f.send(test.method, test.path, "")
+			wantStatus(t, response, test.want)
 			var parsed errorBody
-			if err := json.Unmarshal(answer.Body.Bytes(), &parsed); err != nil || parsed.Error == "" {
-				t.Errorf("body %s tells no error", answer.Body)
+			if err := json.Unmarshal(response.Body.Bytes(), &parsed); err != nil || parsed.Error == "" {
+				t.Errorf("body %s contains no error text", response.Body)
 			}
 		})
 	}
 }
 
 func TestAPI_OversizedBodies(t *testing.T) {
-	b := startFixture(t, memorydisk.New())
-	wantStatus(t, b.put("0", strings.Repeat(" ", maxConfigurationBytes+1)), http.StatusRequestEntityTooLarge)
+	f := startFixture(t, memorydisk.New())
+	wantStatus(t, f.put("0", strings.Repeat(" ", maxConfigurationBytes+1)), http.StatusRequestEntityTooLarge)
 
-	// The same without a length told beforehand.
+	// The same without a Content-Length.
 	request := httptest.NewRequest(http.MethodPut, settingsPath, io.LimitReader(strings.NewReader(strings.Repeat(" ", maxConfigurationBytes+1)), maxConfigurationBytes+1))
 	request.ContentLength = -1
 	request.Header.Set("If-Match", "0")
 	recorder := httptest.NewRecorder()
-	b.Handler().ServeHTTP(recorder, request)
+	f.Handler().ServeHTTP(recorder, request)
 	wantStatus(t, recorder, http.StatusRequestEntityTooLarge)
 }
 
-// TestAPI_SlowBodies_TimeOut has a caller that sends half of a body and then waits.
+// TestAPI_SlowBodies_TimeOut sends a part of a body and then waits.
 func TestAPI_SlowBodies_TimeOut(t *testing.T) {
 	for _, target := range []string{"PUT " + settingsPath, "POST /mastusher/retire/storage-1"} {
 		t.Run(target, func(t *testing.T) {
-			b := startFixture(t, memorydisk.New())
-			b.bodyTimeout = 20 * time.Millisecond
-			server := httptest.NewServer(b.Handler())
+			f := startFixture(t, memorydisk.New())
+			f.bodyTimeout = 20 * time.Millisecond
+			server := httptest.NewServer(f.Handler())
 			defer server.Close()
 			connection, err := net.Dial("tcp", server.Listener.Addr().String())
 			if err != nil {
@@ -333,12 +333,12 @@
 				t.Fatal(err)
 			}
 			fmt.Fprintf(connection, "%s HTTP/1.1\r\nHost: x\r\nIf-Match: 0\r\nContent-Length: 100\r\n\r\n{\"overS\":", target)
-			answer, err := http.ReadResponse(bufio.NewReader(connection), nil)
+			response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if answer.StatusCode != http.StatusRequestTimeout || !answer.Close {
-				t.Errorf("answer %d, close %v; want a 408 that ends the connection", answer.StatusCode, answer.Close)
+			if response.StatusCode != http.StatusRequestTimeout || !response.Close {
+				t.Errorf("status %d, close %v; want a 408 that closes the connection", response.StatusCode, response.Close)
 			}
 		})
 	}
@@ -352,8 +352,8 @@
 		got  error
 		want apierror.Kind
 	}{
-		{"certainly not proposed", c.proposalError(&group.NotLeaderError{Dropped: true, Cause: cause}), apierror.NotReady},
-		{"may have been proposed", c.proposalError(&group.NotLeaderError{Cause: cause}), apierror.Unconfirmed},
+		{"certainly not committed", c.proposalError(&group.NotLeaderError{Dropped: true, Cause: cause}), apierror.NotReady},
+		{"may have been committed", c.proposalError(&group.NotLeaderError{Cause: cause}), apierror.Unconfirmed},
 		{"the disk failed", c.proposalError(fmt.Errorf("disk: %w", cause)), apierror.Internal},
 		{"a read", readError(&group.NotLeaderError{Cause: cause}), apierror.NotReady},
 	}
@@ -363,7 +363,7 @@
 				t.Errorf("kind %s, want %s", got, test.want)
 			}
 			if !errors.Is(test.got, cause) {
-				t.Errorf("%v has lost its cause", test.got)
+				t.Errorf("%v doesn't wrap its cause", test.got)
 			}
 		})
 	}
--- a/internal/tier/controller/balance_test.go
+++ b/internal/tier/controller/balance_test.go
@@ -8,7 +8,7 @@
 	"mastusher/internal/tier/membership"
 )
 
-// storeLoads counts the replicas that the placement gives to each store, by identity; those without any too.
+// storeLoads counts the replicas that the placement gives to each store, by identity, including stores without replicas.
 func storeLoads(c *cluster) map[string]int {
 	loads := map[string]int{}
 	for _, m := range c.sorted() {
@@ -24,6 +24,7 @@
 	return loads
 }
 
+// imbalance returns the difference between the largest and the smallest load of a store.
 func imbalance(c *cluster) int {
 	smallest, largest := 1<<30, 0
 	for _, load := range storeLoads(c) {
@@ -56,11 +57,11 @@
 }
 
 func TestBalance_StoresCome_ReplicasMoveOneAtATime(t *testing.T) {
-	// Given four stores that hold all replicas, and programs' turns,
+	// Given four stores that hold all replicas, and turns of programs,
 	cluster := newCluster(t, 4)
 	cluster.awaitPlacement()
 	turns := turnsOf(cluster, 0)
-	// when two more come for good,
+	// when two more stores join,
 	cluster.add(storeMember(5)).start()
 	cluster.add(storeMember(6)).start()
 	before, changedAt := cluster.placement(), cluster.now
@@ -70,30 +71,30 @@
 			continue
 		}
 		if moved := movedReplicas(before, placed); moved != 1 {
-			t.Fatalf("%d replicas move at once", moved)
+			t.Fatalf("%d replicas moved at once, want 1", moved)
 		}
 		if since := cluster.now - changedAt; since < balanceInterval-reconcileInterval {
-			t.Fatalf("the next replica moves after %v", since)
+			t.Fatalf("the next replica moved after only %v", since)
 		}
 		before, changedAt = placed, cluster.now
 	}
-	// then replicas move one at a time until all stores have about as many, and nothing is lost.
+	// then replicas move one at a time until the loads differ by one at most, and no turn is lost.
 	if got := imbalance(cluster); got > 1 {
-		t.Errorf("stores differ by %d replicas: %v", got, storeLoads(cluster))
+		t.Errorf("the loads of stores differ by %d replicas: %v", got, storeLoads(cluster))
 	}
 	cluster.until("groups are complete", 5*time.Second, cluster.isComplete)
 	cluster.wantTurns(turns)
 }
 
 func TestBalance_StoreMissing_NothingMoves(t *testing.T) {
-	// Given stores that differ, of which one that has replicas is down,
+	// Given stores with unequal loads, one of which has replicas and is down,
 	cluster := newCluster(t, 4)
 	cluster.awaitPlacement()
 	cluster.run(completeViewTime)
 	cluster.add(storeMember(5)).start()
 	cluster.run(9 * time.Second)
 	cluster.storage(1).kill()
-	// when time passes before it counts as lost, then no replica moves for balance.
+	// when time passes, but not enough for the store to count as lost, then no replica moves for balance.
 	before := cluster.placement()
 	cluster.run(deathDelay)
 	if moved := movedReplicas(before, cluster.placement()); moved > 0 {
@@ -101,11 +102,11 @@
 	}
 }
 
-// completeViewTime is longer than a leader needs to know all members.
+// completeViewTime is more than the time after which a leader considers its view of the members complete.
 const completeViewTime = 15 * time.Second
 
 func TestLostStore_NeverSeenAndCaughtUp_IsNotLost(t *testing.T) {
-	// Given controllers that have all restarted, and a running store that membership doesn't know yet,
+	// Given controllers that have all restarted, and a running store that membership hasn't discovered yet,
 	cluster := newCluster(t, 5)
 	cluster.awaitPlacement()
 	before := cluster.placement()
@@ -117,17 +118,17 @@
 			m.start()
 		}
 	}
-	// when more time passes than after which an unknown store counts as lost,
+	// when more time passes than that after which an unknown store counts as lost,
 	cluster.run(8 * time.Second)
-	// then its replicas stay, since its groups' leaders hear it.
+	// then its replicas stay, since the leaders of its groups are in contact with it.
 	if moved := movedReplicas(before, cluster.placement()); moved > 0 {
 		t.Fatalf("%d replicas have moved", moved)
 	}
-	// But if it isn't there, they move.
+	// But once the store is down, they move.
 	hidden.running = false
 	hidden.disk.Kill()
 	cluster.run(8 * time.Second)
 	if got := shardsOf(cluster.placement(), hidden.member.ID); len(got) > 0 {
-		t.Errorf("shards %v are still placed on it", got)
+		t.Errorf("shards %v are still placed on the store that is down", got)
 	}
 }
--- a/internal/tier/controller/cluster_groups_test.go
+++ b/internal/tier/controller/cluster_groups_test.go
@@ -13,7 +13,7 @@
 	"mastusher/internal/tier/view"
 )
 
-// leader is the controller that leads the configuration shard, or nil.
+// leader returns the controller that leads the configuration shard, or nil.
 func (c *cluster) leader() *testMachine {
 	var leader *testMachine
 	for _, m := range c.sorted() {
@@ -26,14 +26,14 @@
 	return leader
 }
 
-// propose has the configuration shard agree on a command, whoever leads it.
+// propose proposes a command to the leader of the configuration shard until it is committed, and returns its result.
 func (c *cluster) propose(command Command) any {
 	c.t.Helper()
 	var result any
 	done := false
-	c.until("agreement", 10*time.Second, func() bool {
+	c.until("the command is committed", 10*time.Second, func() bool {
 		if leader := c.leader(); leader != nil && !done {
-			leader.controller.Group().ProposeAsync(command, func(answer any, err error) { result, done = answer, err == nil })
+			leader.controller.Group().ProposeAsync(command, func(value any, err error) { result, done = value, err == nil })
 			c.run(10 * clusterStep)
 		}
 		return done
@@ -41,7 +41,7 @@
 	return result
 }
 
-// decommission asks for a machine to be drained, as the API does.
+// decommission proposes to drain a machine, as the API does.
 func (c *cluster) decommission(node string) any {
 	c.t.Helper()
 	c.until("a leader", 5*time.Second, func() bool { return c.leader() != nil })
@@ -65,7 +65,7 @@
 	return func() bool { return c.decommissionState(node) == decommission.Finished }
 }
 
-// placement is what the leader has committed.
+// placement returns the committed placement, as the leader has applied it.
 func (c *cluster) placement() decommission.Placement {
 	if leader := c.leader(); leader != nil {
 		return leader.controller.state.Placement()
@@ -73,7 +73,7 @@
 	return decommission.Placement{}
 }
 
-// shardLeader is the running member that leads a shard's group, with its machine.
+// shardLeader returns the running member that leads a shard's group, and its machine.
 func (c *cluster) shardLeader(shard int) (*testMachine, *group.Group) {
 	var at *testMachine
 	var leader *group.Group
@@ -89,7 +89,7 @@
 	return at, leader
 }
 
-// isComplete tells whether all groups have the members that are wanted, with votes and caught up.
+// isComplete reports whether the members of each shard's group are those of the placement, and all are voters and caught up.
 func (c *cluster) isComplete() bool {
 	placed := c.placement()
 	if placed.Index == 0 {
@@ -112,7 +112,7 @@
 	return ids
 }
 
-// caughtUp lists the identities of a group if all its members have votes and have caught up.
+// caughtUp lists the identities of a group's members if all of them are voters and have caught up, else none.
 func caughtUp(status replica.Status) []string {
 	var ids []string
 	for _, m := range status.Members {
@@ -125,13 +125,13 @@
 	return ids
 }
 
-// awaitPlacement waits for the first placement.
+// awaitPlacement waits until the first placement is carried out.
 func (c *cluster) awaitPlacement() {
 	c.t.Helper()
 	c.until("all groups are complete", 15*time.Second, c.isComplete)
 }
 
-// hosts tells whether any identity of a machine is a member of any group, in its leader's view.
+// hosts reports whether the identity is a member of any shard's group as its leader sees it, or a group has no leader.
 func (c *cluster) hosts(id string) bool {
 	for shard := range c.placement().Shards {
 		_, leader := c.shardLeader(shard)
@@ -142,7 +142,7 @@
 	return false
 }
 
-// beginTurn has a turn committed by a shard and returns its name once that is acknowledged.
+// beginTurn commits the start of a turn on a shard and returns the turn's name.
 func (c *cluster) beginTurn(shard, number int) string {
 	c.t.Helper()
 	turn := program.BeginTurn{Turn: fmt.Sprintf("turn-%d-%d", shard, number), Program: "p", Budget: 1 << 40, MaxTokens: 10, AtMs: c.time().UnixMilli(),
@@ -151,18 +151,18 @@
 	return turn.Turn
 }
 
-// proposeToShard has a shard's group agree on a command.
+// proposeToShard proposes a command to a shard's leader until it is committed, and checks its verdict.
 func (c *cluster) proposeToShard(shard int, command program.Command, want program.Verdict) {
 	c.t.Helper()
 	done := false
-	c.until(fmt.Sprintf("shard %d takes a command", shard), 10*time.Second, func() bool {
+	c.until(fmt.Sprintf("shard %d commits a command", shard), 10*time.Second, func() bool {
 		if _, leader := c.shardLeader(shard); leader != nil && !done {
-			leader.ProposeAsync(command, func(answer any, err error) {
+			leader.ProposeAsync(command, func(value any, err error) {
 				if err != nil {
 					return
 				}
 				done = true
-				if got := answer.(program.Result).Verdict; got != want {
+				if got := value.(program.Result).Verdict; got != want {
 					c.t.Errorf("shard %d: verdict %s, want %s", shard, got, want)
 				}
 			})
@@ -172,7 +172,7 @@
 	})
 }
 
-// wantTurns checks that turns that were acknowledged are still known.
+// wantTurns checks that acknowledged turns are not lost: each can be ended.
 func (c *cluster) wantTurns(turns map[string]int) {
 	c.t.Helper()
 	for _, turn := range slices.Sorted(maps.Keys(turns)) {
--- a/internal/tier/controller/cluster_machine_test.go
+++ b/internal/tier/controller/cluster_machine_test.go
@@ -17,33 +17,33 @@
 	"mastusher/internal/tier/wire"
 )
 
-// testMachine is one machine with its disk; what runs on it is replaced at each start.
+// testMachine is one machine with its disk. Each start replaces its process: a controller or a store.
 type testMachine struct {
 	cluster           *cluster
 	member            membership.Member
 	disk              *memorydisk.Disk
 	starts            int
 	running           bool
-	skew              time.Duration // of its time of day
+	skew              time.Duration // of its wall clock
 	frozen            bool
-	partitionedAt     time.Duration     // when it was partitioned from all others; 0: it isn't
-	advertised        membership.Member // as the others know it
-	known             bool              // to the others
+	partitionedAt     time.Duration     // when it was partitioned from all other machines; 0: it isn't partitioned
+	advertised        membership.Member // as membership of the other machines has it
+	known             bool              // membership of the other machines lists it
 	membershipChanges int
-	diskFree          time.Duration // when its disk has done what it was asked for
-	linkFree          time.Duration // when its link has taken what was sent
-	inboxFree         time.Duration // when its link has brought what was sent to it
+	diskFree          time.Duration // when its disk will have completed all writes and syncs
+	linkFree          time.Duration // when its link will have sent all messages
+	inboxFree         time.Duration // when its link will have received all messages
 	busy              map[*group.Group]time.Duration
-	broken            map[*group.Group]bool // by their disk
+	broken            map[*group.Group]bool // groups that a disk fault has stopped
 	diskFault         diskFault
-	staleUpdate       *view.Update // the placement that it hears in place of the newest
+	staleUpdate       *view.Update // the placement that it gets instead of the newest; nil: the newest
 	controller        *Controller
 	reconcileDue      time.Duration
 	store             *store.Store
 	groups            []*group.Group
 }
 
-// applyNewest hands a store the newest placement.
+// applyNewest applies the newest placement on a store.
 func (m *testMachine) applyNewest() {
 	update, known := m.cluster.updates[view.PlacementSection]
 	if m.staleUpdate != nil {
@@ -104,15 +104,15 @@
 	m.groups = []*group.Group{opened.Group()}
 }
 
-// queryStore has a store report on the groups that it leads; one that is out of reach doesn't answer.
+// queryStore has a store report on the groups that it leads; an unreachable one doesn't respond.
 func (m *testMachine) queryStore(address string, done func(wire.ShardMembersResponse, error)) {
-	asked := m.cluster.machines[address]
-	if asked != nil && asked.isReachable() && !asked.frozen && asked.store != nil && m.isReachable() {
-		asked.store.ReportMembers(func(answer wire.ShardMembersResponse) { done(answer, nil) })
+	target := m.cluster.machines[address]
+	if target != nil && target.isReachable() && !target.frozen && target.store != nil && m.isReachable() {
+		target.store.ReportMembers(func(response wire.ShardMembersResponse) { done(response, nil) })
 	}
 }
 
-// kill ends the machine's process; membership notices later.
+// kill kills the machine's process; membership detects that later.
 func (m *testMachine) kill() {
 	m.running, m.frozen = false, false
 	m.disk.Kill()
--- a/internal/tier/controller/cluster_test.go
+++ b/internal/tier/controller/cluster_test.go
@@ -15,17 +15,17 @@
 	"mastusher/internal/tier/view"
 )
 
-// Times of a cluster in memory.
+// Timing of a cluster in memory.
 const (
-	clusterStep = 5 * time.Millisecond // one way of a message
+	clusterStep = 5 * time.Millisecond // latency of a message, one way
 	spreadDelay = 20 * time.Millisecond
-	deathDelay  = time.Second // from a kill until membership takes the machine for dead
+	deathDelay  = time.Second // from a kill until membership considers the machine dead
 )
 
-// cluster is some controllers and stores in virtual time, with one goroutine for all.
+// cluster is a number of controllers and stores in memory and in virtual time, run by one goroutine.
 type cluster struct {
 	t           testing.TB
-	nowMutex    sync.Mutex // guards now, which goroutines of operators read
+	nowMutex    sync.Mutex // guards now, which the goroutines of operators read
 	environment environment
 	now         time.Duration
 	machines    map[string]*testMachine // by address
@@ -51,9 +51,9 @@
 	return newClusterIn(t, stores, environment{faultTolerance: 1, deathDelay: deathDelay})
 }
 
-func newClusterIn(t testing.TB, stores int, around environment) *cluster {
-	c := &cluster{t: t, environment: around, machines: map[string]*testMachine{}, updates: map[view.Section]view.Update{}}
-	for number := range 2*around.faultTolerance + 1 {
+func newClusterIn(t testing.TB, stores int, env environment) *cluster {
+	c := &cluster{t: t, environment: env, machines: map[string]*testMachine{}, updates: map[view.Section]view.Update{}}
+	for number := range 2*env.faultTolerance + 1 {
 		name := fmt.Sprintf("core-%d", number+1)
 		member := controllerMember(name, name+"-id", fmt.Sprintf("10.0.0.%d:7000", number+1), fmt.Sprintf("10.0.0.%d:8144", number+1))
 		c.add(member)
@@ -67,7 +67,7 @@
 	return c
 }
 
-// add makes a machine that doesn't run yet.
+// add adds a machine without starting it.
 func (c *cluster) add(member membership.Member) *testMachine {
 	m := &testMachine{cluster: c, member: member, disk: memorydisk.New()}
 	c.machines[member.Address] = m
@@ -87,14 +87,14 @@
 	return c.machines[storeMember(number).Address]
 }
 
-// time is the time of day.
+// time returns the virtual time of day.
 func (c *cluster) time() time.Time {
 	c.nowMutex.Lock()
 	defer c.nowMutex.Unlock()
 	return time.UnixMilli(1_700_000_000_000).Add(c.now)
 }
 
-// Publish spreads an update.
+// Publish disseminates an update to all stores, unless a newer one is known.
 func (c *cluster) Publish(update view.Update) {
 	if known, ok := c.updates[update.Section]; ok && !known.Stamp.Less(update.Stamp) {
 		return
@@ -109,14 +109,14 @@
 	c.timers = append(c.timers, timer{due: c.now + delay, do: do})
 }
 
-// run lets virtual time pass.
+// run advances virtual time.
 func (c *cluster) run(d time.Duration) {
 	for end := c.now + d; c.now < end; {
 		c.step()
 	}
 }
 
-// until lets time pass until the condition holds, and returns how long that took.
+// until advances virtual time until the condition holds, and returns how long that took.
 func (c *cluster) until(what string, limit time.Duration, condition func() bool) time.Duration {
 	c.t.Helper()
 	for begin := c.now; ; c.step() {
@@ -124,7 +124,7 @@
 			return c.now - begin
 		}
 		if c.now-begin > limit {
-			c.t.Fatalf("%s: not within %v", what, limit)
+			c.t.Fatalf("%s: not reached within %v", what, limit)
 		}
 	}
 }
@@ -173,7 +173,7 @@
 	}
 }
 
-// mustMarshal is a value as JSON.
+// mustMarshal encodes a value as JSON.
 func mustMarshal(t testing.TB, value any) json.RawMessage {
 	t.Helper()
 	raw, err := json.Marshal(value)
--- a/internal/tier/controller/command.go
+++ b/internal/tier/controller/command.go
@@ -57,8 +57,8 @@
 	return command, err
 }
 
-// parseConfiguration reads a configuration proposal into memory of its own. It returns nil for any other command, and for one
-// that is written in another way.
+// parseConfiguration parses a configuration proposal and copies its document. It returns nil for any other command, and for a
+// proposal that EncodeJSON has not written.
 func parseConfiguration(raw json.RawMessage) *configuration.Proposal {
 	rest, ok := bytes.CutPrefix(raw, []byte(beforeBase))
 	if !ok {
--- a/internal/tier/controller/configuration_duplicates_test.go
+++ b/internal/tier/controller/configuration_duplicates_test.go
@@ -12,18 +12,18 @@
 	"mastusher/internal/tier/configuration"
 )
 
-// TestConfigurationOrder_AnswerLostAtAnyStep_Idempotent loses the leader at each step while an order is being committed, in each way; the operator repeats
-// it until it is acknowledged.
+// TestConfigurationOrder_AnswerLostAtAnyStep_Idempotent has the leader fail in each way at each step of committing an order. The
+// operator repeats the order until it is acknowledged; it must take effect once.
 func TestConfigurationOrder_AnswerLostAtAnyStep_Idempotent(t *testing.T) {
 	t.Parallel()
-	for _, loss := range losses {
-		runInVirtualTime(t, loss.name, func(t *testing.T) {
+	for _, failure := range leaderFailures {
+		runInVirtualTime(t, failure.name, func(t *testing.T) {
 			for step := range maxSteps {
 				cluster := newFaultyCluster(t, uint64(step), 0)
 				seen := startedRollouts{}
 				event := func(now int) {
 					if now == step {
-						loss.lose(cluster, cluster.leader())
+						failure.lose(cluster, cluster.leader())
 					}
 					if now == step+200 {
 						cluster.heal()
@@ -32,64 +32,64 @@
 				}
 				cluster.runOperators(event, func(operator *operator) {
 					wantAcknowledged(t, operator, "configuration", func() reply { return operator.call(http.MethodPut, settingsPath, document(3), "If-Match", "0") })
-					wantAcknowledged(t, operator, "the next one", func() reply { return operator.call(http.MethodPut, settingsPath, document(5), "If-Match", "3") })
-					wantAcknowledged(t, operator, "the first once more", func() reply { return operator.call(http.MethodPut, settingsPath, document(3), "If-Match", "0") })
+					wantAcknowledged(t, operator, "the next configuration", func() reply { return operator.call(http.MethodPut, settingsPath, document(5), "If-Match", "3") })
+					wantAcknowledged(t, operator, "a duplicate of the first configuration", func() reply { return operator.call(http.MethodPut, settingsPath, document(3), "If-Match", "0") })
 				}, func(operator *operator) {
 					body := `{"service":"lm","target":"v2","overS":60}`
 					wantAcknowledged(t, operator, "roll-out", func() reply { return operator.call(http.MethodPost, rolloutsPath, body) })
-					wantAcknowledged(t, operator, "the roll-out once more", func() reply { return operator.call(http.MethodPost, rolloutsPath, body) })
+					wantAcknowledged(t, operator, "a duplicate of the roll-out", func() reply { return operator.call(http.MethodPost, rolloutsPath, body) })
 				})
 				if got := len(seen["lm v2 60000"]); got != 1 {
-					t.Errorf("at step %d: one order began %d roll-outs", step, got)
+					t.Errorf("leader lost at step %d: one order started %d roll-outs, want 1", step, got)
 				}
 				cluster.heal()
 				cluster.wait("the group is complete", 30*time.Second, cluster.isComplete)
 				if got := cluster.leader().controller.state.configuration.Current().Number; got != 5 {
-					t.Errorf("at step %d: version %d is current, want 5", step, got)
+					t.Errorf("leader lost at step %d: version %d is current, want 5", step, got)
 				}
 			}
 		})
 	}
 }
 
-// TestConfigurationOrder_DuplicateWhileInFlight_Acknowledged has copies of an order arrive at the same time, at all members, while the leader can't
-// reach a majority for some time, or loses its power.
+// TestConfigurationOrder_DuplicateWhileInFlight_Acknowledged sends copies of an order to all members at once while the leader fails in
+// each way. No copy may be rejected, and the order must take effect once at most until it is repeated.
 func TestConfigurationOrder_DuplicateWhileInFlight_Acknowledged(t *testing.T) {
 	t.Parallel()
-	for _, loss := range losses {
-		runInVirtualTime(t, loss.name, func(t *testing.T) {
+	for _, failure := range leaderFailures {
+		runInVirtualTime(t, failure.name, func(t *testing.T) {
 			for _, heals := range []int{1, 40, 150, 400} {
 				cluster := newFaultyCluster(t, uint64(heals), 0)
 				copies := func(method, path, body string) []func(operator *operator) {
-					var does []func(operator *operator)
+					var calls []func(operator *operator)
 					for range 2 * len(cluster.machines) {
-						does = append(does, func(operator *operator) {
+						calls = append(calls, func(operator *operator) {
 							got := operator.callOne(cluster.sorted()[operator.number%len(cluster.machines)], method, path, body, "If-Match", "0")
 							if !slices.Contains([]int{0, http.StatusOK, http.StatusServiceUnavailable, http.StatusGatewayTimeout}, got.status) {
-								t.Errorf("healed after %d: a copy is answered by %d %s", heals, got.status, got.body)
+								t.Errorf("healed after step %d: a copy got status %d %s", heals, got.status, got.body)
 							}
 						})
 					}
-					return does
+					return calls
 				}
 				seen := startedRollouts{}
-				does := append(copies(http.MethodPut, settingsPath, document(3)), copies(http.MethodPost, rolloutsPath, `{"service":"lm","target":"v2","overS":60}`)...)
+				calls := append(copies(http.MethodPut, settingsPath, document(3)), copies(http.MethodPost, rolloutsPath, `{"service":"lm","target":"v2","overS":60}`)...)
 				cluster.runOperators(func(now int) {
 					if now == 1 {
-						loss.lose(cluster, cluster.leader())
+						failure.lose(cluster, cluster.leader())
 					}
 					if now == heals {
 						cluster.heal()
 					}
 					seen.observe(cluster)
-				}, does...)
+				}, calls...)
 				cluster.heal()
 				cluster.wait("the group is complete", 30*time.Second, cluster.isComplete)
 				seen.observe(cluster)
 				if got := len(seen["lm v2 60000"]); got > 1 {
-					t.Errorf("healed after %d: one order began %d roll-outs", heals, got)
+					t.Errorf("healed after step %d: one order started %d roll-outs, want 1 at most", heals, got)
 				}
-				// The operator hasn't had a clear answer from all; it sends the same again.
+				// Some copies got no conclusive response, so the operator sends the order again.
 				cluster.runOperators(func(int) {}, func(operator *operator) {
 					wantAcknowledged(t, operator, "configuration", func() reply { return operator.call(http.MethodPut, settingsPath, document(3), "If-Match", "0") })
 				})
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestConfigurationOrder_DuplicateToLaggingMember_NeverRejected asks a member that has heard nothing of the changes since the order, and one that has lost its
-// disk.
+// TestConfigurationOrder_DuplicateToLaggingMember_NeverRejected sends duplicates to a member that has missed all changes since the
+// order, and to one that has lost its disk.
 func TestConfigurationOrder_DuplicateToLaggingMember_NeverRejected(t *testing.T) {
 	for _, wiped := range []bool{false, true} {
 		runInVirtualTime(t, fmt.Sprint("wiped: ", wiped), func(t *testing.T) {
@@ -117,29 +117,29 @@
 			cluster.runOperators(func(int) {}, func(operator *operator) {
 				for base := range 5 {
 					body := document(base + 1)
-					wantAcknowledged(t, operator, "a change", func() reply {
+					wantAcknowledged(t, operator, "a configuration", func() reply {
 						return operator.callOne(cluster.leader(), http.MethodPut, settingsPath, body, "If-Match", fmt.Sprint(base))
 					})
 				}
-				// When each of them is sent to the member that is partitioned, then it is not refused, and no stale version is told.
+				// When each order is sent again to the partitioned member, then it is not rejected.
 				for range 40 {
 					for base := range 5 {
 						got := operator.exchange(lagging, http.MethodPut, settingsPath, document(base+1), "If-Match", fmt.Sprint(base))
 						if got != nil && !slices.Contains([]int{http.StatusOK, http.StatusTemporaryRedirect, http.StatusServiceUnavailable}, got.Code) {
-							t.Errorf("a duplicate is answered by %d %s", got.Code, got.Body)
+							t.Errorf("a duplicate got status %d %s", got.Code, got.Body)
 						}
 					}
 					operator.sleep(50 * time.Millisecond)
 				}
 			})
-			// And once it has caught up, it acknowledges all of them by itself.
+			// And once the member has caught up, it acknowledges all of them itself.
 			cluster.heal()
 			cluster.wait("the group is complete", 30*time.Second, cluster.isComplete)
 			cluster.runOperators(func(int) {}, func(operator *operator) {
 				operator.sleep(time.Second)
 				for base := range 5 {
 					if got := operator.exchange(lagging, http.MethodPut, settingsPath, document(base+1), "If-Match", fmt.Sprint(base)); got.Code != http.StatusOK {
-						t.Errorf("after it has caught up a duplicate is answered by %d", got.Code)
+						t.Errorf("a duplicate got status %d from the member after it caught up", got.Code)
 					}
 				}
 			})
@@ -147,8 +147,8 @@
 	}
 }
 
-// TestConfigurationOrder_DuplicatesAfterChangesAndRestarts_Acknowledged changes the configuration hundreds of times, so that snapshots replace the log,
-// restarts all members and replaces one, and repeats all orders.
+// TestConfigurationOrder_DuplicatesAfterChangesAndRestarts_Acknowledged changes the configuration often enough for snapshots to replace
+// the log, restarts all members, wipes one, and repeats all orders.
 func TestConfigurationOrder_DuplicatesAfterChangesAndRestarts_Acknowledged(t *testing.T) {
 	t.Parallel()
 	const changes = 200
@@ -156,10 +156,10 @@
 	padding := strings.Repeat(" ", 8<<10)
 	var orders []*configuration.Proposal
 	for number := range uint64(changes) {
-		raw := mustMarshal(t, json.RawMessage(orderNamed(number+1, padding)))
+		raw := mustMarshal(t, json.RawMessage(documentWithNote(number+1, padding)))
 		order := &configuration.Proposal{Base: number, Number: number + 1, Raw: raw}
 		if got := cluster.propose(Command{Configuration: order}); got != configuration.Accepted {
-			t.Fatalf("order %d was %v", number+1, got)
+			t.Fatalf("the result of order %d is %v", number+1, got)
 		}
 		orders = append(orders, order)
 	}
@@ -173,11 +173,11 @@
 	cluster.run(5 * time.Second)
 	for _, order := range orders {
 		if got := cluster.propose(Command{Configuration: order}); got != configuration.Accepted {
-			t.Errorf("order %d was %v when it came again", order.Number, got)
+			t.Errorf("the result of a duplicate of order %d is %v", order.Number, got)
 		}
 		for _, m := range cluster.sorted() {
 			if !m.controller.wasAccepted(order) {
-				t.Fatalf("%s doesn't know that order %d was taken", m.member.Name, order.Number)
+				t.Fatalf("%s doesn't know that order %d was accepted", m.member.Name, order.Number)
 			}
 		}
 	}
--- a/internal/tier/controller/controller.go
+++ b/internal/tier/controller/controller.go
@@ -25,20 +25,20 @@
 	dedupWindow *dedup.Window
 
 	changed   chan struct{} // has a token while committed changes may be unpublished
-	published view.Digest   // what has been published; owned by the goroutine that calls Publish
+	published view.Digest   // stamps of the published sections; owned by the goroutine that calls Publish
 
 	membersMutex     sync.Mutex // orders the calls that set the group's target members
 	reconcilerMutex  sync.Mutex // guards reconciler; must be taken before mutex
 	reconciler       *Reconciler
 	proposing        atomic.Bool   // commands of the reconciler are in flight
 	reconcileNow     chan struct{} // has a token if the next reconciliation is due at once
-	loggedUnmet      string        // losses that shards don't tolerate, as logged last; owned by the goroutine that calls Reconcile
+	loggedUnmet      string        // the losses that shards don't tolerate, as last logged; owned by the goroutine that calls Reconcile
 	lastElectionTerm uint64        // term of the last leader that was counted; owned by the group's goroutine
 
 	bodyTimeout    time.Duration
 	redirects      atomic.Uint64 // callers redirected to a peer while this controller wasn't in the group
 	validationSlot chan struct{} // has a token while a configuration is being validated
-	listReadSlot   chan struct{} // has a token while the platform's list is being read
+	listReadSlot   chan struct{} // has a token while the platform's endpoint list is being read
 	versionStats   *statsTable
 }
 
@@ -65,16 +65,16 @@
 	return c, nil
 }
 
-// replicationFactor is the number of replicas of each group that tolerates the loss of as many machines as the settings say.
+// replicationFactor returns the number of replicas that a group needs to tolerate the loss of as many machines as the settings say.
 func (c *Controller) replicationFactor() int { return 2*c.options.Settings.FaultTolerance.Machines + 1 }
 
-// placementPolicy is how the settings have replicas spread.
+// placementPolicy returns the policy by which the settings spread replicas.
 func (c *Controller) placementPolicy() placement.Policy {
 	tolerance := c.options.Settings.FaultTolerance
 	return placement.Policy{Replicas: c.replicationFactor(), Zones: tolerance.Zones, Regions: tolerance.Regions, RegionOf: c.options.Settings.Zones}
 }
 
-// Group returns the member of the configuration shard's group, which Run drives.
+// Group returns this process's member of the configuration shard's group. Run runs it.
 func (c *Controller) Group() *group.Group { return c.group }
 
 // KnownAddresses lists the addresses of the group's other members and then those of the stores that the placement names, as far
@@ -94,21 +94,21 @@
 	return addresses
 }
 
-// Register adds the handlers of what other processes send to the controller.
+// Register adds the handlers of messages and requests from other processes.
 func (c *Controller) Register(handlers *transport.Handlers) {
 	transport.HandleNotice(handlers, wire.MethodReplica, func(_ string, envelope group.Envelope) {
 		if envelope.Group == GroupName {
 			c.group.Deliver(envelope.Message)
 		}
 	})
-	transport.Handle(handlers, wire.MethodEndpoints, c.answerList)
+	transport.Handle(handlers, wire.MethodEndpoints, c.handleListRequest)
 	transport.HandleNotice(handlers, wire.MethodVersionStats, func(_ string, report wire.VersionStatsReport) {
 		c.versionStats.replace(c.options.Clock(), report)
 	})
 }
 
-// Run drives the member until ctx ends or its disk fails; then it returns the disk's error. The loops of the controller run
-// beside it. They end with it: Run returns once all have ended.
+// Run runs the group's member and the controller's loops until ctx ends or the disk fails. It returns the disk's error, once all
+// loops have ended.
 func (c *Controller) Run(ctx context.Context) error {
 	bounded, cancel := context.WithCancel(ctx)
 	var loops sync.WaitGroup
--- a/internal/tier/controller/decommission_api_test.go
+++ b/internal/tier/controller/decommission_api_test.go
@@ -14,15 +14,15 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// watchFor has the planner see the members for longer than it takes to gather them.
-func (b *fixture) watchFor(now time.Time, d time.Duration) {
+// observeMembersFor has the reconciler observe the current members for that long, up to now.
+func (f *fixture) observeMembersFor(now time.Time, d time.Duration) {
 	const step = 500 * time.Millisecond
 	for passed := time.Duration(0); passed <= d; passed += step {
-		b.reconciler.Tracker().Observe(now.Add(passed-d), b.fleet.Members(), b.group.Status().Term)
+		f.reconciler.Tracker().Observe(now.Add(passed-d), f.fleet.Members(), f.group.Status().Term)
 	}
 }
 
-// decommissionFor is an order to empty a machine, of which enough others remain.
+// decommissionFor returns a proposal to drain a machine, with enough other stores running.
 func decommissionFor(node string) *decommission.Proposal {
 	order := &decommission.Proposal{Store: decommission.Store{Node: node, ID: node + "-id"}, MinRemaining: 3}
 	for number := range 4 {
@@ -34,38 +34,38 @@
 func TestDecommissionAPI_Statuses(t *testing.T) {
 	down := func(m membership.Member) membership.Member { m.State = membership.StateDead; return m }
 	const path = "/mastusher/retire/storage-1"
-	const sure = 13 * time.Second // as leader, with all members in sight
+	const untilComplete = 13 * time.Second // after its election a leader's view of the members is complete
 	tests := []struct {
-		name    string
-		members []membership.Member
-		watched time.Duration
-		body    string
-		want    int
+		name        string
+		members     []membership.Member
+		observedFor time.Duration
+		body        string
+		want        int
 	}{
 		{"three remain", storeMembers(4), 3 * time.Second, `{"overS":10}`, http.StatusOK},
-		{"without a time", storeMembers(4), 3 * time.Second, ``, http.StatusOK},
-		{"with more than is known", storeMembers(4), 3 * time.Second, `{"overS":1.5,"new":[1]}`, http.StatusOK},
-		{"no JSON", storeMembers(4), 3 * time.Second, `{"overS`, http.StatusBadRequest},
-		{"a time below 0", storeMembers(4), 3 * time.Second, `{"overS":-1}`, http.StatusBadRequest},
+		{"without a duration", storeMembers(4), 3 * time.Second, ``, http.StatusOK},
+		{"with an unknown field", storeMembers(4), 3 * time.Second, `{"overS":1.5,"new":[1]}`, http.StatusOK},
+		{"invalid JSON", storeMembers(4), 3 * time.Second, `{"overS`, http.StatusBadRequest},
+		{"a duration below 0", storeMembers(4), 3 * time.Second, `{"overS":-1}`, http.StatusBadRequest},
 		{"too large", storeMembers(4), 3 * time.Second, `{"x":"` + strings.Repeat("x", maxRequestBytes) + `"}`, http.StatusRequestEntityTooLarge},
-		{"unknown machine", storeMembers(0), sure, `{"overS":10}`, http.StatusNotFound},
+		{"unknown machine", storeMembers(0), untilComplete, `{"overS":10}`, http.StatusNotFound},
 		{"unknown machine, soon after the election", storeMembers(0), 3 * time.Second, `{"overS":10}`, http.StatusServiceUnavailable},
 		{"unknown machine, shortly after the start", storeMembers(0), 0, `{"overS":10}`, http.StatusServiceUnavailable},
-		{"two remain", storeMembers(3), sure, `{"overS":10}`, http.StatusConflict},
+		{"two remain", storeMembers(3), untilComplete, `{"overS":10}`, http.StatusConflict},
 		{"two remain, soon after the election", storeMembers(3), 3 * time.Second, `{"overS":10}`, http.StatusServiceUnavailable},
 		{"two remain, shortly after the start", storeMembers(3), 0, `{"overS":10}`, http.StatusServiceUnavailable},
 		{"the machine is down", append(storeMembers(4)[1:], down(storeMember(1))), 3 * time.Second, `{"overS":10}`, http.StatusOK},
-		{"another has just gone down", append(storeMembers(3), down(storeMember(4))), 3 * time.Second, `{"overS":10}`, http.StatusServiceUnavailable},
-		{"another was down when this one was elected", append(storeMembers(3), down(storeMember(4))), 8 * time.Second, `{"overS":10}`, http.StatusServiceUnavailable},
-		{"another has long been down", append(storeMembers(3), down(storeMember(4))), sure, `{"overS":10}`, http.StatusConflict},
+		{"another machine has just gone down", append(storeMembers(3), down(storeMember(4))), 3 * time.Second, `{"overS":10}`, http.StatusServiceUnavailable},
+		{"another machine was down when the leader was elected", append(storeMembers(3), down(storeMember(4))), 8 * time.Second, `{"overS":10}`, http.StatusServiceUnavailable},
+		{"another machine has long been down", append(storeMembers(3), down(storeMember(4))), untilComplete, `{"overS":10}`, http.StatusConflict},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := startFixture(t, memorydisk.New())
-			b.fleet.set(test.members...)
-			b.watchFor(time.Now(), test.watched)
-			wantStatus(t, b.send(http.MethodPost, path, test.body), test.want)
-			state := b.send(http.MethodGet, path, "")
+			f := startFixture(t, memorydisk.New())
+			f.fleet.set(test.members...)
+			f.observeMembersFor(time.Now(), test.observedFor)
+			wantStatus(t, f.send(http.MethodPost, path, test.body), test.want)
+			state := f.send(http.MethodGet, path, "")
 			if test.want != http.StatusOK {
 				wantStatus(t, state, http.StatusNotFound)
 				return
@@ -74,29 +74,30 @@
 			if got := strings.TrimSpace(state.Body.String()); got != `{"state":"in_service"}` {
 				t.Errorf("state %s", got)
 			}
-			wantStatus(t, b.send(http.MethodPost, path, test.body), http.StatusOK)
+			wantStatus(t, f.send(http.MethodPost, path, test.body), http.StatusOK)
 		})
 	}
 }
 
-// TestDecommissionAPI_StoreJustDown_NotReady asks a leader that has long seen all machines run.
+// TestDecommissionAPI_StoreJustDown_NotReady has a store go down that the leader has long known: the rejection is final only once the
+// store can't be expected back.
 func TestDecommissionAPI_StoreJustDown_NotReady(t *testing.T) {
 	const path = "/mastusher/retire/storage-1"
 	for down, want := range map[time.Duration]int{3 * time.Second: http.StatusServiceUnavailable, 8 * time.Second: http.StatusConflict} {
-		b := startFixture(t, memorydisk.New())
-		b.fleet.set(storeMembers(4)...)
+		f := startFixture(t, memorydisk.New())
+		f.fleet.set(storeMembers(4)...)
 		now := time.Now()
-		b.watchFor(now.Add(-down), 13*time.Second)
+		f.observeMembersFor(now.Add(-down), 13*time.Second)
 		removed := storeMember(4)
 		removed.State = membership.StateDead
-		b.fleet.set(append(storeMembers(3), removed)...)
-		b.watchFor(now, down)
-		wantStatus(t, b.send(http.MethodPost, path, `{"overS":10}`), want)
+		f.fleet.set(append(storeMembers(3), removed)...)
+		f.observeMembersFor(now, down)
+		wantStatus(t, f.send(http.MethodPost, path, `{"overS":10}`), want)
 	}
 }
 
-// TestDecommissionAPI_LeaderWithoutMajority_RejectsNothing asks a leader that has just been partitioned, when it doesn't know it yet, for a
-// machine that it doesn't know and for one too many.
+// TestDecommissionAPI_LeaderWithoutMajority_RejectsNothing sends requests to a leader that has just lost its majority and hasn't
+// detected that yet. It must not reject a machine that it doesn't know, nor one without which too few would remain.
 func TestDecommissionAPI_LeaderWithoutMajority_RejectsNothing(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.awaitPlacement()
@@ -107,7 +108,7 @@
 			m.kill()
 		}
 	}
-	for _, asked := range []struct{ method, path string }{
+	for _, call := range []struct{ method, path string }{
 		{http.MethodPost, "/mastusher/retire/storage-1"},
 		{http.MethodPost, "/mastusher/retire/storage-9"},
 		{http.MethodGet, "/mastusher/retire/storage-1"},
@@ -115,11 +116,11 @@
 		{http.MethodGet, settingsPath},
 	} {
 		if !leader.controller.Group().Status().IsLeader {
-			t.Fatal("the leader knows already that it is partitioned")
+			t.Fatal("the leader has already stepped down")
 		}
-		// Its group has no turn while it answers, as if no message came any more.
+		// Its group doesn't run meanwhile, as if it received no messages any more.
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
-		request := httptest.NewRequestWithContext(ctx, asked.method, asked.path, strings.NewReader(`{"overS":10}`))
+		request := httptest.NewRequestWithContext(ctx, call.method, call.path, strings.NewReader(`{"overS":10}`))
 		recorder := httptest.NewRecorder()
 		leader.controller.Handler().ServeHTTP(recorder, request)
 		cancel()
--- a/internal/tier/controller/dedup.go
+++ b/internal/tier/controller/dedup.go
@@ -9,8 +9,8 @@
 	"mastusher/internal/tier/settings"
 )
 
-// dedupWindowLength is how long after its acceptance a duplicate of a roll-out or decommission order may arrive. An operator sends
-// an order again for as long as it waits for the acknowledgement; a copy may be in flight for longer where machines are slow.
+// dedupWindowLength returns how long after its acceptance a duplicate of a roll-out or decommission order may arrive. An operator
+// repeats an order while it waits for the acknowledgement; a copy may be in flight for longer where machines are slow.
 func dedupWindowLength(bounds settings.Bounds) time.Duration {
 	return bounds.ConfirmWithin() + bounds.UnstableExtension()
 }
@@ -33,8 +33,8 @@
 	c.dedupWindow.Observe(c.options.Clock(), c.state.dedupEntries())
 }
 
-// dedupExpiredIndex is the log index up to which no duplicates of accepted orders arrive any more. A proposal carries it into the
-// log, so that all replicas decide alike whether it is a duplicate.
+// dedupExpiredIndex returns the log index up to which no duplicates of accepted orders arrive any more. A proposal carries it into
+// the log, so that all replicas decide alike whether the proposal is a duplicate.
 func (c *Controller) dedupExpiredIndex() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/tier/controller/endpoints.go
+++ b/internal/tier/controller/endpoints.go
@@ -13,12 +13,12 @@
 	"mastusher/internal/tier/view"
 )
 
-// Timing of the reads of the platform's list.
+// Timing of the reads of the platform's endpoint list.
 const (
 	listReadInterval    = 700 * time.Millisecond
 	listReadTimeout     = 2500 * time.Millisecond
 	leaderCheckInterval = 100 * time.Millisecond // how often a follower checks whether it has become the leader
-	initialReads        = 2                      // of a new leader before it publishes: one may miss an endpoint that moved between pages
+	initialReads        = 2                      // that a new leader makes before it publishes: a single one may miss an endpoint that moved between pages
 )
 
 // readLoop reads the platform's list while this member is the leader, and publishes each change.
@@ -36,8 +36,8 @@
 	}
 }
 
-// EndpointPublisher holds what was read and published of the endpoints in the leader's term, so that an unchanged list isn't
-// published again. Its zero value is ready for use; one goroutine at a time may use it.
+// EndpointPublisher holds the endpoints that the leader has read and published in its term, so that an unchanged list isn't
+// published again. Its zero value is ready for use. It is not safe for concurrent use.
 type EndpointPublisher struct {
 	stamp  view.Stamp
 	last   []model.Endpoint
@@ -65,8 +65,8 @@
 	return listReadInterval
 }
 
-// readCompleteList reads the list and returns all endpoints that exist. What was read in an earlier term must not be merged: it
-// may be as old as that term, and would bring back endpoints that were removed since.
+// readCompleteList reads the list, merges it with the earlier reads of the term and returns all endpoints. Reads of an earlier term
+// must not be merged: they may be old, and would bring back endpoints that have been removed since.
 func (c *Controller) readCompleteList(ctx context.Context, publisher *EndpointPublisher, term uint64) ([]model.Endpoint, error) {
 	reads := 1
 	if publisher.term != term {
@@ -94,7 +94,7 @@
 	}
 }
 
-// update returns the update that publishes a list; changed is false if the same was published in this term.
+// update returns the update that publishes a list; changed is false if the same list was already published in this term.
 func (p *EndpointPublisher) update(endpoints []model.Endpoint, term uint64) (update view.Update, changed bool, err error) {
 	if p.stamp.Term == term && sameEndpoints(p.last, endpoints) {
 		return view.Update{}, false, nil
@@ -111,8 +111,8 @@
 	return view.Update{Section: view.EndpointsSection, Stamp: p.stamp, Body: body}, true, nil
 }
 
-// sameEndpoints reports whether two lists are equal, apart from the time for which an endpoint is still warming up: that runs
-// down with each read.
+// sameEndpoints reports whether two lists are equal, apart from the remaining warm-up time of endpoints, which decreases with each
+// read.
 func sameEndpoints(a, b []model.Endpoint) bool {
 	return slices.EqualFunc(a, b, func(x, y model.Endpoint) bool {
 		x.WarmUpLeftMs, y.WarmUpLeftMs = 0, 0
--- a/internal/tier/controller/environment_test.go
+++ b/internal/tier/controller/environment_test.go
@@ -10,18 +10,18 @@
 	"mastusher/internal/tier/view"
 )
 
-// environment are what the machines, disks and links of a cluster in memory are like. Zero speeds take no time.
+// environment sets the delays of membership and the speeds of disks and links of a cluster in memory. A speed of 0 is unlimited.
 type environment struct {
-	faultTolerance int           // machines that may be lost at once
-	joinDelay      time.Duration // from a start, or the end of a partition or freeze, until the others know of it
-	suspicionDelay time.Duration // from a loss until it is suspected; 0: it never is
-	deathDelay     time.Duration // from a loss until it is taken for dead
-	syncTime       time.Duration // of a disk
-	diskBytesPerS  int           // bytes a second that a disk writes
-	linkBytesPerS  int           // bytes a second that a machine's link takes, each way
+	faultTolerance int           // number of machines that may be lost at once
+	joinDelay      time.Duration // from a start, or the end of a partition or freeze, until membership considers the machine alive
+	suspicionDelay time.Duration // from a loss until membership suspects it; 0: never
+	deathDelay     time.Duration // from a loss until membership considers the machine dead
+	syncTime       time.Duration // duration of a disk's sync
+	diskBytesPerS  int           // write speed of a disk
+	linkBytesPerS  int           // speed of a machine's link, each way
 }
 
-// Two kinds of sites. Suspicion and death are the longest that were measured in a fleet of the size (membership's
+// Two kinds of sites. suspicionDelay and deathDelay are the maxima in a fleet of this size (membership's
 // TestControllers_MemberWithReplicasDies_SuspectItWithinTheBound).
 var (
 	fastSite = environment{faultTolerance: 1, joinDelay: 300 * time.Millisecond, suspicionDelay: 1850 * time.Millisecond, deathDelay: 4350 * time.Millisecond,
@@ -30,13 +30,13 @@
 		syncTime: 5 * time.Millisecond, diskBytesPerS: 120_000_000, linkBytesPerS: 150_000_000 / 8}
 )
 
-// large is the same site with more machines, of which two may be lost at once.
+// large returns the same site with more machines, of which two may be lost at once.
 func (s environment) large() environment {
 	s.faultTolerance, s.deathDelay = 2, 5300*time.Millisecond
 	return s
 }
 
-// machineFleet is the fleet as one machine sees it.
+// machineFleet implements Fleet as one machine sees membership.
 type machineFleet struct{ machine *testMachine }
 
 // Members implements Fleet.
@@ -63,7 +63,7 @@
 	}
 }
 
-// stateAfter is what is believed of a member that has been silent for so long.
+// stateAfter returns the membership state of a member that has been unreachable for that long.
 func (s environment) stateAfter(silent time.Duration, before membership.State) membership.State {
 	switch {
 	case silent >= s.deathDelay:
@@ -74,41 +74,41 @@
 	return before
 }
 
-// isReachable tells whether the machine runs and isn't partitioned.
+// isReachable reports whether the machine runs and isn't partitioned.
 func (m *testMachine) isReachable() bool { return m.running && m.partitionedAt == 0 }
 
-// markAlive has the others learn that the machine is there.
+// markAlive has membership consider the machine alive, after joinDelay.
 func (m *testMachine) markAlive() {
 	m.membershipChanges++
-	absence, cluster := m.membershipChanges, m.cluster
-	show := func() {
-		if m.membershipChanges == absence {
+	change, cluster := m.membershipChanges, m.cluster
+	join := func() {
+		if m.membershipChanges == change {
 			m.advertised, m.known = m.member, true
 			m.advertised.State = membership.StateAlive
 		}
 	}
 	if cluster.environment.joinDelay == 0 {
-		show()
+		join()
 		return
 	}
-	cluster.after(cluster.environment.joinDelay, show)
+	cluster.after(cluster.environment.joinDelay, join)
 }
 
-// markFailed has the others learn that the machine is silent.
+// markFailed has membership suspect the machine, and consider it dead, after the delays of the environment.
 func (m *testMachine) markFailed() {
 	m.membershipChanges++
-	absence, cluster := m.membershipChanges, m.cluster
-	believe := func(state membership.State) func() {
+	change, cluster := m.membershipChanges, m.cluster
+	setState := func(state membership.State) func() {
 		return func() {
-			if m.membershipChanges == absence {
+			if m.membershipChanges == change {
 				m.advertised.State = max(m.advertised.State, state)
 			}
 		}
 	}
 	if cluster.environment.suspicionDelay > 0 {
-		cluster.after(cluster.environment.suspicionDelay, believe(membership.StateSuspect))
+		cluster.after(cluster.environment.suspicionDelay, setState(membership.StateSuspect))
 	}
-	cluster.after(cluster.environment.deathDelay, believe(membership.StateDead))
+	cluster.after(cluster.environment.deathDelay, setState(membership.StateDead))
 }
 
 // partition isolates the machine from all others.
@@ -124,28 +124,28 @@
 	m.cluster.after(m.cluster.environment.joinDelay, m.applyNewest)
 }
 
-// freeze has the machine stand still.
+// freeze stops the machine's process until thaw.
 func (m *testMachine) freeze() {
 	m.frozen = true
 	m.markFailed()
 }
 
-// thaw ends that.
+// thaw ends a freeze.
 func (m *testMachine) thaw() {
 	m.frozen = false
 	m.markAlive()
 }
 
-// losePower ends the machine's process; of what wasn't synced, a part may last.
+// losePower kills the machine's process. A part of the unsynced writes may survive.
 func (m *testMachine) losePower(seed uint64) {
 	m.kill()
 	m.disk.LosePower(seed)
 }
 
-// transferTimeout is how long a process that is to end waits for other leaders, at most.
+// transferTimeout is how long a terminating process waits for its leaderships to be transferred.
 const transferTimeout = time.Second
 
-// terminate ends the process as SIGTERM does: it leaves, hands its groups over and ends.
+// terminate ends the process as SIGTERM does: it leaves membership, transfers its leaderships and exits.
 func (m *testMachine) terminate() {
 	c, generation := m.cluster, m.starts
 	m.membershipChanges++
@@ -161,7 +161,7 @@
 	})
 }
 
-// messageBytes is about what a message takes beside what it brings.
+// messageBytes is the approximate size of a message without its entries and snapshot.
 const messageBytes = 256
 
 func sizeOf(message *replica.Message) int {
@@ -175,7 +175,7 @@
 	return size
 }
 
-// send puts a message on the way: over the link of the machine, then over that of the receiver.
+// send queues a message: it takes time on the machine's link and then on the receiver's.
 func (m *testMachine) send(address string, envelope group.Envelope) {
 	c := m.cluster
 	arrives := c.now
@@ -192,7 +192,8 @@
 	return time.Duration(float64(bytes) / float64(perSecond) * float64(time.Second))
 }
 
-// runGroup has a group take its turn, unless it waits for the disk. What it sends leaves when the disk has done its part.
+// runGroup runs one iteration of a group, unless the group waits for the disk. Its messages leave once the disk has completed the
+// iteration's writes.
 func (m *testMachine) runGroup(running *group.Group) error {
 	cluster := m.cluster
 	if cluster.now < m.busy[running] || m.diskFault == stalledDisk {
@@ -227,10 +228,10 @@
 	return err
 }
 
-// node is the name of the machine.
+// node returns the name of the machine.
 func (m *testMachine) node() string { return placement.NodeOf(m.member.Name) }
 
-// diskFault is what is wrong with a disk.
+// diskFault is a fault of a disk.
 type diskFault string
 
 // The faults of disks.
@@ -242,11 +243,11 @@
 )
 
 const (
-	slowDiskFactor = 30                     // how many times as long a slow disk takes
-	reopenDelay    = 300 * time.Millisecond // from a failure of the disk until a group begins anew, as group does
+	slowDiskFactor = 30                     // a slow disk takes this many times as long
+	reopenDelay    = 300 * time.Millisecond // from a failure of the disk until a group is reopened, as in package group
 )
 
-// injectDiskFault injects a fault of the machine's disk, or ends it.
+// injectDiskFault injects a fault into the machine's disk; healthy ends the fault.
 func (m *testMachine) injectDiskFault(what diskFault) {
 	m.diskFault = what
 	m.disk.SetCapacity(0)
@@ -255,7 +256,7 @@
 	}
 }
 
-// retryStart retries a start that a disk fault has made fail, as the process does.
+// retryStart retries a start that failed because of a disk fault, as the process does.
 func (m *testMachine) retryStart(err error) {
 	if m.diskFault == healthy {
 		m.cluster.t.Fatal(err)
@@ -269,7 +270,7 @@
 	})
 }
 
-// reopen has a group reopen that its disk has broken.
+// reopen reopens a group that a disk fault has stopped.
 func (m *testMachine) reopen(running *group.Group) error {
 	if !m.broken[running] {
 		return nil
--- a/internal/tier/controller/faulty_cluster_test.go
+++ b/internal/tier/controller/faulty_cluster_test.go
@@ -16,30 +16,30 @@
 	"mastusher/internal/tier/replica"
 )
 
-// What operators do.
+// Behavior of operators.
 const (
-	operatorTimeout = time.Second // without an answer until an operator goes to another controller
+	operatorTimeout = time.Second // without a response until an operator tries another controller
 	maxRedirects    = 2
 	maxAttempts     = 8
 	minBackoff      = 20 * time.Millisecond
 	maxBackoff      = 300 * time.Millisecond
-	// callOffset keeps the calls of operators from coming in the middle of a step of the cluster.
+	// callOffset keeps operators from calling during a step of the cluster.
 	callOffset = 2 * time.Millisecond
 )
 
-// faultyCluster is a cluster of controllers whose links are blocked, machines frozen and answers lost, within a bubble of
-// synctest: operators call the real handlers in goroutines of their own while its time passes with the cluster's.
+// faultyCluster is a cluster of controllers with faults: blocked links, frozen machines and lost responses. It runs in a synctest
+// bubble, whose time advances with the cluster's. Operators call the real handlers in goroutines of their own.
 type faultyCluster struct {
 	*cluster
-	random         *rand.Rand
-	blocked        map[[2]string]bool // from one address to another
-	frozen         map[*testMachine]bool
-	delayed        []inFlightMessage // to frozen machines
-	answerLossRate float64
-	wiped          bool
+	random           *rand.Rand
+	blocked          map[[2]string]bool // links, as addresses of sender and receiver
+	frozen           map[*testMachine]bool
+	delayed          []inFlightMessage // messages to frozen machines
+	responseLossRate float64
+	wiped            bool
 }
 
-// newFaultyCluster starts three controllers and some stores.
+// newFaultyCluster starts three controllers and some stores, and waits for a leader.
 func newFaultyCluster(t testing.TB, seed uint64, stores int) *faultyCluster {
 	cluster := &faultyCluster{cluster: newCluster(t, stores), random: rand.New(rand.NewPCG(seed, 42)),
 		blocked: map[[2]string]bool{}, frozen: map[*testMachine]bool{}}
@@ -47,7 +47,7 @@
 	return cluster
 }
 
-// step lets a step of virtual time pass; all that operators do happens within the sleep, or while it waits.
+// step advances virtual time by one step. Operators act only during the sleep and the waits.
 func (c *faultyCluster) step() {
 	c.afterStep()
 	time.Sleep(clusterStep)
@@ -66,13 +66,13 @@
 	}
 }
 
-// afterStep orders what an operator does after the step that has ended, which holds by time, for the race detector too.
+// afterStep orders an operator's accesses after the previous step for the race detector; virtual time orders them already.
 func (c *faultyCluster) afterStep() {
 	c.nowMutex.Lock()
 	defer c.nowMutex.Unlock()
 }
 
-// applyFaults takes out of the queue what doesn't arrive, or not yet.
+// applyFaults drops the messages on blocked links, and delays those to frozen machines.
 func (c *faultyCluster) applyFaults() {
 	waiting := append(c.delayed, c.inFlight...)
 	c.delayed, c.inFlight = nil, nil
@@ -88,7 +88,7 @@
 	}
 }
 
-// addressOf is where a message comes from.
+// addressOf returns the address of a message's sender.
 func (c *faultyCluster) addressOf(message replica.Message) string {
 	for address, m := range c.machines {
 		if m.member.ID == message.From {
@@ -98,17 +98,17 @@
 	return ""
 }
 
-// wait lets time pass until the condition holds.
+// wait advances virtual time until the condition holds.
 func (c *faultyCluster) wait(what string, limit time.Duration, condition func() bool) {
 	c.t.Helper()
 	for end := c.now + limit; !condition(); c.step() {
 		if c.now > end {
-			c.t.Fatalf("%s: not within %v", what, limit)
+			c.t.Fatalf("%s: not reached within %v", what, limit)
 		}
 	}
 }
 
-// partition isolates a machine from the others: from it, to it, or both.
+// partition blocks the links between a machine and all others: those from it, those to it, or both.
 func (c *faultyCluster) partition(m *testMachine, from, to bool) {
 	for _, other := range c.sorted() {
 		c.blocked[[2]string{m.member.Address, other.member.Address}] = from && other != m
@@ -116,7 +116,7 @@
 	}
 }
 
-// heal ends all faults.
+// heal ends all faults, and starts the machines that don't run.
 func (c *faultyCluster) heal() {
 	clear(c.blocked)
 	clear(c.frozen)
@@ -128,7 +128,7 @@
 	}
 }
 
-// isComplete tells whether the configuration shard has all machines as members that have caught up.
+// isComplete reports whether all controllers are members of the configuration shard and have caught up.
 func (c *faultyCluster) isComplete() bool {
 	leader := c.leader()
 	if leader == nil || c.frozen[leader] {
@@ -138,13 +138,13 @@
 	return len(status.Members) == len(c.controllers()) && len(caughtUp(status)) == len(status.Members)
 }
 
-// controllers lists the machines that the operators reach.
+// controllers lists the machines of controllers.
 func (c *faultyCluster) controllers() []*testMachine {
 	return slices.DeleteFunc(c.sorted(), func(m *testMachine) bool { return m.member.Role != membership.Controller })
 }
 
-// injectRandomFault lets something happen by chance to a machine, often the leader. A disk is lost once at most, and only while all others
-// have theirs.
+// injectRandomFault injects a random fault into a machine, often the leader. A disk is lost once at most, and only while the group is
+// complete and has no other faults.
 func (c *faultyCluster) injectRandomFault() {
 	machines := c.controllers()
 	target := machines[c.random.IntN(len(machines))]
@@ -180,7 +180,7 @@
 	}
 }
 
-// restart ends a machine's process, with its power or not, and starts it some time later.
+// restart kills a machine's process, with a loss of power or without, and starts it again within 0.7 s.
 func (c *faultyCluster) restart(m *testMachine, losesPower bool) {
 	if !m.running {
 		return
@@ -197,7 +197,7 @@
 	})
 }
 
-// operator calls controllers as the operators do.
+// operator calls the API of controllers as real operators do.
 type operator struct {
 	cluster *faultyCluster
 	number  int
@@ -208,7 +208,7 @@
 	return &operator{cluster: c, number: number, random: rand.New(rand.NewPCG(c.random.Uint64(), uint64(number)))}
 }
 
-// sleep waits until a time at which the cluster rests too.
+// sleep waits for d, and then until a time between two steps of the cluster.
 func (o *operator) sleep(d time.Duration) {
 	now := time.Now().Add(d)
 	offset := callOffset + time.Duration(o.number)*time.Microsecond
@@ -216,19 +216,19 @@
 	o.cluster.afterStep()
 }
 
-// reply is what an operator got; status 0 stands for none.
+// reply is the final response to an operator's call; status 0: none.
 type reply struct {
 	status int
 	body   string
 }
 
-// call asks a controller drawn by lot, and follows redirects.
+// call sends a request to a random controller, and follows redirects.
 func (o *operator) call(method, path, body string, headers ...string) reply {
 	machines := o.cluster.controllers()
 	return o.callOne(machines[o.random.IntN(len(machines))], method, path, body, headers...)
 }
 
-// callOne asks a controller, and follows redirects.
+// callOne sends a request to a controller, and follows redirects.
 func (o *operator) callOne(m *testMachine, method, path, body string, headers ...string) reply {
 	for range maxRedirects + 1 {
 		recorder := o.exchange(m, method, path, body, headers...)
@@ -246,7 +246,7 @@
 	return reply{}
 }
 
-// at is the machine that a redirect names.
+// at returns the machine at the location of a redirect.
 func (c *faultyCluster) at(location string) *testMachine {
 	for _, m := range c.controllers() {
 		if strings.HasPrefix(location, "http://"+m.member.Control+"/") {
@@ -256,7 +256,7 @@
 	return nil
 }
 
-// exchange sends one request to a machine. It returns nil if no answer comes.
+// exchange sends one request to a machine. It returns nil if there is no response.
 func (o *operator) exchange(machine *testMachine, method, path, body string, headers ...string) *httptest.ResponseRecorder {
 	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
@@ -290,15 +290,15 @@
 	for o.cluster.frozen[machine] && ctx.Err() == nil {
 		o.sleep(0)
 	}
-	isLost := o.random.Float64() < o.cluster.answerLossRate
+	isLost := o.random.Float64() < o.cluster.responseLossRate
 	if isLost || ctx.Err() != nil || machine.starts != generation || !machine.running {
 		return nil
 	}
 	return recorder
 }
 
-// retryUntilClear calls until the answer is a clear one, or its attempts are used up.
-func (o *operator) retryUntilClear(attempts int, attempt func() (isClear bool)) bool {
+// retryUntilConclusive calls attempt until it reports a conclusive response, or the attempts are used up. It reports which.
+func (o *operator) retryUntilConclusive(attempts int, attempt func() (isConclusive bool)) bool {
 	backoff := minBackoff
 	for range attempts {
 		if attempt() {
@@ -310,7 +310,7 @@
 	return false
 }
 
-// runInVirtualTime runs a test in virtual time and waits for the goroutines that are left.
+// runInVirtualTime runs a test in virtual time and waits for its remaining goroutines.
 func runInVirtualTime(t *testing.T, name string, test func(t *testing.T)) {
 	t.Run(name, func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
@@ -320,7 +320,7 @@
 	})
 }
 
-// orderNamed is a configuration whose content has a name.
-func orderNamed(number uint64, content string) string {
-	return strings.Replace(document(int(number)), `{"number"`, fmt.Sprintf(`{"note": %q, "number"`, content), 1)
+// documentWithNote returns a configuration that differs from others by its note.
+func documentWithNote(number uint64, note string) string {
+	return strings.Replace(document(int(number)), `{"number"`, fmt.Sprintf(`{"note": %q, "number"`, note), 1)
 }
--- a/internal/tier/controller/fixture_test.go
+++ b/internal/tier/controller/fixture_test.go
@@ -21,16 +21,16 @@
 	"mastusher/internal/tier/wire"
 )
 
-// waitTimeout bounds every wait of a test that goes as it should.
+// waitTimeout bounds the waits of tests. A passing test stays far below it.
 const waitTimeout = 10 * time.Second
 
-// selfID is the identity of the controller under test, and selfAddress its link's.
+// selfID and selfAddress are the identity and the address of the controller under test.
 const (
 	selfID      = "core-1-id"
 	selfAddress = "10.0.0.1:7000"
 )
 
-// fleet is a membership that tests set by hand.
+// fleet implements Fleet with members that a test sets, and records the published updates.
 type fleet struct {
 	mutex     sync.Mutex
 	members   []membership.Member
@@ -55,7 +55,7 @@
 	f.members = members
 }
 
-// list is the platform's list.
+// list implements EndpointReader with a fixed list or error.
 type list struct {
 	endpoints []model.Endpoint
 	err       error
@@ -67,7 +67,7 @@
 	return membership.Member{Name: name + "/controller", ID: id, Role: membership.Controller, Address: address, Control: control, Incarnation: 1}
 }
 
-// storeMember is the store storage-NUMBER with the identity s-NUMBER.
+// storeMember returns the store storage-NUMBER with the identity s-NUMBER.
 func storeMember(number int) membership.Member {
 	return membership.Member{Name: fmt.Sprintf("storage-%d/store", number), ID: fmt.Sprintf("s-%d", number), Role: membership.Store,
 		Zone: fmt.Sprintf("zone-%d", number), Address: fmt.Sprintf("10.0.1.%d:7002", number), Incarnation: 1}
@@ -81,7 +81,7 @@
 	return members
 }
 
-// fixture is a controller with its environment.
+// fixture is a controller with its fleet and disk.
 type fixture struct {
 	*Controller
 	fleet *fleet
@@ -110,13 +110,14 @@
 	return &fixture{Controller: opened, fleet: fleetOfTest, disk: disk}
 }
 
-// startFixture runs the group of a controller that is its only member, and waits until that leads it. Its loops don't run.
+// startFixture opens a controller that is the only member of its group, runs the group without the controller's loops, and waits
+// until the controller leads.
 func startFixture(t testing.TB, disk *memorydisk.Disk) *fixture {
 	t.Helper()
-	b := newFixture(t, disk, nil)
+	f := newFixture(t, disk, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- b.group.Run(ctx) }()
+	go func() { ended <- f.group.Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
 		if err := <-ended; err != nil {
@@ -125,31 +126,31 @@
 	})
 	bounded, stop := context.WithTimeout(ctx, waitTimeout)
 	defer stop()
-	for b.group.Read(bounded, func() {}) != nil {
+	for f.group.Read(bounded, func() {}) != nil {
 		if bounded.Err() != nil {
 			t.Fatal("the only member doesn't become the leader")
 		}
 	}
-	return b
+	return f
 }
 
-// send asks the API and returns the answer.
-func (b *fixture) send(method, target, body string, headers ...string) *httptest.ResponseRecorder {
+// send sends a request to the API and returns the response.
+func (f *fixture) send(method, target, body string, headers ...string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(method, target, strings.NewReader(body))
 	for i := 0; i+1 < len(headers); i += 2 {
 		request.Header.Set(headers[i], headers[i+1])
 	}
 	recorder := httptest.NewRecorder()
-	b.Handler().ServeHTTP(recorder, request)
+	f.Handler().ServeHTTP(recorder, request)
 	return recorder
 }
 
-func wantStatus(t testing.TB, answer *httptest.ResponseRecorder, status int) {
+func wantStatus(t testing.TB, response *httptest.ResponseRecorder, status int) {
 	t.Helper()
-	if answer.Code != status {
-		t.Fatalf("answer %d %s, want %d", answer.Code, strings.TrimSpace(answer.Body.String()), status)
+	if response.Code != status {
+		t.Fatalf("status %d %s, want %d", response.Code, strings.TrimSpace(response.Body.String()), status)
 	}
-	if status == http.StatusServiceUnavailable && answer.Header().Get("Retry-After") == "" {
+	if status == http.StatusServiceUnavailable && response.Header().Get("Retry-After") == "" {
 		t.Error("a 503 without Retry-After")
 	}
 }
--- a/internal/tier/controller/former_leader_test.go
+++ b/internal/tier/controller/former_leader_test.go
@@ -11,34 +11,35 @@
 	"mastusher/internal/tier/configuration"
 )
 
-// answerWhile has a controller of the cluster answer while time goes on, step by step, each time the handler waits for its
-// group. It runs in a synctest bubble.
-func (c *cluster) answerWhile(m *testMachine, method, path, body, base string) *httptest.ResponseRecorder {
+// respondWhileStepping sends a request to a controller of the cluster, and steps the cluster each time the handler waits for its
+// group. It must be called in a synctest bubble.
+func (c *cluster) respondWhileStepping(m *testMachine, method, path, body, base string) *httptest.ResponseRecorder {
 	c.t.Helper()
-	recorder, answered := httptest.NewRecorder(), make(chan struct{})
+	recorder, done := httptest.NewRecorder(), make(chan struct{})
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
 	request.Header.Set("If-Match", base)
 	go func() {
-		defer close(answered)
+		defer close(done)
 		m.controller.Handler().ServeHTTP(recorder, request)
 	}()
 	for end := c.now + proposeTimeout; c.now < end; c.step() {
 		synctest.Wait()
 		select {
-		case <-answered:
+		case <-done:
 			return recorder
 		default:
 		}
 	}
-	c.t.Fatal("no answer")
+	c.t.Fatal("no response within the time-out of a proposal")
 	return nil
 }
 
-// formerLeaderCall is what a leader is asked that has a successor.
+// formerLeaderCall is a request to a leader that already has a successor.
 type formerLeaderCall struct{ method, path, body, base string }
 
 // TestFormerLeader_UnawareOfSuccessor_AnswersNothing freezes a leader for less than an election time-out. Meanwhile the others
-// have begun anew, so that they didn't wait for it, and have taken another configuration.
+// restart, so that they elect a successor without waiting for that time-out, and commit another configuration. The former leader must
+// neither return old state nor reject anything.
 func TestFormerLeader_UnawareOfSuccessor_AnswersNothing(t *testing.T) {
 	for _, call := range []formerLeaderCall{
 		{http.MethodGet, settingsPath, "", ""},
@@ -54,9 +55,9 @@
 	}
 }
 
-// askFormerLeader asks a leader that doesn't know yet that it isn't one any more.
+// askFormerLeader sends a request to a former leader that doesn't know of its successor yet.
 func askFormerLeader(t *testing.T, call formerLeaderCall) {
-	// Given a leader that is frozen, and others that have elected another one and gone on,
+	// Given a leader that is frozen, and others that have elected another leader and committed a configuration,
 	cluster := newCluster(t, 0)
 	cluster.until("a leader", 5*time.Second, func() bool { return cluster.leader() != nil })
 	cluster.propose(Command{Configuration: &configuration.Proposal{Number: 3, Raw: mustMarshal(t, []byte(document(3)))}})
@@ -72,19 +73,19 @@
 	began := cluster.now
 	cluster.propose(Command{Configuration: &configuration.Proposal{Base: 3, Number: 8, Raw: mustMarshal(t, []byte(document(8)))}})
 	if frozen := cluster.now - began; frozen >= electionTimeout || !former.controller.Group().Status().IsLeader {
-		t.Fatalf("it knows after %v that it isn't the leader", frozen)
+		t.Fatalf("electing a successor took %v, or the former leader has stepped down already", frozen)
 	}
-	// when it goes on, and is asked before it has heard of that,
+	// when the former leader continues, and gets a request before any message,
 	former.running = true
-	answer := cluster.answerWhile(former, call.method, call.path, call.body, call.base)
-	// then it tells nothing, and refuses nothing.
-	switch answer.Code {
+	response := cluster.respondWhileStepping(former, call.method, call.path, call.body, call.base)
+	// then it returns no state, and rejects nothing.
+	switch response.Code {
 	case http.StatusServiceUnavailable, http.StatusTemporaryRedirect:
 	case http.StatusGatewayTimeout:
 		if call.method == http.MethodGet {
-			t.Errorf("answer %d", answer.Code)
+			t.Errorf("status %d", response.Code)
 		}
 	default:
-		t.Errorf("answer %d %s", answer.Code, answer.Body)
+		t.Errorf("status %d %s", response.Code, response.Body)
 	}
 }
--- a/internal/tier/controller/group.go
+++ b/internal/tier/controller/group.go
@@ -17,7 +17,7 @@
 const (
 	heartbeatInterval      = 120 * time.Millisecond
 	electionTimeout        = 500 * time.Millisecond
-	initialElectionTimeout = 120 * time.Millisecond // until this process has heard a leader for the first time
+	initialElectionTimeout = 120 * time.Millisecond // until this process has had contact with a leader for the first time
 )
 
 func (c *Controller) groupOptions() group.Options {
@@ -42,8 +42,8 @@
 	}
 }
 
-// onGroupChange reacts to a change of the group's status. A member that isn't the leader must not keep target members of its own:
-// should it become the leader, it would go on with an outdated target.
+// onGroupChange reacts to a change of the group's status. A follower must not keep target members of its own: if it were elected, it
+// would change the group towards an outdated target.
 func (c *Controller) onGroupChange(status replica.Status) {
 	level.Info(c.options.Logger).Log("msg", "group changed", "group", GroupName, "leader", status.Leader, "isLeader", status.IsLeader,
 		"term", status.Term, "members", len(status.Members))
@@ -56,7 +56,7 @@
 	c.group.SetTargetMembers(status.Members)
 }
 
-// countElection counts each leader once that this member sees. Only the group's goroutine calls it.
+// countElection counts each leader that this member learns of, once a term. Only the group's goroutine calls it.
 func (c *Controller) countElection(status replica.Status) {
 	if status.Leader == "" || status.Term == c.lastElectionTerm {
 		return
@@ -65,7 +65,7 @@
 	c.options.Metrics.CountElection()
 }
 
-// changeMembers sets the members that the group is to have, if this member is still the leader.
+// changeMembers sets the group's target members, if this member is still the leader.
 func (c *Controller) changeMembers(members []replica.Member) {
 	c.membersMutex.Lock()
 	defer c.membersMutex.Unlock()
@@ -74,7 +74,7 @@
 	}
 }
 
-// lockedStateMachine gives the group the controller's state machine under its mutex, since the loops and handlers read it too.
+// lockedStateMachine wraps the controller's state machine for the group. It locks the mutex, since loops and handlers read the state too.
 type lockedStateMachine struct{ controller *Controller }
 
 // Apply implements group.StateMachine.
--- a/internal/tier/controller/group_members.go
+++ b/internal/tier/controller/group_members.go
@@ -9,9 +9,9 @@
 	"mastusher/internal/tier/replica"
 )
 
-// desiredControllers returns the members that the configuration shard's group should have: lost ones are replaced by running
-// controllers. A member that answers the leader isn't lost, whatever membership says: right after a cold start, some members may
-// not know each other yet. A lost member without a replacement stays.
+// desiredControllers returns the members that the configuration shard's group should have: lost members are replaced by running
+// controllers. A member that responds to the leader isn't lost, whatever its membership state: right after a cold start, membership
+// may not have discovered all of them yet. A lost member without a replacement stays.
 func (r *Reconciler) desiredControllers(now time.Time, status replica.Status) []replica.Member {
 	isLost := r.tracker.LostHosts(now, membership.Controller, hostsOf(status.Members))
 	var members, lost []replica.Member
@@ -29,7 +29,7 @@
 			members = append(members, replica.Member{ID: m.ID, Address: m.Address})
 		}
 	}
-	// Of the lost ones, those that were seen last stay: they most likely come back.
+	// Of the lost members, those that were seen last stay: they are the most likely to return.
 	slices.SortStableFunc(lost, func(a, b replica.Member) int {
 		sinceA, _ := r.tracker.MissingSince(a.ID)
 		sinceB, _ := r.tracker.MissingSince(b.ID)
@@ -40,7 +40,7 @@
 }
 
 // dropSurplus drops members beyond the replication factor. A successor that has been added replaces the member that has been
-// missing for the longest time; where none is missing, the successor isn't needed any more.
+// missing for the longest time; if none is missing, the successor itself is dropped.
 func (r *Reconciler) dropSurplus(members []replica.Member, self string) []replica.Member {
 	for len(members) > r.policy.Replicas {
 		at := r.surplusMember(members, self)
--- a/internal/tier/controller/large_configuration_test.go
+++ b/internal/tier/controller/large_configuration_test.go
@@ -17,15 +17,15 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// minProcessorShare is the smallest share of a core that a controller is known to run on.
-const minProcessorShare = 0.176
+// minCPUShare is the smallest share of a CPU core that a controller is known to run on.
+const minCPUShare = 0.176
 
-// maxTurn is the time that a turn may take around an order, as the processor counts it: a quarter of the election time-out at
-// that share.
-const maxTurn = time.Duration(minProcessorShare * float64(electionTimeout) / 4)
+// maxIterationTime is the CPU time that an iteration of a group may take while a configuration is being committed: a quarter of the
+// election time-out at minCPUShare.
+const maxIterationTime = time.Duration(minCPUShare * float64(electionTimeout) / 4)
 
-// largeOrder is an order of a configuration with so many routes, padded to a length.
-func largeOrder(base uint64, routes, bytes int) *configuration.Proposal {
+// largeProposal returns a proposal of a configuration with that number of routes, padded to at least that many bytes.
+func largeProposal(base uint64, routes, bytes int) *configuration.Proposal {
 	written := make([]string, routes)
 	for i := range written {
 		written[i] = fmt.Sprintf(`{"name":"r-%d","host":"play.example","startsWith":"/p%d/","kind":"streaming",`+
@@ -38,71 +38,71 @@
 	return &configuration.Proposal{Base: base, Number: base + 1, Raw: json.RawMessage(raw)}
 }
 
-// textNetwork is a group of controllers' members whose messages go as text between them. Only turns and the writing of messages
-// are measured; a connection reads them in a goroutine of its own.
-type textNetwork struct {
+// encodingNetwork connects the members of a group by encoded messages. The measured CPU time is that of the members' iterations, which
+// includes encoding messages, but not decoding them: a real connection does that in a goroutine of its own.
+type encodingNetwork struct {
 	t       testing.TB
 	members map[string]*group.Group
-	sent    []textMessage
+	sent    []encodedMessage
 	now     time.Duration
 }
 
-type textMessage struct {
+type encodedMessage struct {
 	address string
-	text    []byte
+	data    []byte
 }
 
-func newTextNetwork(t testing.TB, names ...string) *textNetwork {
-	l := &textNetwork{t: t, members: map[string]*group.Group{}}
+func newEncodingNetwork(t testing.TB, names ...string) *encodingNetwork {
+	n := &encodingNetwork{t: t, members: map[string]*group.Group{}}
 	var initial []replica.Member
 	for _, name := range names {
 		initial = append(initial, replica.Member{ID: name + "-id", Address: name})
 	}
 	for i, name := range names {
 		opened, err := group.Open(group.Options{Name: GroupName, Disk: memorydisk.New(), StateMachine: NewStateMachine(func() {}), Logger: log.NewNopLogger(),
-			Clock: func() time.Duration { return l.now }, Send: l.send,
+			Clock: func() time.Duration { return n.now }, Send: n.send,
 			Replica: replica.Options{ID: name + "-id", Address: name, InitialMembers: initial, HeartbeatInterval: heartbeatInterval, ElectionTimeout: electionTimeout, InitialElectionTimeout: initialElectionTimeout, Seed: uint64(i)}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.members[name] = opened
+		n.members[name] = opened
 	}
-	return l
+	return n
 }
 
-func (l *textNetwork) send(address string, envelope group.Envelope) {
-	text, err := envelope.AppendJSON(nil)
+func (n *encodingNetwork) send(address string, envelope group.Envelope) {
+	data, err := envelope.AppendJSON(nil)
 	if err != nil {
-		l.t.Error(err)
+		n.t.Error(err)
 	}
-	l.sent = append(l.sent, textMessage{address, text})
+	n.sent = append(n.sent, encodedMessage{address, data})
 }
 
-// step delivers what was sent, gives each member a turn and returns the longest.
-func (l *textNetwork) step() (longest time.Duration) {
-	l.now += 5 * time.Millisecond
-	sent := l.sent
-	l.sent = nil
+// step delivers the sent messages, runs one iteration of each member and returns the longest CPU time of one.
+func (n *encodingNetwork) step() (longest time.Duration) {
+	n.now += 5 * time.Millisecond
+	sent := n.sent
+	n.sent = nil
 	for _, s := range sent {
 		var envelope group.Envelope
-		if err := json.Unmarshal(s.text, &envelope); err != nil {
-			l.t.Fatal(err)
+		if err := json.Unmarshal(s.data, &envelope); err != nil {
+			n.t.Fatal(err)
 		}
-		l.members[s.address].Deliver(envelope.Message)
+		n.members[s.address].Deliver(envelope.Message)
 	}
-	for _, member := range l.members {
-		began := processorTime(l.t)
+	for _, member := range n.members {
+		began := cpuTime(n.t)
 		if _, err := member.RunOnce(); err != nil {
-			l.t.Fatal(err)
+			n.t.Fatal(err)
 		}
-		longest = max(longest, processorTime(l.t)-began)
+		longest = max(longest, cpuTime(n.t)-began)
 	}
 	return longest
 }
 
-// processorTime is what the thread of the calling goroutine, which is bound to it, has used of its processor: unlike time it
-// doesn't grow while others have the processor.
-func processorTime(t testing.TB) time.Duration {
+// cpuTime returns the CPU time of the current thread, to which the calling goroutine is locked. Unlike wall time, it doesn't
+// grow while other threads use the CPU.
+func cpuTime(t testing.TB) time.Duration {
 	var used unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_THREAD, &used); err != nil {
 		t.Fatal(err)
@@ -110,84 +110,85 @@
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
 
-func (l *textNetwork) leader() *group.Group {
+func (n *encodingNetwork) leader() *group.Group {
 	for range 1000 {
-		for _, member := range l.members {
+		for _, member := range n.members {
 			if member.Status().IsLeader {
 				return member
 			}
 		}
-		l.step()
+		n.step()
 	}
-	l.t.Fatal("no leader")
+	n.t.Fatal("no leader")
 	return nil
 }
 
-// take has an order committed on all members, and returns the longest turn meanwhile.
-func (l *textNetwork) take(order *configuration.Proposal) (longest time.Duration) {
+// commit commits a proposal on all members, and returns the longest CPU time of an iteration meanwhile.
+func (n *encodingNetwork) commit(proposal *configuration.Proposal) (longest time.Duration) {
 	done := false
-	l.leader().ProposeAsync(Command{Configuration: order}, func(result any, err error) {
+	n.leader().ProposeAsync(Command{Configuration: proposal}, func(result any, err error) {
 		if err != nil || result != configuration.Accepted {
-			l.t.Errorf("order on %d: %v, %v", order.Base, result, err)
+			n.t.Errorf("proposal on version %d: result %v, error %v", proposal.Base, result, err)
 		}
 		done = true
 	})
 	for range 40 {
-		longest = max(longest, l.step())
+		longest = max(longest, n.step())
 	}
 	if !done {
-		l.t.Fatal("the order has no outcome")
+		n.t.Fatal("the proposal was not committed")
 	}
 	return longest
 }
 
-// Given an order of many routes, then no member's turn around it takes a quarter of the election time-out on the smallest
-// machine, and the leader stays the same. The shortest of some attempts counts, since the collector may work in any of them.
+// TestLargeConfiguration_HeartbeatsNotDelayed commits configurations with many routes. No iteration of a member may take more than a
+// quarter of the election time-out on the smallest machine, and the leader must stay the same. The best of several attempts counts,
+// since the garbage collector may run in any of them.
 func TestLargeConfiguration_HeartbeatsNotDelayed(t *testing.T) {
 	const attempts = 5
 	for _, routes := range []int{517, 2000} {
 		t.Run(fmt.Sprintf("%d routes", routes), func(t *testing.T) {
 			runtime.LockOSThread()
 			defer runtime.UnlockOSThread()
-			l := newTextNetwork(t, "a", "b", "c", "d", "e")
-			leader := l.leader()
+			n := newEncodingNetwork(t, "a", "b", "c", "d", "e")
+			leader := n.leader()
 			term := leader.Status().Term
 			shortest := time.Hour
 			for attempt := range uint64(attempts) {
-				shortest = min(shortest, l.take(largeOrder(attempt, routes, 0)))
+				shortest = min(shortest, n.commit(largeProposal(attempt, routes, 0)))
 			}
-			if shortest > maxTurn {
-				t.Errorf("a turn takes %v, over %v", shortest, maxTurn)
+			if shortest > maxIterationTime {
+				t.Errorf("an iteration takes %v of CPU time, want %v at most", shortest, maxIterationTime)
 			}
 			if status := leader.Status(); !status.IsLeader || status.Term != term {
-				t.Errorf("the leader of term %d is lost in term %d", term, status.Term)
+				t.Errorf("the leader of term %d lost its leadership; the term is %d", term, status.Term)
 			}
-			t.Logf("longest turn %v", shortest)
+			t.Logf("longest iteration %v", shortest)
 		})
 	}
 }
 
-// The entry is read back as it was written, and in any other form that JSON allows.
+// TestCommand_EncodeDecode_SameProposal decodes an entry as EncodeJSON writes it, and in another form of the same JSON.
 func TestCommand_EncodeDecode_SameProposal(t *testing.T) {
-	order := &configuration.Proposal{Base: 3, Number: 18446744073709551615, Raw: json.RawMessage(`{"a":"}}","raw":{"b":[1]}}`)}
-	written, err := Command{Configuration: order}.EncodeJSON()
+	proposal := &configuration.Proposal{Base: 3, Number: 18446744073709551615, Raw: json.RawMessage(`{"a":"}}","raw":{"b":[1]}}`)}
+	written, err := Command{Configuration: proposal}.EncodeJSON()
 	if err != nil {
 		t.Fatal(err)
 	}
-	library, err := json.Marshal(Command{Configuration: order})
-	if err != nil || string(library) != string(written) {
-		t.Fatalf("written %s, the library writes %s, %v", written, library, err)
+	standard, err := json.Marshal(Command{Configuration: proposal})
+	if err != nil || string(standard) != string(written) {
+		t.Fatalf("EncodeJSON writes %s, encoding/json %s (error %v)", written, standard, err)
 	}
 	spaced := strings.ReplaceAll(string(written), `{"configure":`, `{ "configure" : `)
 	for _, raw := range []string{string(written), spaced} {
 		read, err := decodeCommand(json.RawMessage(raw))
-		if err != nil || read.Configuration == nil || read.Configuration.Base != order.Base || read.Configuration.Number != order.Number || string(read.Configuration.Raw) != string(order.Raw) {
-			t.Errorf("%s is read as %+v, %v", raw, read.Configuration, err)
+		if err != nil || read.Configuration == nil || read.Configuration.Base != proposal.Base || read.Configuration.Number != proposal.Number || string(read.Configuration.Raw) != string(proposal.Raw) {
+			t.Errorf("%s is decoded as %+v, error %v", raw, read.Configuration, err)
 		}
 	}
 	for _, raw := range []string{`{"configure":{"base":x,"number":1,"raw":{}}}`, `{"configure":{"base":1,"number":1,"raw":}}`, `{"configure":{"base":1`} {
 		if _, err := decodeCommand(json.RawMessage(raw)); err == nil {
-			t.Errorf("%s is read", raw)
+			t.Errorf("%s is decoded, want an error", raw)
 		}
 	}
 }
@@ -197,10 +198,10 @@
 		b.Run(fmt.Sprintf("%d routes, %d bytes at least", size.routes, size.bytes), func(b *testing.B) {
 			runtime.LockOSThread()
 			defer runtime.UnlockOSThread()
-			l := newTextNetwork(b, "a", "b", "c", "d", "e")
+			n := newEncodingNetwork(b, "a", "b", "c", "d", "e")
 			longest, number := time.Duration(0), uint64(0)
 			for b.Loop() {
-				longest = max(longest, l.take(largeOrder(number, size.routes, size.bytes)))
+				longest = max(longest, n.commit(largeProposal(number, size.routes, size.bytes)))
 				number++
 			}
 			b.ReportMetric(longest.Seconds()*1000, "longest-turn-ms")
--- a/internal/tier/controller/list_reader.go
+++ b/internal/tier/controller/list_reader.go
@@ -15,24 +15,24 @@
 	"mastusher/internal/tier/wire"
 )
 
-// Timing of a leader that doesn't reach the platform.
+// Timing of a leader that can't reach the platform.
 const (
-	localRetryInterval = 10 * time.Second       // between its attempts to reach it, while a delegate reads in its place
+	localRetryInterval = 10 * time.Second       // between the leader's attempts to reach it, while a delegate reads in its place
 	localRetryTimeout  = 700 * time.Millisecond // of such an attempt
-	delegateGrace      = 300 * time.Millisecond // for the transport of a delegate's answer, beyond the time for its read
+	delegateGrace      = 300 * time.Millisecond // for the transport of a delegate's response, in addition to the time-out of its read
 )
 
-// listReader decides who makes the next read of the platform's list: the leader itself, or, while it doesn't reach the platform,
-// another controller as its delegate. Reads never overlap and the leader alone publishes, so neither the stamps nor the rate of
-// calls to the platform depend on that choice. Its zero value has no delegate.
+// listReader chooses the controller that reads the platform's endpoint list next: the leader itself, or another controller as its
+// delegate while the leader can't reach the platform. Reads never overlap and only the leader publishes, so neither the stamps nor
+// the rate of calls to the platform depend on the choice. Its zero value has no delegate.
 type listReader struct {
-	delegate      string    // address of the controller that is to read; empty: the leader
+	delegate      string    // address of the controller that reads for the leader; empty: none
 	delegateWorks bool      // the delegate's last read succeeded
 	localRetryAt  time.Time // when the leader's next attempt is due, while there is a delegate
 	nextDelegate  int       // counts the delegates chosen
 }
 
-// next returns the address of the controller that reads next, empty for the leader, and the time-out of its read.
+// next returns the address of the controller that should read next, empty for the leader, and the time-out of the read.
 func (r *listReader) next(now time.Time, peers []string) (address string, timeout time.Duration) {
 	if !slices.Contains(peers, r.delegate) {
 		r.delegate, r.delegateWorks = "", false
@@ -46,14 +46,14 @@
 	return r.delegate, listReadTimeout
 }
 
-// record takes the outcome of a read. Only an unreachable platform makes the leader choose a delegate: one that answers with a
-// failure would answer any other controller alike.
+// record records the outcome of a read. The leader chooses a delegate only if the platform is unreachable: an error response would
+// be the same for any other controller.
 func (r *listReader) record(now time.Time, address string, peers []string, err error) {
 	var unreachable *platformlist.UnreachableError
 	switch {
 	case address != "" && err == nil:
 		r.delegateWorks = true
-	case address != "": // the leader tries next, and after it another delegate
+	case address != "": // the leader reads next, and if it can't, another delegate
 		r.delegateWorks, r.localRetryAt = false, now
 	case errors.As(err, &unreachable) && !r.delegateWorks && len(peers) > 0:
 		r.delegate = peers[r.nextDelegate%len(peers)]
@@ -88,7 +88,7 @@
 	return c.options.QueryEndpoints(bounded, address)
 }
 
-// readListHere reads the list from the platform. At most one read at a time may use the reader.
+// readListHere reads the list from the platform. Reads of this process don't overlap.
 func (c *Controller) readListHere(ctx context.Context, timeout time.Duration) ([]model.Endpoint, error) {
 	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -101,13 +101,13 @@
 	}
 }
 
-// answerList reads the list as a delegate of the leader.
-func (c *Controller) answerList(ctx context.Context, _ string, _ wire.EndpointsRequest) (wire.EndpointsResponse, error) {
+// handleListRequest reads the list as a delegate of the leader.
+func (c *Controller) handleListRequest(ctx context.Context, _ string, _ wire.EndpointsRequest) (wire.EndpointsResponse, error) {
 	endpoints, err := c.readListHere(ctx, listReadTimeout)
 	return wire.EndpointsResponse{Endpoints: endpoints}, err
 }
 
-// queryEndpointsOverTransport has another controller read the list.
+// queryEndpointsOverTransport returns a function that has another controller read the list, by a call through the pool.
 func queryEndpointsOverTransport(pool *transport.Pool) func(ctx context.Context, address string) ([]model.Endpoint, error) {
 	return func(ctx context.Context, address string) ([]model.Endpoint, error) {
 		response, err := transport.Call[wire.EndpointsRequest, wire.EndpointsResponse](ctx, pool, address, wire.MethodEndpoints, wire.EndpointsRequest{})
--- a/internal/tier/controller/list_reader_test.go
+++ b/internal/tier/controller/list_reader_test.go
@@ -21,19 +21,19 @@
 	"mastusher/internal/tier/wire"
 )
 
-// platform is the platform's list as controllers see it, each over a way of its own. Its list grows by an endpoint each
-// second, so that what is published tells when it was read.
+// platform simulates the platform, which each controller may reach or not. Its list grows by one endpoint each second, so that the
+// length of a published list shows when it was read.
 type platform struct {
-	began       time.Time
-	unreachable map[string]bool // by the controller's address; "": for all
-	delay       time.Duration   // until it answers
-	failStatus  int             // status of its answers; 0: none
-	calls       []time.Time     // that have reached it
+	startedAt   time.Time
+	unreachable map[string]bool // by the controller's address; "": for all controllers
+	delay       time.Duration   // until it responds
+	failStatus  int             // status of its error responses; 0: it succeeds
+	calls       []time.Time     // times of the calls that have reached it
 }
 
-func (p *platform) version() int { return int(time.Since(p.began)/time.Second) + 1 }
+func (p *platform) version() int { return int(time.Since(p.startedAt)/time.Second) + 1 }
 
-// platformReader is the platform from one controller.
+// platformReader is the EndpointReader of one controller.
 type platformReader struct {
 	platform *platform
 	address  string
@@ -62,20 +62,20 @@
 	return list, nil
 }
 
-// leaderWithPeers is a leader with two other controllers and the platform.
+// leaderWithPeers is a leader with two other controllers and a platform.
 type leaderWithPeers struct {
 	*fixture
 	t                *testing.T
 	platform         *platform
 	publisher        EndpointPublisher
-	unreachablePeers map[string]bool // controllers that the leader doesn't reach
+	unreachablePeers map[string]bool // controllers that the leader can't reach
 	asked            map[string]int
 }
 
 const coreTwo, coreThree = "10.0.0.2:7000", "10.0.0.3:7000"
 
 func newLeaderWithPeers(t *testing.T) *leaderWithPeers {
-	r := &leaderWithPeers{t: t, platform: &platform{began: time.Now(), unreachable: map[string]bool{}}, unreachablePeers: map[string]bool{}, asked: map[string]int{}}
+	r := &leaderWithPeers{t: t, platform: &platform{startedAt: time.Now(), unreachable: map[string]bool{}}, unreachablePeers: map[string]bool{}, asked: map[string]int{}}
 	r.fixture = startFixture(t, memorydisk.New())
 	others := map[string]*Controller{}
 	members := r.fleet.Members()
@@ -91,13 +91,13 @@
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		answer, err := others[address].answerList(ctx, "", wire.EndpointsRequest{})
-		return answer.Endpoints, err
+		response, err := others[address].handleListRequest(ctx, "", wire.EndpointsRequest{})
+		return response.Endpoints, err
 	}
 	return r
 }
 
-// run has the leader read for a time, and returns the longest time for which what was published lagged behind the platform.
+// run has the leader read for that long, and returns the longest time by which the published list lagged behind the platform.
 func (r *leaderWithPeers) run(d time.Duration) (lag time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(r.ReadEndpoints(r.t.Context(), &r.publisher))
@@ -106,7 +106,7 @@
 	return lag
 }
 
-// published is the version of the newest list that was published.
+// published returns the version of the newest published list.
 func (r *leaderWithPeers) published() int {
 	updates := r.fleet.published
 	if len(updates) == 0 {
@@ -119,11 +119,11 @@
 	return len(list.Endpoints)
 }
 
-// wantOneLeader checks that the group has had one leader all the time, and that its stamps grew in its term.
+// wantOneLeader checks that the leader hasn't changed, and that the published stamps are of its term and increase.
 func (r *leaderWithPeers) wantOneLeader(term uint64) {
 	r.t.Helper()
 	if status := r.group.Status(); !status.IsLeader || status.Term != term {
-		r.t.Errorf("the leadership moved: %+v, was term %d", status, term)
+		r.t.Errorf("the leader changed: status %+v, want term %d", status, term)
 	}
 	for i, update := range r.fleet.published {
 		if update.Stamp.Term != term || i > 0 && !r.fleet.published[i-1].Stamp.Less(update.Stamp) {
@@ -132,56 +132,56 @@
 	}
 }
 
-// Times of the faults on the way to the platform.
+// Timing of the faults between controllers and the platform.
 const (
-	calmTime   = 10 * time.Second // before and after a fault
-	faultTime  = 40 * time.Second
-	calmMaxLag = 2 * time.Second // of the published list without a fault: a read each 700 ms, versions of a second
+	faultFreeTime   = 10 * time.Second // before and after a fault
+	faultTime       = 40 * time.Second
+	faultFreeMaxLag = 2 * time.Second // of the published list without a fault: reads are 700 ms apart, versions one second
 )
 
-// readFault is a fault on the way to the platform, and what it may cause.
+// readFault is a fault between controllers and the platform, with its permitted effects.
 type readFault struct {
 	name          string
 	inject        func(leader *leaderWithPeers)
-	maxLag        time.Duration // of the published list, once a delegate was found
+	maxLag        time.Duration // of the published list, once a delegate has been found
 	delegateAfter time.Duration // until a delegate is found, at most
-	noDelegate    bool          // no peer may be asked
+	noDelegate    bool          // no peer may be asked to read
 }
 
 func TestEndpoints_LeaderPartitionedFromPlatform_PeerReads(t *testing.T) {
 	for _, fault := range []readFault{
 		{name: "the leader is partitioned from the platform", inject: func(leader *leaderWithPeers) { leader.platform.unreachable[selfAddress] = true },
 			maxLag: 3 * time.Second, delegateAfter: 5 * time.Second},
-		{name: "and one of the others", inject: func(leader *leaderWithPeers) {
+		{name: "the leader and one peer are partitioned from the platform", inject: func(leader *leaderWithPeers) {
 			leader.platform.unreachable[selfAddress], leader.platform.unreachable[coreTwo] = true, true
 		}, maxLag: 3 * time.Second, delegateAfter: 10 * time.Second},
-		{name: "and from one of the others", inject: func(leader *leaderWithPeers) {
+		{name: "the leader is partitioned from the platform and from one peer", inject: func(leader *leaderWithPeers) {
 			leader.platform.unreachable[selfAddress], leader.unreachablePeers[coreTwo] = true, true
 		}, maxLag: 3 * time.Second, delegateAfter: 10 * time.Second},
-		{name: "and from one of the others, and the other from the platform", inject: func(leader *leaderWithPeers) {
+		{name: "the leader is partitioned from the platform and from one peer, and the other peer from the platform", inject: func(leader *leaderWithPeers) {
 			leader.platform.unreachable[selfAddress], leader.platform.unreachable[coreThree], leader.unreachablePeers[coreTwo] = true, true, true
-		}, maxLag: faultTime + calmTime},
-		{name: "the platform is down", inject: func(leader *leaderWithPeers) { leader.platform.unreachable[""] = true }, maxLag: faultTime + calmTime},
-		{name: "the platform refuses all", inject: func(leader *leaderWithPeers) { leader.platform.failStatus = http.StatusServiceUnavailable },
-			maxLag: faultTime + calmTime, noDelegate: true},
+		}, maxLag: faultTime + faultFreeTime},
+		{name: "the platform is down", inject: func(leader *leaderWithPeers) { leader.platform.unreachable[""] = true }, maxLag: faultTime + faultFreeTime},
+		{name: "the platform rejects all calls", inject: func(leader *leaderWithPeers) { leader.platform.failStatus = http.StatusServiceUnavailable },
+			maxLag: faultTime + faultFreeTime, noDelegate: true},
 		{name: "the platform is slow", inject: func(leader *leaderWithPeers) { leader.platform.delay = 2 * time.Second },
 			maxLag: 5 * time.Second, delegateAfter: 5 * time.Second, noDelegate: true},
 		{name: "the platform is slower than a read may take", inject: func(leader *leaderWithPeers) { leader.platform.delay = 4 * time.Second },
-			maxLag: faultTime + calmTime},
+			maxLag: faultTime + faultFreeTime},
 	} {
 		t.Run(fault.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				// Given a leader that reads the list,
+				// Given a leader that reads the list without faults,
 				r := newLeaderWithPeers(t)
-				if lag := r.run(calmTime); lag > calmMaxLag {
-					t.Errorf("the list lagged by %v before", lag)
+				if lag := r.run(faultFreeTime); lag > faultFreeMaxLag {
+					t.Errorf("the list lagged by %v before the fault", lag)
 				}
 				term := r.group.Status().Term
-				// when it, or others, or all don't reach the platform any more, then the list is read by one that does, if there
-				// is one, and the leadership stays where it is;
+				// when the fault occurs, then a controller that reaches the platform reads the list, if there is one, and the leader
+				// doesn't change;
 				r.wantReadsDuring(fault)
 				r.wantOneLeader(term)
-				// and when the platform is back, then the leader reads itself again.
+				// and when the fault ends, then the leader itself reads again.
 				r.wantLeaderReadsAfterFault()
 				r.wantOneLeader(term)
 				r.wantRate()
@@ -190,34 +190,34 @@
 	}
 }
 
-// wantReadsDuring injects a fault, and checks how far the published list lags behind and who reads it.
+// wantReadsDuring injects a fault, and checks by how much the published list lags and whether peers read it.
 func (r *leaderWithPeers) wantReadsDuring(fault readFault) {
 	r.t.Helper()
 	fault.inject(r)
 	r.run(fault.delegateAfter)
 	lag := r.run(faultTime - fault.delegateAfter)
-	r.t.Logf("the list lagged by %v at most, others were asked %v, the platform was called %d times", lag, r.asked, len(r.platform.calls))
+	r.t.Logf("the list lagged by %v at most, peers were asked %v, the platform was called %d times", lag, r.asked, len(r.platform.calls))
 	if lag > fault.maxLag {
 		r.t.Errorf("the list lagged by %v, want %v at most", lag, fault.maxLag)
 	}
 	if asked := r.asked[coreTwo] + r.asked[coreThree]; fault.noDelegate && asked > 0 {
-		r.t.Errorf("others were asked %d times", asked)
+		r.t.Errorf("peers were asked %d times, want none", asked)
 	}
 }
 
 // wantLeaderReadsAfterFault ends all faults, and checks that the leader reads without delegates again.
 func (r *leaderWithPeers) wantLeaderReadsAfterFault() {
 	r.t.Helper()
-	*r.platform = platform{began: r.platform.began, unreachable: map[string]bool{}, calls: r.platform.calls}
+	*r.platform = platform{startedAt: r.platform.startedAt, unreachable: map[string]bool{}, calls: r.platform.calls}
 	clear(r.unreachablePeers)
 	r.run(localRetryInterval + 2*listReadTimeout)
 	clear(r.asked)
-	if lag := r.run(calmTime); lag > calmMaxLag || len(r.asked) > 0 {
-		r.t.Errorf("after the fault the list lagged by %v, others were asked %v", lag, r.asked)
+	if lag := r.run(faultFreeTime); lag > faultFreeMaxLag || len(r.asked) > 0 {
+		r.t.Errorf("after the fault the list lagged by %v, peers were asked %v", lag, r.asked)
 	}
 }
 
-// wantRate checks that whoever reads, reads follow each other: two in any 700 ms at most, where the reader changes.
+// wantRate checks the rate of calls to the platform by all controllers: two in any 700 ms at most, when the reader changes.
 func (r *leaderWithPeers) wantRate() {
 	r.t.Helper()
 	const limit = 2
@@ -228,7 +228,8 @@
 	}
 }
 
-// TestEndpoints_NewTerm_DropsEarlierReads has a controller own the group, lose it, and own it again much later.
+// TestEndpoints_NewTerm_DropsEarlierReads has a controller lead the group in several terms: reads of an earlier term must not bring
+// back endpoints that have been removed since.
 func TestEndpoints_NewTerm_DropsEarlierReads(t *testing.T) {
 	removed := endpoint("gone", 0)
 	removed.Address = "10.1.0.9:8080"
@@ -236,32 +237,32 @@
 	c := newFixture(t, memorydisk.New(), func(options *Options) { options.Reader = reader })
 	var publisher EndpointPublisher
 	if got, err := c.readCompleteList(t.Context(), &publisher, 3); err != nil || len(got) != 2 {
-		t.Fatalf("read %v, %v", got, err)
+		t.Fatalf("read %v, error %v", got, err)
 	}
-	// Within a term an endpoint that one read misses stays, since it may have moved between pages.
+	// Within a term an endpoint that one read misses is kept, since it may have moved between pages.
 	reader.endpoints = reader.endpoints[1:]
 	if got, err := c.readCompleteList(t.Context(), &publisher, 3); err != nil || len(got) != 2 {
-		t.Errorf("read %v, %v", got, err)
+		t.Errorf("read %v, error %v", got, err)
 	}
-	// In a later one it may have been gone for long.
+	// In a later term it is dropped, since it may have been removed long ago.
 	if got, err := c.readCompleteList(t.Context(), &publisher, 5); err != nil || len(got) != 1 {
-		t.Errorf("read %v, %v", got, err)
+		t.Errorf("read %v, error %v", got, err)
 	}
-	// There too an endpoint must be missed twice: the first list is two reads.
+	// In a new term, too, an endpoint must be missed twice to be dropped: the first list merges two reads.
 	moving := &incompleteList{list: reader.endpoints}
 	c.options.Reader = moving
 	if got, err := c.readCompleteList(t.Context(), &publisher, 7); err != nil || len(got) != 1 || moving.reads != initialReads {
-		t.Errorf("read %v by %d reads, %v", got, moving.reads, err)
+		t.Errorf("got %v by %d reads, error %v", got, moving.reads, err)
 	}
-	// A failure in between leaves nothing half read.
+	// If a read of the first list fails, the publisher keeps its earlier term.
 	reader.err = errors.New("too many calls")
 	c.options.Reader = reader
 	if _, err := c.readCompleteList(t.Context(), &publisher, 9); err == nil || publisher.term != 7 {
-		t.Errorf("%v, term %d", err, publisher.term)
+		t.Errorf("error %v, term %d; want an error and term 7", err, publisher.term)
 	}
 }
 
-// incompleteList is a list whose first read misses everything.
+// incompleteList is an EndpointReader whose first read returns nothing.
 type incompleteList struct {
 	list  []model.Endpoint
 	reads int
@@ -275,13 +276,13 @@
 	return m.list, nil
 }
 
-// TestEndpoints_FormerLeader_PublishesNothing has the group change its leader during a read.
+// TestEndpoints_FormerLeader_PublishesNothing has a leader lose its leadership during a read.
 func TestEndpoints_FormerLeader_PublishesNothing(t *testing.T) {
 	cluster := newCluster(t, 0)
 	cluster.until("a leader", 5*time.Second, func() bool { return cluster.leader() != nil })
 	leader := cluster.leader().controller
 	published := len(cluster.updates)
-	// Given a leader that reads while it is partitioned from the others for longer than the time-out,
+	// Given a leader that is partitioned from the others for longer than the election time-out while it reads,
 	leader.options.Reader = readerFunc(func() ([]model.Endpoint, error) {
 		for _, m := range cluster.sorted() {
 			m.running = m.controller == leader
@@ -289,18 +290,18 @@
 		cluster.run(2 * electionTimeout)
 		return []model.Endpoint{endpoint("a", 0)}, nil
 	})
-	// when its read is over, then it publishes nothing.
+	// when the read ends, then the leader publishes nothing.
 	if got := leader.ReadEndpoints(t.Context(), &EndpointPublisher{}); got != leaderCheckInterval || len(cluster.updates) != published {
-		t.Errorf("comes back after %v, %d updates were published", got, len(cluster.updates)-published)
+		t.Errorf("reads again after %v, %d updates were published", got, len(cluster.updates)-published)
 	}
 }
 
-// readerFunc is a reader that does something.
+// readerFunc adapts a function to EndpointReader.
 type readerFunc func() ([]model.Endpoint, error)
 
 func (f readerFunc) ReadAll(context.Context) ([]model.Endpoint, error) { return f() }
 
-// TestEndpoints_PeerReadsOverTransport has a list read by another process's controller.
+// TestEndpoints_PeerReadsOverTransport has another controller read the list, by a real transport call.
 func TestEndpoints_PeerReadsOverTransport(t *testing.T) {
 	reader := &list{endpoints: []model.Endpoint{endpoint("a", 900), endpoint("b", 0)}}
 	asked := newFixture(t, memorydisk.New(), func(options *Options) { options.Reader = reader })
@@ -320,10 +321,10 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(reader.endpoints, got); diff != "" {
-		t.Errorf("list (-held +read):\n%s", diff)
+		t.Errorf("list (-platform +read):\n%s", diff)
 	}
 	reader.err = errors.New("not reached")
 	if _, err := queryEndpointsOverTransport(pool)(ctx, server.Address()); err == nil {
-		t.Error("a read that failed brought a list")
+		t.Error("a failed read returned no error")
 	}
 }
--- a/internal/tier/controller/options.go
+++ b/internal/tier/controller/options.go
@@ -20,7 +20,7 @@
 	"mastusher/internal/tier/wire"
 )
 
-// Fleet is what the controller needs of its process's membership and gossip.
+// Fleet gives the controller access to its process's membership and gossip.
 type Fleet interface {
 	// Members returns all known members, by name.
 	Members() []membership.Member
@@ -30,7 +30,7 @@
 
 // EndpointReader reads the platform's complete list of endpoints.
 type EndpointReader interface {
-	// ReadAll returns the list as it is now. An *platformlist.UnreachableError says that the platform gave no answer.
+	// ReadAll returns the current list. An *platformlist.UnreachableError means that the platform didn't respond.
 	ReadAll(ctx context.Context) ([]model.Endpoint, error)
 }
 
@@ -47,14 +47,14 @@
 	Logger   log.Logger
 	Seed     uint64 // of the randomized election time-outs
 
-	// The calls to other processes and the steady clock. Default: through Pool, and the process's clock. Tests that run
+	// Calls to other processes, and the monotonic clock. Defaults: calls through Pool, and the time since Open. Tests that run
 	// controllers in memory replace them.
-	SendMessage func(address string, envelope group.Envelope)                                // must not block
-	QueryStore  func(address string, done func(answer wire.ShardMembersResponse, err error)) // must not block
+	SendMessage func(address string, envelope group.Envelope)                                  // must not block
+	QueryStore  func(address string, done func(response wire.ShardMembersResponse, err error)) // must not block
 	Clock       func() time.Duration
-	// RunBackground runs the writes of compactions beside the group; the default runs them within its iterations.
+	// RunBackground runs the writes of compactions concurrently with the group. Default: within the group's iterations.
 	RunBackground func(work func())
-	// QueryEndpoints has the controller at an address read the platform's list.
+	// QueryEndpoints has the controller at an address read the platform's endpoint list.
 	QueryEndpoints func(ctx context.Context, address string) ([]model.Endpoint, error)
 
 	Metrics *metrics.Metrics // served on the operator's port; default: the controller's own
@@ -62,7 +62,7 @@
 	Now     func() time.Time // time of day; default: time.Now
 }
 
-// withDefaults returns the options with each default in place.
+// withDefaults returns the options with defaults filled in.
 func (o Options) withDefaults() Options {
 	if o.SendMessage == nil {
 		o.SendMessage = group.SendOver(o.Pool, wire.MethodReplica)
--- a/internal/tier/controller/order_linearizability_test.go
+++ b/internal/tier/controller/order_linearizability_test.go
@@ -14,21 +14,21 @@
 )
 
 var (
-	histories = flag.Int("histories", 4, "number of random histories of orders that are checked")
-	firstSeed = flag.Uint64("first-history", 1, "seed of the first of them")
+	histories = flag.Int("histories", 4, "number of random histories of orders to check")
+	firstSeed = flag.Uint64("first-history", 1, "seed of the first random history")
 )
 
-// What a campaign does.
+// Parameters of a random history.
 const (
 	operatorCount    = 3
 	ordersEach       = 12
 	faultInterval    = 250 * time.Millisecond
 	maxRunTime       = 90 * time.Second
-	maxFinalAttempts = 100 // attempts, once all faults have ended
+	maxFinalAttempts = 100 // for each order, once all faults have ended
 	paddedBytes      = 60 << 10
 )
 
-// recorder keeps what operators have seen.
+// recorder records the operations of all operators.
 type recorder struct {
 	mutex      sync.Mutex
 	operations []linearizability.Operation
@@ -47,14 +47,14 @@
 	r.sent = append(r.sent, order)
 }
 
-// earlierOrder is an order that was sent before, by anyone.
+// earlierOrder returns an order that some operator has sent.
 func (r *recorder) earlierOrder(pick func(int) int) linearizability.Order {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.sent[pick(len(r.sent))]
 }
 
-// editor is an operator who changes the configuration.
+// editor is an operator that changes the configuration.
 type editor struct {
 	*operator
 	recorder *recorder
@@ -62,10 +62,10 @@
 	known    linearizability.Version
 }
 
-// put sends an order once and tells whether the answer was a clear one.
+// put sends an order once and reports whether the response was conclusive.
 func (e *editor) put(order linearizability.Order) bool {
 	operation := linearizability.Operation{Operator: e.number, Kind: linearizability.Put, Order: order, Call: time.Now().UnixNano()}
-	got := e.call(http.MethodPut, settingsPath, orderNamed(order.Number, order.Content+e.padding), "If-Match", fmt.Sprint(order.Base))
+	got := e.call(http.MethodPut, settingsPath, documentWithNote(order.Number, order.Content+e.padding), "If-Match", fmt.Sprint(order.Base))
 	switch got.status {
 	case http.StatusOK:
 		operation.Outcome = linearizability.Accepted
@@ -75,7 +75,7 @@
 		operation.Outcome = linearizability.StaleVersion
 	case 0, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 	default:
-		e.cluster.t.Errorf("order %+v: answer %d %s", order, got.status, got.body)
+		e.cluster.t.Errorf("order %+v: unexpected status %d %s", order, got.status, got.body)
 	}
 	operation.Return = time.Now().UnixNano()
 	e.recorder.add(operation)
@@ -85,7 +85,7 @@
 	return operation.Outcome != linearizability.Unknown
 }
 
-// get asks for the newest configuration once and tells whether it came.
+// get requests the newest configuration once and reports whether it was returned.
 func (e *editor) get() bool {
 	operation := linearizability.Operation{Operator: e.number, Kind: linearizability.Get, Call: time.Now().UnixNano()}
 	got := e.call(http.MethodGet, settingsPath, "")
@@ -106,11 +106,11 @@
 	return operation.Outcome != linearizability.Unknown
 }
 
-// work sends orders, on the newest version or an older one, and repeats some.
+// work sends orders on the newest, an older or a future version, and repeats some.
 func (e *editor) work(orders int) {
 	for range orders {
 		if e.random.IntN(3) > 0 {
-			e.retryUntilClear(2, e.get)
+			e.retryUntilConclusive(2, e.get)
 		}
 		order := linearizability.Order{Base: e.known.Number, Number: e.known.Number + 1 + e.random.Uint64N(2), Content: fmt.Sprint(e.random.IntN(2))}
 		if e.random.IntN(5) == 0 {
@@ -118,7 +118,7 @@
 			order.Number++
 		}
 		e.recorder.recordSent(order)
-		e.retryUntilClear(maxAttempts, func() bool { return e.put(order) })
+		e.retryUntilConclusive(maxAttempts, func() bool { return e.put(order) })
 		if e.random.IntN(2) == 0 {
 			e.put(e.recorder.earlierOrder(e.random.IntN))
 		}
@@ -126,22 +126,22 @@
 	}
 }
 
-// finish has every order answered clearly once more, and reads back.
+// finish repeats every order until the response is conclusive, and then reads the configuration.
 func (e *editor) finish(orders []linearizability.Order) {
 	for _, order := range orders {
-		if !e.retryUntilClear(maxFinalAttempts, func() bool { return e.put(order) }) {
-			e.cluster.t.Errorf("order %+v has no clear answer though all faults have ended", order)
+		if !e.retryUntilConclusive(maxFinalAttempts, func() bool { return e.put(order) }) {
+			e.cluster.t.Errorf("order %+v has no conclusive response though all faults have ended", order)
 		}
 	}
-	if !e.retryUntilClear(maxFinalAttempts, e.get) {
-		e.cluster.t.Error("the configuration is not read back though all faults have ended")
+	if !e.retryUntilConclusive(maxFinalAttempts, e.get) {
+		e.cluster.t.Error("the configuration cannot be read though all faults have ended")
 	}
 }
 
-// runHistory lets operators work while machines have faults, and returns what they saw.
+// runHistory has operators change the configuration while machines have faults, and returns their operations.
 func runHistory(t testing.TB, seed uint64) []linearizability.Operation {
 	cluster := newFaultyCluster(t, seed, 0)
-	cluster.answerLossRate = []float64{0, 0.1, 0.5}[cluster.random.IntN(3)]
+	cluster.responseLossRate = []float64{0, 0.1, 0.5}[cluster.random.IntN(3)]
 	padding := strings.Repeat(" ", []int{0, 0, 0, 0, 0, paddedBytes}[cluster.random.IntN(6)])
 	seen := &recorder{}
 	var editors []*editor
@@ -158,7 +158,7 @@
 	}
 	cluster.untilDone(&working, func() { cluster.injectRandomFault() }, func() {})
 	cluster.heal()
-	cluster.answerLossRate = 0
+	cluster.responseLossRate = 0
 	cluster.wait("the group is complete", 30*time.Second, cluster.isComplete)
 	working.Add(1)
 	go func() {
@@ -170,7 +170,7 @@
 	return seen.operations
 }
 
-// untilDone lets time pass until all have ended, with some faults now and then; each is called after each step.
+// untilDone advances virtual time until all operators have ended, and injects a fault at random intervals. each is called at each step.
 func (c *faultyCluster) untilDone(working *sync.WaitGroup, injectFault, each func()) {
 	c.t.Helper()
 	done := make(chan struct{})
@@ -197,11 +197,11 @@
 	})
 }
 
-// TestRandomOrderHistories_AreLinearizable has operators change the configuration at once while machines are partitioned, frozen, restarted
-// and replaced, clocks go wrong and answers are lost.
+// TestRandomOrderHistories_AreLinearizable has operators change the configuration concurrently while machines are partitioned, frozen,
+// restarted and replaced, clocks are skewed and responses are lost.
 func TestRandomOrderHistories_AreLinearizable(t *testing.T) {
 	t.Parallel()
-	var sum tally
+	var sum outcomeCounts
 	for seed := *firstSeed; seed < *firstSeed+uint64(*histories); seed++ {
 		runInVirtualTime(t, fmt.Sprint("seed ", seed), func(t *testing.T) {
 			operations := runHistory(t, seed)
@@ -217,28 +217,28 @@
 	t.Logf("%d histories: %+v", *histories, sum)
 }
 
-// tally counts what histories hold.
-type tally struct {
-	Calls, Clear, Confirmed, Refused, Read int
-	Orders                                 int // different ones that were confirmed
+// outcomeCounts counts the operations of histories by outcome.
+type outcomeCounts struct {
+	Calls, Conclusive, Acknowledged, Rejected, Read int
+	Orders                                          int // distinct accepted orders
 }
 
-func (s *tally) add(operations []linearizability.Operation) {
-	taken := map[linearizability.Order]bool{}
+func (s *outcomeCounts) add(operations []linearizability.Operation) {
+	accepted := map[linearizability.Order]bool{}
 	for i := range operations {
 		s.Calls++
 		switch operations[i].Outcome {
 		case linearizability.Unknown:
 			continue
 		case linearizability.Accepted:
-			taken[operations[i].Order] = true
-			s.Confirmed++
+			accepted[operations[i].Order] = true
+			s.Acknowledged++
 		case linearizability.Conflict, linearizability.StaleVersion:
-			s.Refused++
+			s.Rejected++
 		case linearizability.Read:
 			s.Read++
 		}
-		s.Clear++
+		s.Conclusive++
 	}
-	s.Orders += len(taken)
+	s.Orders += len(accepted)
 }
--- a/internal/tier/controller/order_mutants_test.go
+++ b/internal/tier/controller/order_mutants_test.go
@@ -7,7 +7,7 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// configurationOrderMutants break the acknowledgement of changes of the configuration.
+// configurationOrderMutants break the decision or acknowledgement of configurations.
 var configurationOrderMutants = []mutation.Mutant{
 	{
 		Name: "no duplicate is recognized",
@@ -127,10 +127,10 @@
 	},
 }
 
-// rolloutAnalysisMutants judge a roll-out by the time or the answers of another.
+// rolloutAnalysisMutants evaluate a roll-out by a wrong time or by the stats of another one.
 var rolloutAnalysisMutants = []mutation.Mutant{
 	{
-		Name: "an order is in service since it was sent",
+		Name: "a roll-out is in service from the time it was ordered",
 		Change: mutation.Change{
 			File: "rollout_analysis.go",
 			Old:  "\tif knownFor == 0 && seenFor >= reportTimeout {",
@@ -139,7 +139,7 @@
 		Run: "^TestRollout_TimeInService$",
 	},
 	{
-		Name: "the answers to an earlier order count",
+		Name: "the stats of an earlier roll-out count",
 		Change: mutation.Change{
 			File: "rollout_stats.go",
 			Old:  "\t\tif stats.Order == current.Index {",
@@ -149,7 +149,7 @@
 	},
 }
 
-// The mutants of the campaigns are noticed within the histories that each run plays, from the first seed on.
+// TestOrderMutantsAreNoticed checks that tests detect these mutants. Those of the random histories are detected with the default seeds.
 func TestOrderMutantsAreNoticed(t *testing.T) {
 	t.Parallel()
 	mutation.Test(t, slices.Concat(configurationOrderMutants, rolloutDuplicateMutants, decommissionOrderMutants, rolloutAnalysisMutants))
--- a/internal/tier/controller/order_runs_test.go
+++ b/internal/tier/controller/order_runs_test.go
@@ -9,36 +9,37 @@
 	"time"
 )
 
-// maxClearAttempts is how often an operator sends an order until its answer is a clear one.
-const maxClearAttempts = 200
+// maxConclusiveAttempts is how often an operator sends an order at most until the response is conclusive.
+const maxConclusiveAttempts = 200
 
-// losses are the ways in which a leader doesn't answer any more.
-var losses = []struct {
+// leaderFailures are the ways in which a leader fails.
+var leaderFailures = []struct {
 	name string
 	lose func(c *faultyCluster, leader *testMachine)
 }{
 	{"killed", func(c *faultyCluster, leader *testMachine) { c.restart(leader, false) }},
-	{"without power", func(c *faultyCluster, leader *testMachine) { c.restart(leader, true) }},
-	{"all without power", func(c *faultyCluster, _ *testMachine) {
+	{"power lost", func(c *faultyCluster, leader *testMachine) { c.restart(leader, true) }},
+	{"power of all lost", func(c *faultyCluster, _ *testMachine) {
 		for _, m := range c.controllers() {
 			c.restart(m, true)
 		}
 	}},
-	{"cut off", func(c *faultyCluster, leader *testMachine) { c.partition(leader, true, true) }},
-	{"unheard", func(c *faultyCluster, leader *testMachine) { c.partition(leader, true, false) }},
-	{"deaf", func(c *faultyCluster, leader *testMachine) { c.partition(leader, false, true) }},
+	{"partitioned", func(c *faultyCluster, leader *testMachine) { c.partition(leader, true, true) }},
+	{"outbound links blocked", func(c *faultyCluster, leader *testMachine) { c.partition(leader, true, false) }},
+	{"inbound links blocked", func(c *faultyCluster, leader *testMachine) { c.partition(leader, false, true) }},
 	{"frozen", func(c *faultyCluster, leader *testMachine) { c.frozen[leader] = true }},
-	{"its disk lost", func(_ *faultyCluster, leader *testMachine) { leader.wipe() }},
+	{"disk lost", func(_ *faultyCluster, leader *testMachine) { leader.wipe() }},
 }
 
 // maxSteps is the number of steps of the cluster within which an order is committed and answered.
 const maxSteps = 9
 
-// runOperators has operators do something at once while time passes; at each step of the cluster, event is told how many have passed.
-func (c *faultyCluster) runOperators(event func(step int), does ...func(o *operator)) {
+// runOperators runs operators concurrently while virtual time advances. At each step of the cluster, event gets the number of steps
+// before it.
+func (c *faultyCluster) runOperators(event func(step int), calls ...func(o *operator)) {
 	c.t.Helper()
 	var working sync.WaitGroup
-	for number, do := range does {
+	for number, do := range calls {
 		o := c.operator(number)
 		working.Add(1)
 		go func() {
@@ -65,37 +66,37 @@
 	})
 }
 
-// startedRollouts counts the roll-outs that have begun, by what their order names, as any member has come to know.
+// startedRollouts holds the log indexes of the roll-outs that any member has seen start, by service, target and duration.
 type startedRollouts map[string]map[uint64]bool
 
-func (b startedRollouts) observe(c *faultyCluster) {
+func (s startedRollouts) observe(c *faultyCluster) {
 	for _, m := range c.sorted() {
 		if !m.running {
 			continue
 		}
-		saved := m.controller.state.rollouts.Snapshot()
-		for _, roll := range saved.Rollouts {
-			b.add(roll.Service, roll.Target, roll.OverMs, roll.Index)
+		snapshot := m.controller.state.rollouts.Snapshot()
+		for _, started := range snapshot.Rollouts {
+			s.add(started.Service, started.Target, started.OverMs, started.Index)
 		}
-		for _, taken := range saved.Recent { // one that another has followed at once
-			b.add(taken.Service, taken.Target, taken.OverMs, taken.Index)
+		for _, recent := range snapshot.Recent { // a roll-out may have been replaced between two observations
+			s.add(recent.Service, recent.Target, recent.OverMs, recent.Index)
 		}
 	}
 }
 
-func (b startedRollouts) add(service, target string, overMs int64, index uint64) {
+func (s startedRollouts) add(service, target string, overMs int64, index uint64) {
 	name := fmt.Sprint(service, " ", target, " ", overMs)
-	if b[name] == nil {
-		b[name] = map[uint64]bool{}
+	if s[name] == nil {
+		s[name] = map[uint64]bool{}
 	}
-	b[name][index] = true
+	s[name][index] = true
 }
 
-// wantAcknowledged fails unless an order ends with 200 after answers that are no clear ones.
+// wantAcknowledged repeats an order while responses are inconclusive, and checks that the first conclusive one is 200.
 func wantAcknowledged(t testing.TB, o *operator, what string, attempt func() reply) {
 	t.Helper()
-	var refused []reply
-	taken := o.retryUntilClear(maxClearAttempts, func() bool {
+	var rejections []reply
+	acknowledged := o.retryUntilConclusive(maxConclusiveAttempts, func() bool {
 		got := attempt()
 		switch got.status {
 		case http.StatusOK:
@@ -103,16 +104,16 @@
 		case 0, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 			return false
 		}
-		refused = append(refused, got)
+		rejections = append(rejections, got)
 		return true
 	})
-	if !taken || len(refused) > 0 {
-		t.Errorf("%s: taken: %v, refused: %v", what, taken, refused)
+	if !acknowledged || len(rejections) > 0 {
+		t.Errorf("%s: acknowledged: %v, other responses: %v", what, acknowledged, rejections)
 	}
 }
 
-// interludes lie between an order and its repeat.
-var interludes = []struct {
+// disturbances are events between an order and its duplicate.
+var disturbances = []struct {
 	name string
 	pass func(c *faultyCluster)
 }{
@@ -124,16 +125,16 @@
 		leader.start()
 	}},
 	{"a restart of all", func(c *faultyCluster) { c.restartAll(0) }},
-	{"clocks that go ahead", func(c *faultyCluster) {
+	{"clocks ahead", func(c *faultyCluster) {
 		for _, m := range c.sorted() {
 			m.skew = 2 * time.Second
 		}
 	}},
-	{"clocks that go ahead, and a restart of all", func(c *faultyCluster) { c.restartAll(2 * time.Second) }},
-	{"clocks that go back, and a restart of all", func(c *faultyCluster) { c.restartAll(-2 * time.Second) }},
-	{"a leader that is frozen", func(c *faultyCluster) {
+	{"clocks ahead, and a restart of all", func(c *faultyCluster) { c.restartAll(2 * time.Second) }},
+	{"clocks behind, and a restart of all", func(c *faultyCluster) { c.restartAll(-2 * time.Second) }},
+	{"a frozen leader", func(c *faultyCluster) {
 		c.frozen[c.leader()] = true
-		c.passBy(2 * time.Second)
+		c.advance(2 * time.Second)
 		clear(c.frozen)
 	}},
 	{"a lost disk", func(c *faultyCluster) {
@@ -142,7 +143,7 @@
 	}},
 }
 
-// restartAll has all machines lose their power and come back with another time of day.
+// restartAll has all machines lose power and restart with skewed wall clocks.
 func (c *faultyCluster) restartAll(skew time.Duration) {
 	c.t.Helper()
 	for _, m := range c.sorted() {
@@ -154,21 +155,21 @@
 	})
 }
 
-// passBy lets time pass.
-func (c *faultyCluster) passBy(d time.Duration) {
+// advance advances virtual time.
+func (c *faultyCluster) advance(d time.Duration) {
 	for end := c.now + d; c.now < end; {
 		c.step()
 	}
 }
 
-// agree has the configuration shard agree on a command, whoever leads it.
-func (c *faultyCluster) agree(command Command) {
+// commit proposes a command to the leader of the configuration shard until it is committed.
+func (c *faultyCluster) commit(command Command) {
 	c.t.Helper()
 	done := false
-	c.wait("agreement", 10*time.Second, func() bool {
+	c.wait("the command is committed", 10*time.Second, func() bool {
 		if leader := c.leader(); leader != nil && !done {
 			leader.controller.Group().ProposeAsync(command, func(_ any, err error) { done = err == nil })
-			c.passBy(10 * clusterStep)
+			c.advance(10 * clusterStep)
 		}
 		return done
 	})
--- a/internal/tier/controller/partition_calls_test.go
+++ b/internal/tier/controller/partition_calls_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// callResult is what a caller got at the end of a call, after redirects.
+// callResult is the result of a call after redirects.
 type callResult struct {
 	method, path string
-	order        *sentOrder // of a PUT
+	order        *sentOrder // of a PUT or POST; nil: none
 	began, ended time.Time
-	first        int // machine that was called
-	code         int // 0: none in time
+	first        int // number of the machine that was called first
+	code         int // status; 0: no response in time
 	body         string
 	redirects    []redirectHop
 }
@@ -26,8 +26,8 @@
 	to   string
 }
 
-// call makes a call as the operator does.
-func (c *core) call(first int, method, path, body string, base string) *callResult {
+// call sends a request to a machine and follows redirects, as a real operator does.
+func (c *partitionedCluster) call(first int, method, path, body string, base string) *callResult {
 	a := &callResult{method: method, path: path, began: time.Now(), first: first}
 	defer func() { a.ended = time.Now() }()
 	machine := c.machines[first]
@@ -51,15 +51,15 @@
 	return a
 }
 
-// exchange has a machine answer; nil: not within the caller's time-out.
-func (m *coreMachine) exchange(method, path, body, base string) *httptest.ResponseRecorder {
+// exchange sends a request to a machine and returns the response; nil: none within callTimeout.
+func (m *partitionedMachine) exchange(method, path, body, base string) *httptest.ResponseRecorder {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	answered := make(chan *httptest.ResponseRecorder, 1)
 	go func() {
 		m.waitWhileFrozen()
 		if ctx.Err() != nil && method == http.MethodPost {
-			return // its connection is closed by now. Late repeats of such orders have rules of their own
+			return // the caller has closed the connection; other tests cover late duplicates of roll-outs and decommissioning
 		}
 		m.count(1)
 		defer m.count(-1)
@@ -67,7 +67,7 @@
 		request.Header.Set("If-Match", base)
 		recorder := httptest.NewRecorder()
 		m.handler.ServeHTTP(recorder, request)
-		m.waitWhileFrozen() // nothing leaves a machine that is frozen
+		m.waitWhileFrozen() // a frozen machine sends nothing
 		answered <- recorder
 	}()
 	select {
@@ -78,9 +78,9 @@
 	}
 }
 
-func (m *coreMachine) count(change int) {
-	m.core.mutex.Lock()
+func (m *partitionedMachine) count(change int) {
+	m.cluster.mutex.Lock()
 	m.calls += change
-	m.core.mutex.Unlock()
+	m.cluster.mutex.Unlock()
 	m.wakeUp()
 }
--- a/internal/tier/controller/partition_fixture_test.go
+++ b/internal/tier/controller/partition_fixture_test.go
@@ -22,61 +22,61 @@
 	"mastusher/internal/tier/wire"
 )
 
-// Times of a core whose machines are partitioned.
+// Timing and sizes of a cluster whose machines are partitioned.
 const (
-	coreLatency          = 2 * time.Millisecond // one way, and up to as much more
-	maxDelayedMessages   = 64                   // messages on each link that a partition delays until it ends; those before are lost
-	failureDetectionTime = 2 * time.Second      // until membership takes a machine that is out of reach for dead
-	rejoinTime           = 10 * time.Second     // after the end of a partition, until membership takes it for alive again
-	maxRedirectsFollowed = 2                    // redirects that a caller follows
-	initialStores        = 8                    // of which two, and the one that joins, are drained: enough remain
+	linkLatency          = 2 * time.Millisecond // minimum latency, one way; the maximum is twice that
+	maxDelayedMessages   = 64                   // a blocked link keeps this many messages until it is unblocked; older ones are lost
+	failureDetectionTime = 2 * time.Second      // until membership considers an unreachable machine dead
+	rejoinTime           = 10 * time.Second     // from the end of a partition until membership considers the machine alive again
+	maxRedirectsFollowed = 2                    // maximum of redirects that a caller follows
+	initialStores        = 8                    // of which two, and the one that joins, are drained, so that enough remain
 	idlePoll             = 5 * time.Millisecond
 )
 
-// core is some controllers as they run, in the virtual time of a synctest bubble: real groups, handlers and loops, over a
-// network and disks in memory.
-type core struct {
+// partitionedCluster is a cluster of controllers in the virtual time of a synctest bubble, with real groups, handlers and loops, and
+// with a network and disks in memory.
+type partitionedCluster struct {
 	t        *testing.T
-	kind     coreKind
-	random   *rand.Rand // of the network; under mutex
-	machines []*coreMachine
-	stores   []membership.Member // all that run
-	joiner   membership.Member   // a store that starts in the middle
-	joined   time.Time           // when; zero: not yet
+	kind     clusterKind
+	random   *rand.Rand // of the network; guarded by mutex
+	machines []*partitionedMachine
+	stores   []membership.Member // all that run from the start
+	joiner   membership.Member   // a store that joins during the partition
+	joined   time.Time           // when joiner joined; zero: not yet
 
 	mutex            sync.Mutex
 	blocked          map[link]bool
 	delayed          map[link][]group.Envelope
-	unreachableSince map[link]time.Time // since when a machine has been out of another one's reach; for a while after it is back
-	reachableAt      map[link]time.Time
+	unreachableSince map[link]time.Time // when a machine became unreachable for another one; kept after it is reachable again
+	reachableAt      map[link]time.Time // when membership considers a machine that is reachable again alive
 }
 
-// coreKind tells how large a core is, and what it has to bear beside cuts.
-type coreKind struct {
-	group    int           // controllers that begin as the group; one more stands by
-	lost     float64       // share of messages
-	slowDisk time.Duration // a sync takes up to so long
+// clusterKind is the size of a cluster and its faults besides partitions.
+type clusterKind struct {
+	group    int           // number of the group's initial members; there is one standby controller more
+	lost     float64       // share of messages that is lost
+	slowDisk time.Duration // maximum duration of a sync
 }
 
-// coreKinds are played in turn, seed by seed.
-var coreKinds = []coreKind{{group: 3}, {group: 5, lost: 0.02}, {group: 3, lost: 0.05, slowDisk: 60 * time.Millisecond}}
+// clusterKinds are the kinds of clusters; seeds cycle through them.
+var clusterKinds = []clusterKind{{group: 3}, {group: 5, lost: 0.02}, {group: 3, lost: 0.05, slowDisk: 60 * time.Millisecond}}
 
-// coreMachine is one controller.
-type coreMachine struct {
-	core       *core
+// partitionedMachine is one controller's machine.
+type partitionedMachine struct {
+	cluster    *partitionedCluster
 	number     int
 	member     membership.Member
 	controller *Controller
 	handler    http.Handler
 	wake       chan struct{}
-	calls      int           // under way; under core.mutex
-	thawed     chan struct{} // closed while it runs; under core.mutex
+	calls      int           // in progress; guarded by cluster.mutex
+	thawed     chan struct{} // closed while the machine isn't frozen; guarded by cluster.mutex
 }
 
-// newCore starts controllers: the group, and one that stands by.
-func newCore(t *testing.T, seed uint64) *core {
-	kind := coreKinds[seed%uint64(len(coreKinds))]
-	core := &core{t: t, kind: kind, random: rand.New(rand.NewPCG(seed, 7)), stores: storeMembers(initialStores), joiner: storeMember(initialStores + 1),
+// newPartitionedCluster starts the controllers of the group and one standby.
+func newPartitionedCluster(t *testing.T, seed uint64) *partitionedCluster {
+	kind := clusterKinds[seed%uint64(len(clusterKinds))]
+	cluster := &partitionedCluster{t: t, kind: kind, random: rand.New(rand.NewPCG(seed, 7)), stores: storeMembers(initialStores), joiner: storeMember(initialStores + 1),
 		blocked: map[link]bool{}, delayed: map[link][]group.Envelope{}, unreachableSince: map[link]time.Time{}, reachableAt: map[link]time.Time{}}
 	ctx, cancel := context.WithCancel(t.Context())
 	var initial []replica.Member
@@ -86,20 +86,20 @@
 		member.Incarnation = uint64(number + 1)
 		running := make(chan struct{})
 		close(running)
-		core.machines = append(core.machines, &coreMachine{core: core, number: number, member: member, wake: make(chan struct{}, 1), thawed: running})
+		cluster.machines = append(cluster.machines, &partitionedMachine{cluster: cluster, number: number, member: member, wake: make(chan struct{}, 1), thawed: running})
 		if number < kind.group {
 			initial = append(initial, replica.Member{ID: member.ID, Address: member.Address})
 		}
 	}
 	var running sync.WaitGroup
-	for _, m := range core.machines {
+	for _, m := range cluster.machines {
 		first := initial
 		if m.number >= len(initial) {
 			first = nil
 		}
 		m.open(first, seed)
 	}
-	for _, m := range core.machines {
+	for _, m := range cluster.machines {
 		for _, loop := range []func(context.Context){m.runGroup, m.runLoops, m.analyze} {
 			running.Go(func() { loop(ctx) })
 		}
@@ -108,12 +108,12 @@
 		cancel()
 		running.Wait()
 	})
-	return core
+	return cluster
 }
 
-func (m *coreMachine) open(initial []replica.Member, seed uint64) {
+func (m *partitionedMachine) open(initial []replica.Member, seed uint64) {
 	disk := memorydisk.New()
-	if slow := m.core.kind.slowDisk; slow > 0 {
+	if slow := m.cluster.kind.slowDisk; slow > 0 {
 		random := rand.New(rand.NewPCG(seed, uint64(m.number)))
 		disk.InjectFaults(func(kind memorydisk.Operation, _ string) error {
 			if kind == memorydisk.Sync {
@@ -122,22 +122,22 @@
 			return nil
 		})
 	}
-	survive := settings.FaultTolerance{Machines: m.core.kind.group / 2}
-	opened, err := Open(Options{ID: m.member.ID, Address: m.member.Address, Settings: &settings.Settings{FaultTolerance: survive},
+	tolerance := settings.FaultTolerance{Machines: m.cluster.kind.group / 2}
+	opened, err := Open(Options{ID: m.member.ID, Address: m.member.Address, Settings: &settings.Settings{FaultTolerance: tolerance},
 		Initial: initial, Disk: disk, Fleet: m, Reader: &list{endpoints: []model.Endpoint{endpoint("e", 0)}}, Logger: log.NewNopLogger(),
 		Seed: seed + uint64(m.number), SendMessage: m.send, QueryStore: func(string, func(wire.ShardMembersResponse, error)) {}})
 	if err != nil {
-		m.core.t.Fatal(err)
+		m.cluster.t.Fatal(err)
 	}
 	m.controller, m.handler = opened, opened.Handler()
 }
 
 // waitWhileFrozen waits while the machine is frozen.
-func (m *coreMachine) waitWhileFrozen() {
+func (m *partitionedMachine) waitWhileFrozen() {
 	for {
-		m.core.mutex.Lock()
+		m.cluster.mutex.Lock()
 		thawed := m.thawed
-		m.core.mutex.Unlock()
+		m.cluster.mutex.Unlock()
 		select {
 		case <-thawed:
 			return
@@ -147,22 +147,22 @@
 	}
 }
 
-// runGroup gives the group its turns.
-func (m *coreMachine) runGroup(ctx context.Context) {
+// runGroup runs the group's iterations when they are due.
+func (m *partitionedMachine) runGroup(ctx context.Context) {
 	opened := time.Now()
 	for ctx.Err() == nil {
 		m.waitWhileFrozen()
 		next, err := m.controller.Group().RunOnce()
 		if err != nil {
-			m.core.t.Errorf("%s: %v", m.member.Name, err)
+			m.cluster.t.Errorf("%s: %v", m.member.Name, err)
 			return
 		}
 		wait := max(0, next-time.Since(opened))
-		m.core.mutex.Lock()
+		m.cluster.mutex.Lock()
 		if m.calls > 0 {
 			wait = min(wait, idlePoll)
 		}
-		m.core.mutex.Unlock()
+		m.cluster.mutex.Unlock()
 		select {
 		case <-time.After(wait):
 		case <-m.wake:
@@ -171,8 +171,8 @@
 	}
 }
 
-// runLoops does what the loops of a controller do, as long as the machine runs.
-func (m *coreMachine) runLoops(ctx context.Context) {
+// runLoops runs the controller's loops, except while the machine is frozen.
+func (m *partitionedMachine) runLoops(ctx context.Context) {
 	var publisher EndpointPublisher
 	for ctx.Err() == nil {
 		m.waitWhileFrozen()
@@ -184,41 +184,41 @@
 	}
 }
 
-func (m *coreMachine) analyze(ctx context.Context) {
-	trials := map[uint64]*rollout.Analysis{}
+func (m *partitionedMachine) analyze(ctx context.Context) {
+	analyses := map[uint64]*rollout.Analysis{}
 	for ctx.Err() == nil {
 		m.waitWhileFrozen()
-		m.controller.analyzeRollouts(ctx, trials)
+		m.controller.analyzeRollouts(ctx, analyses)
 		m.sleep(ctx, analysisInterval)
 	}
 }
 
-func (m *coreMachine) sleep(ctx context.Context, d time.Duration) {
+func (m *partitionedMachine) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
 	}
 }
 
-func (m *coreMachine) wakeUp() {
+func (m *partitionedMachine) wakeUp() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
 	}
 }
 
-// send puts a message on its way.
-func (m *coreMachine) send(address string, envelope group.Envelope) {
-	for _, to := range m.core.machines {
+// send sends a message over the link to a machine.
+func (m *partitionedMachine) send(address string, envelope group.Envelope) {
+	for _, to := range m.cluster.machines {
 		if to.member.Address == address {
-			m.core.deliver(link{m.number, to.number}, envelope)
+			m.cluster.deliver(link{m.number, to.number}, envelope)
 		}
 	}
 }
 
-// Members implements Fleet. A machine that is out of reach of all others takes the stores for dead too.
-func (m *coreMachine) Members() []membership.Member {
-	c := m.core
+// Members implements Fleet. A machine that reaches no other controller considers the stores dead, too.
+func (m *partitionedMachine) Members() []membership.Member {
+	c := m.cluster
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var members []membership.Member
@@ -246,10 +246,10 @@
 }
 
 // Publish implements Fleet.
-func (m *coreMachine) Publish(view.Update) {}
+func (m *partitionedMachine) Publish(view.Update) {}
 
-// leader is the machine that leads the group, once there is one.
-func (c *core) leader() int {
+// leader waits for a leader of the group and returns its machine's number.
+func (c *partitionedCluster) leader() int {
 	c.t.Helper()
 	for began := time.Now(); time.Since(began) < 5*time.Second; time.Sleep(10 * time.Millisecond) {
 		for _, m := range c.machines {
@@ -262,8 +262,8 @@
 	return 0
 }
 
-// others lists all machines but one.
-func (c *core) others(number int) []int {
+// others lists the numbers of all machines but one.
+func (c *partitionedCluster) others(number int) []int {
 	var others []int
 	for _, m := range c.machines {
 		if m.number != number {
--- a/internal/tier/controller/partition_history_test.go
+++ b/internal/tier/controller/partition_history_test.go
@@ -13,70 +13,70 @@
 	"mastusher/internal/tier/configuration"
 )
 
-// sentOrder is what was ordered: a configuration, a version, or a machine to be drained.
+// sentOrder is an order for a configuration, a roll-out or a decommissioning. base is used for configurations only.
 type sentOrder struct {
 	base, number uint64
-	at           time.Time // sent first; of a machine: since when it is known
-	accepted     bool      // of a configuration, as the group has it at the end
+	at           time.Time // when it was first sent; for a decommissioning: since when controllers know the machine
+	accepted     bool      // for a configuration: whether the group accepted it, by its final state
 }
 
-// callHistory is all that callers got, and judges it when all is over.
+// callHistory holds the results of all calls, and verifies them at the end.
 type callHistory struct {
-	answers []*callResult
-	orders  []*sentOrder
-	chain   []*sentOrder // the orders that were taken, each on top of the one before
-	faults  []string
+	results    []*callResult
+	orders     []*sentOrder
+	chain      []*sentOrder // the accepted configurations, each based on the one before
+	violations []string
 }
 
-func (h *callHistory) fault(a *callResult, format string, args ...any) {
-	h.faults = append(h.faults, fmt.Sprintf("%s %s at core-%d from %v to %v: %d %s: %s", a.method, a.path, a.first+1,
+func (h *callHistory) report(a *callResult, format string, args ...any) {
+	h.violations = append(h.violations, fmt.Sprintf("%s %s at core-%d from %v to %v: %d %s: %s", a.method, a.path, a.first+1,
 		a.began.Format("05.000"), a.ended.Format("05.000"), a.code, strings.TrimSpace(a.body), fmt.Sprintf(format, args...)))
 }
 
-// verify checks that all answers about the configuration are those of one register that is read and replaced as a whole, in
-// an order that agrees with real time, and those about other orders likewise.
+// verify checks that the responses about the configuration are linearizable as those of one register that is read and replaced as a
+// whole, and that those about roll-outs and decommissioning never go back to an older state. It returns the violations.
 func (h *callHistory) verify(register *configuration.StateMachine) []string {
 	for _, order := range h.orders {
 		order.accepted = register.WasAccepted(order.configuration())
 	}
-	slices.SortFunc(h.answers, func(a, b *callResult) int { return a.ended.Compare(b.ended) })
+	slices.SortFunc(h.results, func(a, b *callResult) int { return a.ended.Compare(b.ended) })
 	h.buildChain()
 	h.verifyStatuses()
 	h.verifyConfiguration()
 	h.verifyRollouts()
 	h.verifyDecommissions()
-	return h.faults
+	return h.violations
 }
 
-// configuration is the order as the controller takes it.
+// configuration returns the proposal that the controller makes of the order.
 func (o *sentOrder) configuration() *configuration.Proposal {
 	compact, _ := json.Marshal(json.RawMessage(document(int(o.number))))
 	return &configuration.Proposal{Base: o.base, Number: o.number, Raw: compact}
 }
 
-// buildChain finds the chain of the orders taken.
+// buildChain builds the chain of accepted configurations.
 func (h *callHistory) buildChain() {
 	next := map[uint64]*sentOrder{}
-	taken := 0
+	count := 0
 	for _, order := range h.orders {
 		if !order.accepted {
 			continue
 		}
-		taken++
+		count++
 		if other := next[order.base]; other != nil {
-			h.faults = append(h.faults, fmt.Sprintf("configurations %d and %d were both taken on %d", other.number, order.number, order.base))
+			h.violations = append(h.violations, fmt.Sprintf("configurations %d and %d were both accepted on version %d", other.number, order.number, order.base))
 		}
 		next[order.base] = order
 	}
 	for order := next[0]; order != nil; order = next[order.number] {
 		h.chain = append(h.chain, order)
 	}
-	if len(h.chain) != taken {
-		h.faults = append(h.faults, fmt.Sprintf("%d configurations were taken, %d of them on top of each other", taken, len(h.chain)))
+	if len(h.chain) != count {
+		h.violations = append(h.violations, fmt.Sprintf("%d configurations were accepted, but only %d are based on each other", count, len(h.chain)))
 	}
 }
 
-// position is the number of configurations taken up to one: 0 for none at all, -1 for one that was never taken.
+// position returns the position of a configuration in the chain, from 1 on: 0 if number is 0, -1 if it was never accepted.
 func (h *callHistory) position(number uint64) int {
 	if number == 0 {
 		return 0
@@ -89,68 +89,69 @@
 	return -1
 }
 
-// verifyStatuses checks that no answer is of a kind that may not be.
+// verifyStatuses checks that each status is a permitted one, and that no machine redirects to itself.
 func (h *callHistory) verifyStatuses() {
-	may := []int{0, http.StatusOK, http.StatusTemporaryRedirect, http.StatusServiceUnavailable, http.StatusNotFound, http.StatusConflict,
+	permitted := []int{0, http.StatusOK, http.StatusTemporaryRedirect, http.StatusServiceUnavailable, http.StatusNotFound, http.StatusConflict,
 		http.StatusPreconditionFailed}
-	for _, a := range h.answers {
+	for _, a := range h.results {
 		switch {
-		case a.method != http.MethodGet && a.code == http.StatusGatewayTimeout: // may or may not have been taken
-		case !slices.Contains(may, a.code):
-			h.fault(a, "no such answer may be given")
+		case a.method != http.MethodGet && a.code == http.StatusGatewayTimeout: // the order may have been accepted or not
+		case !slices.Contains(permitted, a.code):
+			h.report(a, "the status is not permitted")
 		}
 		for _, hop := range a.redirects {
 			if strings.Contains(hop.to, fmt.Sprintf("10.0.0.%d:", hop.from+1)) {
-				h.fault(a, "core-%d sends to itself", hop.from+1)
+				h.report(a, "core-%d redirects to itself", hop.from+1)
 			}
 		}
 	}
 }
 
-// verifyConfiguration follows the lowest place in the chain that each answer allows, given all that had ended before it began.
+// verifyConfiguration checks that each response fits a position in the chain: at least the highest one that is certain from calls that
+// ended before this call began, and at most the last one that was sent before it ended.
 func (h *callHistory) verifyConfiguration() {
-	var floors lowerBounds
-	for _, answer := range h.answers {
-		if answer.path != settingsPath {
+	var bounds lowerBounds
+	for _, result := range h.results {
+		if result.path != settingsPath {
 			continue
 		}
-		low, high := floors.at(answer.began), h.upperBound(answer.ended)
+		low, high := bounds.at(result.began), h.upperBound(result.ended)
 		switch {
-		case answer.method == http.MethodGet && answer.code == http.StatusOK:
+		case result.method == http.MethodGet && result.code == http.StatusOK:
 			var parsed struct{ Number uint64 }
-			if err := json.Unmarshal([]byte(answer.body), &parsed); err != nil {
-				h.fault(answer, "%v", err)
+			if err := json.Unmarshal([]byte(result.body), &parsed); err != nil {
+				h.report(result, "%v", err)
 				continue
 			}
-			place := h.position(parsed.Number)
-			if place < low || place > high {
-				h.fault(answer, "it is at place %d, and must be from %d to %d", place, low, high)
+			reached := h.position(parsed.Number)
+			if reached < low || reached > high {
+				h.report(result, "its configuration is at position %d of the chain, want %d to %d", reached, low, high)
 			}
-			low = max(low, place)
-		case answer.method == http.MethodPut && answer.code == http.StatusOK:
-			place := h.position(answer.order.number)
-			if place < 1 || place > high {
-				h.fault(answer, "it is at place %d, and must be from 1 to %d", place, high)
+			low = max(low, reached)
+		case result.method == http.MethodPut && result.code == http.StatusOK:
+			reached := h.position(result.order.number)
+			if reached < 1 || reached > high {
+				h.report(result, "its configuration is at position %d of the chain, want 1 to %d", reached, high)
 			}
-			low = max(low, place)
-		case answer.code == http.StatusPreconditionFailed:
-			if answer.order.accepted {
-				h.fault(answer, "the order was taken")
+			low = max(low, reached)
+		case result.code == http.StatusPreconditionFailed:
+			if result.order.accepted {
+				h.report(result, "the order was accepted")
 			}
-			if h.position(answer.order.base) == low {
+			if h.position(result.order.base) == low {
 				low++
 			}
 			if low > high {
-				h.fault(answer, "%d was current all the time", answer.order.base)
+				h.report(result, "version %d was current during the whole call", result.order.base)
 			}
-		case answer.code == http.StatusNotFound || answer.code == http.StatusConflict:
-			h.fault(answer, "no such answer may be given")
+		case result.code == http.StatusNotFound || result.code == http.StatusConflict:
+			h.report(result, "the status is not permitted")
 		}
-		floors.add(answer.ended, low)
+		bounds.add(result.ended, low)
 	}
 }
 
-// upperBound is the highest place that the chain can have reached by then.
+// upperBound returns the highest position that the chain can have reached by that time.
 func (h *callHistory) upperBound(at time.Time) int {
 	for i, order := range h.chain {
 		if order.at.After(at) {
@@ -160,71 +161,71 @@
 	return len(h.chain)
 }
 
-// lowerBounds holds the lowest places that are certain, by the time from which on they are.
+// lowerBounds holds positions that are certainly reached from a time on.
 type lowerBounds struct {
-	times  []time.Time
-	places []int
+	times     []time.Time
+	positions []int
 }
 
-func (f *lowerBounds) add(at time.Time, place int) {
-	f.times, f.places = append(f.times, at), append(f.places, place)
+func (b *lowerBounds) add(at time.Time, position int) {
+	b.times, b.positions = append(b.times, at), append(b.positions, position)
 }
 
-// at is the lowest place that was certain before a time.
-func (f *lowerBounds) at(at time.Time) int {
+// at returns the highest position that was certainly reached before a time.
+func (b *lowerBounds) at(at time.Time) int {
 	low := 0
-	for i := range f.times {
-		if f.times[i].Before(at) {
-			low = max(low, f.places[i])
+	for i := range b.times {
+		if b.times[i].Before(at) {
+			low = max(low, b.positions[i])
 		}
 	}
 	return low
 }
 
-// verifyRollouts checks the answers about one service, of which one caller orders version after version.
+// verifyRollouts checks the responses about one service. One caller orders its versions one after the other.
 func (h *callHistory) verifyRollouts() {
-	first := map[int]time.Time{} // when each version was ordered
+	first := map[int]time.Time{} // when each version was first ordered
 	var ordered, finished lowerBounds
-	for _, answer := range h.answers {
-		if answer.method == http.MethodPost && answer.path == rolloutsPath && (first[answer.version()].IsZero() || answer.began.Before(first[answer.version()])) {
-			first[answer.version()] = answer.began
+	for _, result := range h.results {
+		if result.method == http.MethodPost && result.path == rolloutsPath && (first[result.version()].IsZero() || result.began.Before(first[result.version()])) {
+			first[result.version()] = result.began
 		}
 	}
-	for _, answer := range h.answers {
+	for _, result := range h.results {
 		switch {
-		case answer.method == http.MethodPost && answer.path == rolloutsPath:
-			if answer.code == http.StatusOK {
-				ordered.add(answer.ended, answer.version())
+		case result.method == http.MethodPost && result.path == rolloutsPath:
+			if result.code == http.StatusOK {
+				ordered.add(result.ended, result.version())
 			}
-			if answer.code == http.StatusConflict || answer.code == http.StatusNotFound {
-				h.fault(answer, "nothing else is under way")
+			if result.code == http.StatusConflict || result.code == http.StatusNotFound {
+				h.report(result, "no other roll-out is in progress")
 			}
-		case answer.path == rolloutsPath+"/lm" && answer.code == http.StatusNotFound:
-			if ordered.at(answer.began) > 0 {
-				h.fault(answer, "version %d had been ordered", ordered.at(answer.began))
+		case result.path == rolloutsPath+"/lm" && result.code == http.StatusNotFound:
+			if ordered.at(result.began) > 0 {
+				h.report(result, "version %d had already been ordered", ordered.at(result.began))
 			}
-		case answer.path == rolloutsPath+"/lm" && answer.code == http.StatusOK:
+		case result.path == rolloutsPath+"/lm" && result.code == http.StatusOK:
 			var parsed rolloutStatus
-			if err := json.Unmarshal([]byte(answer.body), &parsed); err != nil {
-				h.fault(answer, "%v", err)
+			if err := json.Unmarshal([]byte(result.body), &parsed); err != nil {
+				h.report(result, "%v", err)
 				continue
 			}
 			version, _ := strconv.Atoi(strings.TrimPrefix(parsed.Target, "v"))
-			if low := ordered.at(answer.began); version < low || first[version].IsZero() || first[version].After(answer.ended) {
-				h.fault(answer, "version %d had been ordered", low)
+			if low := ordered.at(result.began); version < low || first[version].IsZero() || first[version].After(result.ended) {
+				h.report(result, "version %d had already been ordered, or the returned one had not", low)
 			}
-			if parsed.State == "in_service" && finished.at(answer.began) >= version {
-				h.fault(answer, "it was finished before")
+			if parsed.State == "in_service" && finished.at(result.began) >= version {
+				h.report(result, "the roll-out had already been reported as finished")
 			}
-			ordered.add(answer.ended, version)
+			ordered.add(result.ended, version)
 			if parsed.State != "in_service" {
-				finished.add(answer.ended, version)
+				finished.add(result.ended, version)
 			}
 		}
 	}
 }
 
-// version is the number of the version that an order names.
+// version returns the number of the version that an order rolls out.
 func (a *callResult) version() int {
 	version, _ := strconv.Atoi(strings.TrimPrefix(a.order.target(), "v"))
 	return version
@@ -232,25 +233,25 @@
 
 func (o *sentOrder) target() string { return fmt.Sprintf("v%d", o.number) }
 
-// verifyDecommissions checks the answers about machines of which enough always remain.
+// verifyDecommissions checks the responses about machines that may be drained, since enough always remain.
 func (h *callHistory) verifyDecommissions() {
-	asked := map[string]*lowerBounds{}
-	for _, a := range h.answers {
+	acknowledged := map[string]*lowerBounds{}
+	for _, a := range h.results {
 		if !strings.HasPrefix(a.path, retirePath) {
 			continue
 		}
-		if asked[a.path] == nil {
-			asked[a.path] = &lowerBounds{}
+		if acknowledged[a.path] == nil {
+			acknowledged[a.path] = &lowerBounds{}
 		}
 		switch {
 		case a.code == http.StatusConflict:
-			h.fault(a, "enough remain")
+			h.report(a, "enough machines remain")
 		case a.code == http.StatusNotFound && a.method == http.MethodPost && a.order != nil && a.order.at.Before(a.began):
-			h.fault(a, "the machine is known")
-		case a.code == http.StatusNotFound && asked[a.path].at(a.began) > 0:
-			h.fault(a, "it had been asked to be emptied")
+			h.report(a, "the machine is known")
+		case a.code == http.StatusNotFound && acknowledged[a.path].at(a.began) > 0:
+			h.report(a, "its decommissioning had already been acknowledged")
 		case a.code == http.StatusOK:
-			asked[a.path].add(a.ended, 1)
+			acknowledged[a.path].add(a.ended, 1)
 		}
 	}
 }
@@ -259,10 +260,10 @@
 	retirePath = "/mastusher/retire/"
 )
 
-// counts lists how many answers of each kind there were.
+// counts lists the number of responses by method, resource and status.
 func (h *callHistory) counts() string {
 	counts := map[string]int{}
-	for _, a := range h.answers {
+	for _, a := range h.results {
 		counts[fmt.Sprintf("%s %s %d", a.method, strings.Split(strings.TrimPrefix(a.path, "/mastusher/"), "/")[0], a.code)]++
 	}
 	var counted []string
--- a/internal/tier/controller/partition_links_test.go
+++ b/internal/tier/controller/partition_links_test.go
@@ -6,87 +6,87 @@
 	"mastusher/internal/tier/group"
 )
 
-// link is one direction between two machines.
+// link is one direction between two machines, by their numbers.
 type link struct{ from, to int }
 
-func (c *core) deliver(w link, envelope group.Envelope) {
+func (c *partitionedCluster) deliver(l link, envelope group.Envelope) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.blocked[w] {
-		c.delayed[w] = append(c.delayed[w], envelope)
-		if len(c.delayed[w]) > maxDelayedMessages {
-			c.delayed[w] = c.delayed[w][1:]
+	if c.blocked[l] {
+		c.delayed[l] = append(c.delayed[l], envelope)
+		if len(c.delayed[l]) > maxDelayedMessages {
+			c.delayed[l] = c.delayed[l][1:]
 		}
 		return
 	}
 	if c.random.Float64() < c.kind.lost {
 		return
 	}
-	delay := coreLatency + time.Duration(c.random.Int64N(int64(coreLatency)))
+	delay := linkLatency + time.Duration(c.random.Int64N(int64(linkLatency)))
 	time.AfterFunc(delay, func() {
-		to := c.machines[w.to]
+		to := c.machines[l.to]
 		to.waitWhileFrozen()
 		to.controller.Group().Deliver(envelope.Message)
 		to.wakeUp()
 	})
 }
 
-// setBlocked blocks or unblocks links. What a block has delayed arrives after its end.
-func (c *core) setBlocked(blocked bool, ways ...link) {
-	for _, w := range ways {
+// setBlocked blocks or unblocks links. Unblocking a link delivers the messages that it has delayed.
+func (c *partitionedCluster) setBlocked(blocked bool, links ...link) {
+	for _, l := range links {
 		c.mutex.Lock()
-		c.blocked[w] = blocked
-		delayed := c.delayed[w]
+		c.blocked[l] = blocked
+		delayed := c.delayed[l]
 		if !blocked {
-			delete(c.delayed, w)
+			delete(c.delayed, l)
 		}
 		c.mutex.Unlock()
 		for _, envelope := range delayed {
 			if !blocked {
-				c.deliver(w, envelope)
+				c.deliver(l, envelope)
 			}
 		}
 	}
 	c.updateReachability()
 }
 
-// freeze stops a machine, and thaw lets it go on.
-func (c *core) freeze(number int) {
+// freeze stops a machine until thaw.
+func (c *partitionedCluster) freeze(number int) {
 	c.mutex.Lock()
 	c.machines[number].thawed = make(chan struct{})
 	c.mutex.Unlock()
 	c.updateReachability()
 }
 
-func (c *core) thaw(number int) {
+func (c *partitionedCluster) thaw(number int) {
 	c.mutex.Lock()
 	close(c.machines[number].thawed)
 	c.mutex.Unlock()
 	c.updateReachability()
 }
 
-// updateReachability notes who is in whose reach, directly or through others.
-func (c *core) updateReachability() {
+// updateReachability records which machines reach each other, directly or through others.
+func (c *partitionedCluster) updateReachability() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
 	for from := range c.machines {
 		reached := c.reachedFrom(from)
 		for to := range c.machines {
-			w := link{from, to}
-			_, unseen := c.unreachableSince[w]
+			l := link{from, to}
+			_, unreachable := c.unreachableSince[l]
 			switch {
-			case !reached[to] && !unseen:
-				c.unreachableSince[w] = now
-				delete(c.reachableAt, w)
-			case reached[to] && unseen && c.reachableAt[w].IsZero():
-				c.reachableAt[w] = now.Add(rejoinTime)
+			case !reached[to] && !unreachable:
+				c.unreachableSince[l] = now
+				delete(c.reachableAt, l)
+			case reached[to] && unreachable && c.reachableAt[l].IsZero():
+				c.reachableAt[l] = now.Add(rejoinTime)
 			}
 		}
 	}
 }
 
-func (c *core) reachedFrom(from int) map[int]bool {
+func (c *partitionedCluster) reachedFrom(from int) map[int]bool {
 	reached := map[int]bool{from: true}
 	for grown := true; grown; {
 		grown = false
@@ -101,7 +101,7 @@
 	return reached
 }
 
-func (c *core) isRunning(number int) bool {
+func (c *partitionedCluster) isRunning(number int) bool {
 	select {
 	case <-c.machines[number].thawed:
 		return true
@@ -110,9 +110,9 @@
 	}
 }
 
-// isDead tells whether membership of one machine takes another for dead. The caller holds the mutex.
-func (c *core) isDead(w link) bool {
-	since, unseen := c.unreachableSince[w]
-	back := c.reachableAt[w]
-	return unseen && time.Since(since) > failureDetectionTime && (back.IsZero() || time.Now().Before(back))
+// isDead reports whether one machine's membership considers another one dead. The caller must hold mutex.
+func (c *partitionedCluster) isDead(l link) bool {
+	since, unreachable := c.unreachableSince[l]
+	back := c.reachableAt[l]
+	return unreachable && time.Since(since) > failureDetectionTime && (back.IsZero() || time.Now().Before(back))
 }
