--- a/internal/tier/controller/partition_mutants_test.go
+++ b/internal/tier/controller/partition_mutants_test.go
@@ -7,20 +7,20 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// The tests that must notice what goes wrong at a controller that is partitioned.
+// The tests that must detect the mutants.
 const (
 	partitionTests    = "TestPartitionedController_AnswersStayLinearizable"
 	formerLeaderTests = "TestFormerLeader_UnawareOfSuccessor_AnswersNothing"
 	listTests         = "TestEndpoints_LeaderPartitionedFromPlatform_PeerReads|TestEndpoints_NewTerm_DropsEarlierReads|TestEndpoints_FormerLeader_PublishesNothing"
 )
 
-// A read that a majority confirms, and the same without.
+// A read that a majority confirms, and the same read without the confirmation.
 const (
 	confirmedRead   = "err := c.group.Read(ctx, func() {"
 	unconfirmedRead = "err := func(_ context.Context, view func()) error { view(); return nil }(ctx, func() {"
 )
 
-// partitionedReadMutants answer reads that nothing has confirmed.
+// partitionedReadMutants respond to reads that no majority has confirmed.
 var partitionedReadMutants = []mutation.Mutant{
 	{
 		Name: "followers return the configuration that they have applied",
@@ -50,7 +50,7 @@
 	},
 }
 
-// partitionedOrderMutants answer orders without a majority.
+// partitionedOrderMutants respond to orders without a majority.
 var partitionedOrderMutants = []mutation.Mutant{
 	{
 		Name: "an order is rejected for the version that a member has applied",
@@ -74,7 +74,7 @@
 	},
 }
 
-// partitionedDecommissionMutants answer for machines without a majority or a complete view.
+// partitionedDecommissionMutants reject decommissioning without a majority or a complete view of the machines.
 var partitionedDecommissionMutants = []mutation.Mutant{
 	{
 		Name: "a machine is unknown without a confirmed read",
@@ -83,13 +83,13 @@
 		Run: "TestDecommissionAPI_LeaderWithoutMajority_RejectsNothing",
 	},
 	{
-		Name:   "a new leader takes its view of machines for complete",
+		Name:   "a new leader considers its view of machines complete",
 		Change: mutation.Change{File: "api_decommission.go", Old: "return c.reconciler.Tracker().HasCompleteView(now, c.group.Status().Term)", New: "return true"},
 		Run:    partitionTests,
 	},
 }
 
-// partitionedLeaderMutants lead, or redirect to a leader, against what is known.
+// partitionedLeaderMutants lead without a majority, or redirect to the wrong controllers.
 var partitionedLeaderMutants = []mutation.Mutant{
 	{
 		Name:   "a leader stays one without a majority",
@@ -97,18 +97,18 @@
 		Run:    partitionTests,
 	},
 	{
-		Name:   "callers are redirected to a leader of which nothing is heard",
+		Name:   "callers are redirected to a leader that has been silent",
 		Change: mutation.Change{File: "../group/status.go", Old: "status.Leader != status.ID && now-status.LeaderLastContact > g.options.Replica.ElectionTimeout", New: "false"},
 		Run:    partitionTests,
 	},
 	{
-		Name:   "callers are redirected only to leaders that membership takes for alive",
+		Name:   "callers are redirected only to leaders that membership considers alive",
 		Change: mutation.Change{File: "api_redirect.go", Old: "if m.ID == id && m.Role == membership.Controller {", New: "if m.ID == id && m.Role == membership.Controller && !m.DeadOrLeft() {"},
 		Run:    partitionTests,
 	},
 }
 
-// partitionedListMutants publish or read the list of endpoints as a former leader, or in vain.
+// partitionedListMutants read or publish endpoints in an outdated term, or choose the wrong controller to read.
 var partitionedListMutants = []mutation.Mutant{
 	{
 		Name:   "a former leader publishes what it has read",
@@ -136,14 +136,14 @@
 		Run:    listTests,
 	},
 	{
-		Name:   "peers are asked where the platform refuses",
+		Name:   "peers are asked when the platform returns an error",
 		Change: mutation.Change{File: "list_reader.go", Old: "case errors.As(err, &unreachable) && !r.delegateWorks && len(peers) > 0:", New: "case err != nil && !r.delegateWorks && len(peers) > 0:"},
 		Run:    listTests,
 	},
 }
 
-// TestPartitionMutantsAreNoticed tries the mistakes that a controller could make while it is partitioned. The scenarios
-// notice each with one seed.
+// TestPartitionMutantsAreNoticed checks that tests detect mistakes of a partitioned controller. The scenarios detect each with one
+// seed.
 func TestPartitionMutantsAreNoticed(t *testing.T) {
 	mutation.Test(t, slices.Concat(partitionedReadMutants, partitionedOrderMutants, partitionedDecommissionMutants, partitionedLeaderMutants, partitionedListMutants))
 }
--- a/internal/tier/controller/partition_operators_test.go
+++ b/internal/tier/controller/partition_operators_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// startOperators starts the operators: at each machine one that replaces the configuration, one that asks for states, and one that
-// goes from machine to machine with the other orders.
+// startOperators starts the operators: for each machine one that replaces the configuration and one that reads states, and for all
+// machines together one that orders roll-outs and one that orders decommissioning.
 func (s *scenario) startOperators() {
-	for _, m := range s.core.machines {
+	for _, m := range s.cluster.machines {
 		s.active.Go(func() { s.configure(m.number) })
 		s.active.Go(func() { s.readStates(m.number) })
 	}
@@ -21,13 +21,13 @@
 	s.active.Go(s.decommission)
 }
 
-// random are the choices of one operator.
+// random returns the random source of one operator.
 func (s *scenario) random(machine int, operator uint64) *rand.Rand {
 	const streams = 8
 	return rand.New(rand.NewPCG(s.seed*streams+uint64(machine), operator))
 }
 
-// sleepBetweenCalls lets some time pass between two calls of an operator.
+// sleepBetweenCalls sleeps for a random time of up to maxCallDelay.
 func sleepBetweenCalls(random *rand.Rand) {
 	time.Sleep(time.Duration(random.Int64N(int64(maxCallDelay))))
 }
@@ -37,15 +37,15 @@
 	if order != nil {
 		base = strconv.FormatUint(order.base, 10)
 	}
-	a := s.core.call(machine, method, path, body, base)
+	a := s.cluster.call(machine, method, path, body, base)
 	a.order = order
 	s.mutex.Lock()
-	s.history.answers = append(s.history.answers, a)
+	s.history.results = append(s.history.results, a)
 	s.mutex.Unlock()
 	return a
 }
 
-// configure replaces the configuration again and again, on top of what a machine tells.
+// configure repeatedly reads the configuration from a machine and replaces it.
 func (s *scenario) configure(machine int) {
 	random := s.random(machine, 1)
 	for ; !s.isOver(); sleepBetweenCalls(random) {
@@ -53,7 +53,7 @@
 	}
 }
 
-// read returns the number of the configuration that a machine tells; 0: it tells none.
+// read returns the number of the configuration that a machine returns; 0: none.
 func (s *scenario) read(machine int) uint64 {
 	var parsed struct{ Number uint64 }
 	if a := s.call(machine, http.MethodGet, settingsPath, "", nil); a.code == http.StatusOK {
@@ -64,7 +64,7 @@
 	return parsed.Number
 }
 
-// replace sends a configuration to a machine, and again unchanged to any of them while the answer isn't clear.
+// replace sends a configuration to a machine, and while responses are inconclusive the same one to random machines.
 func (s *scenario) replace(machine int, base uint64, random *rand.Rand) {
 	const sends = 4
 	order := s.newOrder(base)
@@ -73,7 +73,7 @@
 		if a.code == http.StatusOK || a.code == http.StatusPreconditionFailed || a.code == http.StatusBadRequest {
 			return
 		}
-		machine = random.IntN(len(s.core.machines))
+		machine = random.IntN(len(s.cluster.machines))
 		sleepBetweenCalls(random)
 	}
 }
@@ -88,7 +88,7 @@
 	return order
 }
 
-// readStates asks a machine for all states.
+// readStates repeatedly reads the configuration and the states of roll-outs and decommissioning from a machine.
 func (s *scenario) readStates(machine int) {
 	random := s.random(machine, 2)
 	for ; !s.isOver(); sleepBetweenCalls(random) {
@@ -98,17 +98,17 @@
 	}
 }
 
-// rollOut orders one version after the other, each once the one before has ended.
+// rollOut orders roll-outs of one version after the other, each once the previous one has ended.
 func (s *scenario) rollOut() {
 	random := s.random(0, 3)
 	for version := uint64(1); !s.isOver(); version++ {
 		order := &sentOrder{number: version, at: time.Now()}
 		body := fmt.Sprintf(`{"service":"lm","target":%q,"overS":0.9}`, order.target())
-		for !s.isOver() && s.call(random.IntN(len(s.core.machines)), http.MethodPost, rolloutsPath, body, order).code != http.StatusOK {
+		for !s.isOver() && s.call(random.IntN(len(s.cluster.machines)), http.MethodPost, rolloutsPath, body, order).code != http.StatusOK {
 			sleepBetweenCalls(random)
 		}
 		for !s.isOver() {
-			a := s.call(random.IntN(len(s.core.machines)), http.MethodGet, rolloutsPath+"/lm", "", nil)
+			a := s.call(random.IntN(len(s.cluster.machines)), http.MethodGet, rolloutsPath+"/lm", "", nil)
 			if a.code == http.StatusOK && !strings.Contains(a.body, "in_service") {
 				break
 			}
@@ -117,20 +117,20 @@
 	}
 }
 
-// decommission has machines drained, and asks for it again and again.
+// decommission repeatedly orders the decommissioning of machines.
 func (s *scenario) decommission() {
 	random := s.random(0, 4)
 	for ; !s.isOver(); sleepBetweenCalls(random) {
-		s.core.mutex.Lock()
-		joined := s.core.joined
-		s.core.mutex.Unlock()
+		s.cluster.mutex.Lock()
+		joined := s.cluster.joined
+		s.cluster.mutex.Unlock()
 		nodes := map[string]time.Time{"storage-1": {}, "storage-2": {}}
 		if !joined.IsZero() {
 			nodes[joiningStore] = joined.Add(time.Second)
 		}
 		for _, node := range []string{"storage-1", "storage-2", joiningStore} {
 			if known, ok := nodes[node]; ok {
-				s.call(random.IntN(len(s.core.machines)), http.MethodPost, retirePath+node, `{"overS":10}`, &sentOrder{at: known})
+				s.call(random.IntN(len(s.cluster.machines)), http.MethodPost, retirePath+node, `{"overS":10}`, &sentOrder{at: known})
 			}
 		}
 	}
--- a/internal/tier/controller/partition_test.go
+++ b/internal/tier/controller/partition_test.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-var partitionSeeds = flag.Int("cut-seeds", 1, "seeds of each story of a controller that is cut off")
+var partitionSeeds = flag.Int("cut-seeds", 1, "number of seeds for each scenario of a partitioned controller")
 
-// joiningStore is the store that is added in the middle.
+// joiningStore is the store that joins during the partition.
 var joiningStore = fmt.Sprintf("storage-%d", initialStores+1)
 
-// Times of a scenario.
+// Timing of a scenario.
 const (
-	partitionDuration = 8 * time.Second // and up to as much more with other seeds
+	partitionDuration = 8 * time.Second // the minimum; other seeds take up to twice that
 	afterDuration     = 6 * time.Second // from the end of the partition to the end of the scenario
-	serviceRestoredIn = 3 * time.Second // until those that aren't partitioned serve again, and all of them after its end
+	serviceRestoredIn = 3 * time.Second // until the other machines serve during the partition, and all machines after its end
 	joinsAfter        = 3 * time.Second // from the start of the partition until a store is added
 	maxCallDelay      = 800 * time.Millisecond
 )
 
-// role is what a machine is before it is partitioned.
+// role is the role of a machine before it is partitioned.
 type role string
 
 const (
@@ -33,59 +33,59 @@
 	standbyRole      role = "standby controller"
 )
 
-// partitionKind is from whom a machine is partitioned.
+// partitionKind is the kind of a machine's partition.
 type partitionKind string
 
 const (
-	fromAll          partitionKind = "from all"
-	fromMajority     partitionKind = "from the majority"
-	fromOne          partitionKind = "from one zone"
-	inward           partitionKind = "so that it hears nobody"
-	outward          partitionKind = "so that nobody hears it"
+	fromAll          partitionKind = "partitioned from all"
+	fromMajority     partitionKind = "partitioned from the majority"
+	fromOne          partitionKind = "partitioned from one member"
+	inward           partitionKind = "inbound links blocked"
+	outward          partitionKind = "outbound links blocked"
 	frozenMachine    partitionKind = "frozen"
-	allFromEachOther partitionKind = "as all are from each other"
+	allFromEachOther partitionKind = "all partitioned from each other"
 )
 
-// TestPartitionedController_AnswersStayLinearizable has each kind of controller partitioned in each way, while operators go on at every machine. Every
-// answer must be of the newest state that a majority has confirmed, or send on, or say that it can't be told.
+// TestPartitionedController_AnswersStayLinearizable partitions a controller of each role in each way, while operators call every
+// machine. Every response must return the newest state that a majority has confirmed, redirect, or say that the state is unknown.
 func TestPartitionedController_AnswersStayLinearizable(t *testing.T) {
-	for _, who := range []role{leaderRole, formerLeaderRole, followerRole, standbyRole} {
-		for _, how := range []partitionKind{fromAll, fromMajority, fromOne, inward, outward, frozenMachine} {
-			t.Run(fmt.Sprintf("given the %s, when it is cut off %s", who, how), func(t *testing.T) { runPartition(t, who, how) })
+	for _, victimRole := range []role{leaderRole, formerLeaderRole, followerRole, standbyRole} {
+		for _, partition := range []partitionKind{fromAll, fromMajority, fromOne, inward, outward, frozenMachine} {
+			t.Run(fmt.Sprintf("%s, %s", victimRole, partition), func(t *testing.T) { runPartition(t, victimRole, partition) })
 		}
 	}
-	t.Run("given all, when they are cut off from each other", func(t *testing.T) { runPartition(t, leaderRole, allFromEachOther) })
+	t.Run("all partitioned from each other", func(t *testing.T) { runPartition(t, leaderRole, allFromEachOther) })
 }
 
-func runPartition(t *testing.T, who role, how partitionKind) {
+func runPartition(t *testing.T, victimRole role, partition partitionKind) {
 	t.Parallel()
 	for seed := range *partitionSeeds {
 		synctest.Test(t, func(t *testing.T) {
 			s := newScenario(t, uint64(seed))
-			victim := s.machineOf(who)
+			victim := s.machineOf(victimRole)
 			s.startOperators()
 			time.Sleep(time.Second)
-			s.startPartition(victim, how)
+			s.startPartition(victim, partition)
 			time.Sleep(joinsAfter)
-			s.core.join()
+			s.cluster.join()
 			time.Sleep(partitionDuration - joinsAfter + time.Duration(seed)*time.Second%partitionDuration)
-			s.endPartition(victim, how)
+			s.endPartition(victim, partition)
 			time.Sleep(afterDuration)
 			s.stop()
-			s.verify(victim, how)
+			s.verify(victim, partition)
 		})
 	}
 }
 
-// scenario is a core with its operators.
+// scenario is a cluster with its operators and one partition.
 type scenario struct {
 	t            *testing.T
 	seed         uint64
-	core         *core
+	cluster      *partitionedCluster
 	leaderBefore int       // the leader before the partition
-	peer         int       // the one from which a machine is partitioned that is partitioned from one zone
-	began        time.Time // the partition
-	ended        time.Time
+	peer         int       // for fromOne: the member from which the victim is partitioned
+	began        time.Time // start of the partition
+	ended        time.Time // end of the partition
 	over         chan struct{}
 	active       sync.WaitGroup
 
@@ -95,68 +95,68 @@
 }
 
 func newScenario(t *testing.T, seed uint64) *scenario {
-	s := &scenario{t: t, seed: seed, core: newCore(t, seed), over: make(chan struct{})}
-	s.core.leader()
-	time.Sleep(13 * time.Second) // the leader is sure of what it knows of machines
+	s := &scenario{t: t, seed: seed, cluster: newPartitionedCluster(t, seed), over: make(chan struct{})}
+	s.cluster.leader()
+	time.Sleep(13 * time.Second) // until the leader considers its view of machines complete
 	return s
 }
 
-// machineOf is the machine of a role.
-func (s *scenario) machineOf(who role) int {
-	leader := s.core.leader()
-	switch who {
+// machineOf returns a machine of that role. For formerLeaderRole it transfers the leadership away.
+func (s *scenario) machineOf(victimRole role) int {
+	leader := s.cluster.leader()
+	switch victimRole {
 	case formerLeaderRole:
-		s.core.machines[leader].controller.Group().TransferLeadership()
-		s.core.machines[leader].wakeUp()
+		s.cluster.machines[leader].controller.Group().TransferLeadership()
+		s.cluster.machines[leader].wakeUp()
 		time.Sleep(time.Second)
-		if s.core.leader() == leader {
+		if s.cluster.leader() == leader {
 			s.t.Fatal("the leader has not changed")
 		}
 	case followerRole:
-		return s.core.others(leader)[0]
+		return s.cluster.others(leader)[0]
 	case standbyRole:
-		return len(s.core.machines) - 1
+		return len(s.cluster.machines) - 1
 	}
 	return leader
 }
 
 // linksOf lists the links that a partition blocks.
-func (s *scenario) linksOf(victim int, how partitionKind) []link {
-	var ways []link
-	others := s.core.others(victim)
+func (s *scenario) linksOf(victim int, partition partitionKind) []link {
+	var links []link
+	others := s.cluster.others(victim)
 	members := s.members(victim)
-	switch how {
+	switch partition {
 	case fromMajority:
 		others = members
 	case fromOne:
 		others = members[:1]
 		s.peer = members[0]
 	case allFromEachOther:
-		for a := range s.core.machines {
-			for _, b := range s.core.others(a) {
-				ways = append(ways, link{a, b})
+		for a := range s.cluster.machines {
+			for _, b := range s.cluster.others(a) {
+				links = append(links, link{a, b})
 			}
 		}
-		return ways
+		return links
 	case frozenMachine:
 		return nil
 	}
 	for _, other := range others {
-		if how != inward {
-			ways = append(ways, link{victim, other})
+		if partition != inward {
+			links = append(links, link{victim, other})
 		}
-		if how != outward {
-			ways = append(ways, link{other, victim})
+		if partition != outward {
+			links = append(links, link{other, victim})
 		}
 	}
-	return ways
+	return links
 }
 
-// members lists the group's members but one, the leader first.
+// members lists the group's members without the victim, the leader first.
 func (s *scenario) members(victim int) []int {
-	leader := s.core.leader()
+	leader := s.cluster.leader()
 	members := []int{leader}
-	for number := range s.core.kind.group {
+	for number := range s.cluster.kind.group {
 		if number != leader {
 			members = append(members, number)
 		}
@@ -170,35 +170,35 @@
 	return others
 }
 
-func (s *scenario) startPartition(victim int, how partitionKind) {
-	s.began, s.leaderBefore = time.Now(), s.core.leader()
+func (s *scenario) startPartition(victim int, partition partitionKind) {
+	s.began, s.leaderBefore = time.Now(), s.cluster.leader()
 	base := s.read(victim)
-	if how == frozenMachine {
-		s.core.freeze(victim)
+	if partition == frozenMachine {
+		s.cluster.freeze(victim)
 	}
-	s.core.setBlocked(true, s.linksOf(victim, how)...)
-	// An order comes in before the machine can know.
+	s.cluster.setBlocked(true, s.linksOf(victim, partition)...)
+	// Send an order before the machine can detect the partition.
 	s.active.Go(func() { s.replace(victim, base, s.random(victim, 5)) })
 }
 
-func (s *scenario) endPartition(victim int, how partitionKind) {
+func (s *scenario) endPartition(victim int, partition partitionKind) {
 	s.ended = time.Now()
-	if how == frozenMachine {
-		s.core.thaw(victim)
+	if partition == frozenMachine {
+		s.cluster.thaw(victim)
 	}
 	var blocked []link
-	s.core.mutex.Lock()
-	for w, is := range s.core.blocked {
-		if is {
-			blocked = append(blocked, w)
+	s.cluster.mutex.Lock()
+	for l, isBlocked := range s.cluster.blocked {
+		if isBlocked {
+			blocked = append(blocked, l)
 		}
 	}
-	s.core.mutex.Unlock()
-	s.core.setBlocked(false, blocked...)
+	s.cluster.mutex.Unlock()
+	s.cluster.setBlocked(false, blocked...)
 }
 
-// join adds a store.
-func (c *core) join() {
+// join has the joining store join.
+func (c *partitionedCluster) join() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.joined = time.Now()
@@ -216,5 +216,5 @@
 func (s *scenario) stop() {
 	close(s.over)
 	s.active.Wait()
-	time.Sleep(time.Second) // what is under way at the machines ends too
+	time.Sleep(time.Second) // until the requests in progress at the machines have ended
 }
--- a/internal/tier/controller/placement_test.go
+++ b/internal/tier/controller/placement_test.go
@@ -11,7 +11,7 @@
 	"mastusher/internal/tier/view"
 )
 
-// shardsOf lists the shards that want a replica under the identity.
+// shardsOf lists the shards that have a replica with this identity in the placement.
 func shardsOf(placed decommission.Placement, id string) []int {
 	var shards []int
 	for number, shard := range placed.Shards {
@@ -27,7 +27,7 @@
 	cluster.awaitPlacement()
 	first := cluster.placement()
 
-	// Given a new store, and one that is down for a short while.
+	// Given a store that joins, and another one that is down for a short time.
 	cluster.add(storeMember(5)).start()
 	cluster.run(2 * time.Second)
 	cluster.storage(1).kill()
@@ -35,14 +35,14 @@
 	cluster.storage(1).start()
 	cluster.run(6 * time.Second)
 
-	// Then the placement is as it was.
+	// Then the placement is unchanged.
 	if diff := cmp.Diff(first, cluster.placement()); diff != "" {
 		t.Errorf("placement (-before +after):\n%s", diff)
 	}
 }
 
 func TestPlacement_RestartOfAll_Unchanged(t *testing.T) {
-	// Given that everything lost power, and stores that come back later than the controllers.
+	// Given that all machines are killed, and stores that restart later than the controllers.
 	cluster := newCluster(t, 5)
 	cluster.awaitPlacement()
 	first := cluster.placement()
@@ -62,7 +62,7 @@
 	}
 	cluster.awaitPlacement()
 
-	// Then the placement is as it was, and what was acknowledged is known.
+	// Then the placement is unchanged, and no acknowledged turn is lost.
 	if diff := cmp.Diff(first, cluster.placement()); diff != "" {
 		t.Errorf("placement (-before +after):\n%s", diff)
 	}
@@ -75,7 +75,7 @@
 	cluster.storage(1).kill()
 	cluster.run(deathDelay + 3*time.Second)
 	if len(shardsOf(cluster.placement(), "s-1")) == 0 {
-		t.Error("replicas moved before their store had time to return")
+		t.Error("replicas moved before the time-out of their lost store")
 	}
 	cluster.until("groups are complete", 3*time.Second, cluster.isComplete)
 	if len(shardsOf(cluster.placement(), "s-1")) != 0 {
@@ -90,7 +90,7 @@
 	cluster.storage(1).kill()
 	cluster.run(deathDelay)
 	took := cluster.until("groups are complete", 2*time.Second, cluster.isComplete)
-	t.Logf("groups are complete %v after the store was taken for dead", took)
+	t.Logf("groups are complete %v after membership considered the store dead", took)
 	if len(shardsOf(cluster.placement(), "s-5")) == 0 {
 		t.Error("the new store has no replicas")
 	}
@@ -102,40 +102,40 @@
 	turns := turnsOf(cluster, 0)
 	before := shardsOf(cluster.placement(), "s-2")
 
-	// When a store comes back with an empty disk, its new identity takes the replicas of the old one at once.
+	// When a store returns with an empty disk, then its new identity gets the replicas of the old one at once.
 	cluster.storage(2).wipe()
 	took := cluster.until("groups are complete", 2*time.Second, func() bool {
 		return cluster.isComplete() && cmp.Equal(before, shardsOf(cluster.placement(), cluster.storage(2).member.ID))
 	})
-	t.Logf("whole after %v", took)
+	t.Logf("groups are complete after %v", took)
 	if left := shardsOf(cluster.placement(), "s-2"); len(left) > 0 {
-		t.Errorf("shards %v still want the identity that was lost", left)
+		t.Errorf("shards %v still have the lost identity in their placement", left)
 	}
 	cluster.wantTurns(turns)
 }
 
-// TestShardLeader_OlderPlacement_UndoesNothing has a store that hears no placements own the groups after a change.
+// TestShardLeader_OlderPlacement_UndoesNothing has a store that knows only an older placement lead groups after the placement changed.
 func TestShardLeader_OlderPlacement_UndoesNothing(t *testing.T) {
 	cluster := newCluster(t, 4)
 	cluster.awaitPlacement()
 
-	// Given a change, and storage-2, which starts again after it and is told only the placement before.
+	// Given a change of the placement, and storage-2, which restarts after it and gets only the placement before it.
 	first := cluster.updates[view.PlacementSection]
 	cluster.storage(3).wipe()
-	cluster.until("the identity that was lost has left", 3*time.Second, func() bool { return cluster.isComplete() && !cluster.hosts("s-3") })
-	behind := cluster.storage(2)
-	behind.staleUpdate = &first
-	behind.kill()
+	cluster.until("the lost identity is no longer a member", 3*time.Second, func() bool { return cluster.isComplete() && !cluster.hosts("s-3") })
+	stale := cluster.storage(2)
+	stale.staleUpdate = &first
+	stale.kill()
 	cluster.run(900 * time.Millisecond)
-	behind.start()
+	stale.start()
 	cluster.until("groups are complete", 3*time.Second, cluster.isComplete)
 	after := cluster.placement()
 
-	// When it leads every group that it is in, one after the other.
+	// When storage-2 leads each of its groups, one after the other.
 	for _, shard := range shardsOf(after, "s-2") {
 		for range 20 {
 			leader, _ := cluster.shardLeader(shard)
-			if leader == behind {
+			if leader == stale {
 				break
 			}
 			leader.kill()
@@ -146,14 +146,14 @@
 			leader.start()
 			cluster.until("groups are complete", 5*time.Second, cluster.isComplete)
 		}
-		if leader, _ := cluster.shardLeader(shard); leader != behind {
-			t.Fatalf("storage-2 never owned shard %d", shard)
+		if leader, _ := cluster.shardLeader(shard); leader != stale {
+			t.Fatalf("storage-2 never led shard %d", shard)
 		}
 		cluster.run(3 * time.Second)
 
-		// Then the identity that was lost stays out.
+		// Then the lost identity doesn't become a member again.
 		if cluster.hosts("s-3") {
-			t.Fatalf("shard %d: the leader went back to an older placement", shard)
+			t.Fatalf("shard %d: the leader applied an older placement", shard)
 		}
 	}
 	if !cluster.isComplete() {
@@ -174,7 +174,7 @@
 		})
 	}
 	if got := cluster.placement().Index; got != index {
-		t.Errorf("placement of entry %d, want %d: what was committed is lost", got, index)
+		t.Errorf("placement of entry %d, want %d: the committed placement is lost", got, index)
 	}
 	if got := len(cluster.leader().controller.Group().Status().Members); got != 3 {
 		t.Errorf("%d members, want 3", got)
--- a/internal/tier/controller/publish.go
+++ b/internal/tier/controller/publish.go
@@ -9,7 +9,7 @@
 	"mastusher/internal/tier/view"
 )
 
-// notifyChanged has publishLoop publish what was committed. It doesn't block.
+// notifyChanged has publishLoop publish the committed state. It doesn't block.
 func (c *Controller) notifyChanged() {
 	select {
 	case c.changed <- struct{}{}:
--- a/internal/tier/controller/publish_test.go
+++ b/internal/tier/controller/publish_test.go
@@ -11,15 +11,15 @@
 )
 
 func TestPublish_EachChangeOnce(t *testing.T) {
-	b := startFixture(t, memorydisk.New())
-	b.Publish()
-	wantStatus(t, b.put("0", document(3)), http.StatusOK)
-	b.Publish()
-	b.Publish()
-	wantStatus(t, b.send(http.MethodPost, "/mastusher/rollouts", `{"service":"lm","target":"v2","overS":12}`), http.StatusOK)
-	b.Publish()
+	f := startFixture(t, memorydisk.New())
+	f.Publish()
+	wantStatus(t, f.put("0", document(3)), http.StatusOK)
+	f.Publish()
+	f.Publish()
+	wantStatus(t, f.send(http.MethodPost, "/mastusher/rollouts", `{"service":"lm","target":"v2","overS":12}`), http.StatusOK)
+	f.Publish()
 	var sections []view.Section
-	for _, update := range b.fleet.published {
+	for _, update := range f.fleet.published {
 		sections = append(sections, update.Section)
 	}
 	if diff := cmp.Diff([]view.Section{view.ConfigurationSection, view.RolloutsSection}, sections); diff != "" {
--- a/internal/tier/controller/race_off_test.go
+++ b/internal/tier/controller/race_off_test.go
@@ -2,11 +2,11 @@
 
 package controller
 
-// pairStride is how many pairs of faults there are for each that is run.
+// pairStride is the interval at which pairs of faults are run; the others are skipped.
 const pairStride = 1
 
-// watched tells whether each memory access is watched, which makes long scenarios slow.
-const watched = false
+// raceEnabled reports whether the race detector is on, which makes long scenarios slow.
+const raceEnabled = false
 
-// lossesOfARun is how many losses a random run has before the final fault.
-const lossesOfARun = 6
+// lossesPerRun is the number of losses in a random run before the final fault.
+const lossesPerRun = 6
--- a/internal/tier/controller/reconcile_loop.go
+++ b/internal/tier/controller/reconcile_loop.go
@@ -16,7 +16,7 @@
 // Timing of reconciliation.
 const (
 	reconcileInterval = 250 * time.Millisecond
-	drainingInterval  = 100 * time.Millisecond // the same, while a store is being drained
+	drainingInterval  = 100 * time.Millisecond // instead, while stores are being queried for the status of their groups
 )
 
 // reconcileLoop reconciles the members of all groups with the desired state.
@@ -34,7 +34,7 @@
 	}
 }
 
-// triggerReconcile has the next reconciliation begin at once.
+// triggerReconcile starts the next reconciliation at once.
 func (c *Controller) triggerReconcile() {
 	select {
 	case c.reconcileNow <- struct{}{}:
@@ -43,7 +43,7 @@
 }
 
 // Reconcile takes the actions that are due, and returns the time until the next call. It never waits for the group or for a
-// store. On a member that isn't the leader it only observes.
+// store. On a follower it only observes membership.
 func (c *Controller) Reconcile(now time.Time) time.Duration {
 	c.updateContacts()
 	actions := c.nextActions(now)
@@ -63,8 +63,8 @@
 	return reconcileInterval
 }
 
-// updateContacts names the other controllers to the group while it hears no leader: those of the configuration on its disk may
-// all have been replaced while this one was away. Their membership state must not matter, as in controlAddress.
+// updateContacts gives the group the addresses of the other controllers while it knows no leader: the members that its log names may
+// all have been replaced while this controller was down. It ignores their membership state, as controlAddress does.
 func (c *Controller) updateContacts() {
 	if c.group.Status().Leader != "" {
 		return
@@ -88,7 +88,7 @@
 	return c.reconciler.Reconcile(now, ObservedState{Group: status, Members: members, Committed: c.state})
 }
 
-// proposeInOrder proposes commands one after the other. The next reconciliation may propose again once all have an outcome.
+// proposeInOrder proposes commands one after the other, up to the first failure. Then the next reconciliation may propose again.
 func (c *Controller) proposeInOrder(commands []Command) {
 	if len(commands) == 0 {
 		c.proposing.Store(false)
@@ -106,7 +106,7 @@
 	})
 }
 
-// logUnmet logs a change of the losses that shards don't tolerate, as far as the leader knows.
+// logUnmet logs a change of the losses that shards don't tolerate. Only the leader knows any.
 func (c *Controller) logUnmet(unmet []placement.UnmetLoss) {
 	texts := make([]string, len(unmet))
 	for i := range unmet {
--- a/internal/tier/controller/reconciler.go
+++ b/internal/tier/controller/reconciler.go
@@ -15,8 +15,8 @@
 // maxReportAge is how old the status of a group may be to decide that a store is drained.
 const maxReportAge = time.Second
 
-// balanceInterval is the time from a change of the placement until a replica may move for balance. A shorter one evens the stores
-// out sooner, and has more groups change their members at a time.
+// balanceInterval is the time from a change of the placement until a replica may move for balance. A shorter interval balances the
+// stores sooner, but makes more groups change their members at a time.
 const balanceInterval = 5 * time.Second
 
 // ObservedState is the input of a reconciliation.
@@ -41,7 +41,7 @@
 	policy             placement.Policy
 	tracker            *placement.Tracker
 	groups             map[int]groupReport // newest report of each shard's leader
-	placementIndex     uint64              // of the placement that was seen last
+	placementIndex     uint64              // index of the placement that was seen last
 	placementChangedAt time.Time           // when it was seen first
 }
 
@@ -56,7 +56,7 @@
 	return &Reconciler{policy: policy, tracker: placement.NewTracker(), groups: map[int]groupReport{}}
 }
 
-// Tracker returns what the reconciler knows of the members.
+// Tracker returns the reconciler's tracker of members.
 func (r *Reconciler) Tracker() *placement.Tracker { return r.tracker }
 
 // RecordGroups records the status of the groups that a store leads, as queried at that time. Reports of earlier terms and of
@@ -72,7 +72,7 @@
 	}
 }
 
-// Reconcile returns the actions that are due. Only the group's leader takes any; all other members just track.
+// Reconcile returns the actions that are due. Only the group's leader takes any; followers only track the members.
 func (r *Reconciler) Reconcile(now time.Time, observed ObservedState) Actions {
 	leaderTerm := uint64(0)
 	if observed.Group.IsLeader {
@@ -118,7 +118,7 @@
 	}
 	inputs := placement.Inputs{Stores: stores, Lost: r.lostStores(now, committed.placement), Draining: committed.drainingReplicas(), Policy: r.policy}
 	next, changed := placement.Next(committed.placement, inputs)
-	if !changed && r.isCalm(now, committed) {
+	if !changed && r.mayBalance(now, committed) {
 		next, changed = placement.Balance(committed.placement, inputs)
 	}
 	if !changed {
@@ -128,15 +128,15 @@
 	return proposal
 }
 
-// observePlacement records when a placement was seen first.
+// observePlacement records when a placement was first seen.
 func (r *Reconciler) observePlacement(now time.Time, index uint64) {
 	if index != r.placementIndex {
 		r.placementIndex, r.placementChangedAt = index, now
 	}
 }
 
-// lostStores returns the identities of the placement's replicas that are lost. One that this process has never seen isn't, while its
-// group's leader reports it as caught up: that leader has heard it within an election timeout.
+// lostStores returns the identities of the placement's replicas that are lost. A replica that this process has never seen isn't lost
+// while its group's leader reports it as caught up: that leader had contact with it within an election timeout.
 func (r *Reconciler) lostStores(now time.Time, shards []view.ShardPlacement) map[string]bool {
 	lost := r.tracker.Lost(now, shards)
 	for number, shard := range shards {
@@ -153,10 +153,10 @@
 	return lost
 }
 
-// isCalm reports whether replicas may move for balance alone: this process has led for long enough to know all members, no store is
-// being drained, none that has replicas is missing, none has just come (it may replace one that is missed next), and the last change
-// of the placement was a while ago, so that few replicas move at a time.
-func (r *Reconciler) isCalm(now time.Time, committed *StateMachine) bool {
+// mayBalance reports whether replicas may move only for balance: this process has led long enough to know all members, no store is
+// being drained, no store with replicas is missing, none has just joined (it may be about to replace one that is detected as missing
+// next), and the placement last changed at least balanceInterval ago, so that few replicas move at a time.
+func (r *Reconciler) mayBalance(now time.Time, committed *StateMachine) bool {
 	if !r.tracker.HasCompleteView(now, r.tracker.Term()) || now.Sub(r.placementChangedAt) < balanceInterval || len(committed.decommissions.Active()) > 0 {
 		return false
 	}
@@ -174,7 +174,7 @@
 	return decommission.IsDrained(operation, current, groups, r.policy.Replicas)
 }
 
-// finishDecommission returns the decision that ends an operation, with all identities that its machine is known by.
+// finishDecommission returns the decision that finishes an operation, with all known identities of its machine.
 func (r *Reconciler) finishDecommission(operation decommission.Operation, committed *StateMachine) *decommission.Decision {
 	ids := slices.Clone(operation.IDs)
 	if store, known := r.tracker.Store(operation.Node); known && !slices.Contains(ids, store.ID) {
--- a/internal/tier/controller/reconciler_test.go
+++ b/internal/tier/controller/reconciler_test.go
@@ -11,7 +11,7 @@
 	"mastusher/internal/tier/replica"
 )
 
-// voters are members with a vote.
+// voters returns members that are voters.
 func voters(names ...string) []replica.Member {
 	var members []replica.Member
 	for _, name := range names {
@@ -20,7 +20,7 @@
 	return members
 }
 
-// TestReconciler_DesiredControllers checks which members the configuration shard's group is to have, step by step of a replacement.
+// TestReconciler_DesiredControllers checks the target members of the configuration shard's group at each step of a replacement.
 func TestReconciler_DesiredControllers(t *testing.T) {
 	running := func(name string) membership.Member {
 		return controllerMember(name, name, name+":7000", name+":8144")
@@ -35,27 +35,27 @@
 	tests := []struct {
 		name     string
 		group    []replica.Member
-		caughtUp map[string]bool // members that answer the group's leader, whatever membership says
+		caughtUp map[string]bool // members that respond to the group's leader, whatever their membership state
 		members  []membership.Member
-		passed   time.Duration // since the members are as they are
+		passed   time.Duration // since membership has these states
 		want     []replica.Member
 	}{
 		{name: "all run", group: voters("first", "second", "third"), members: []membership.Member{first, second, third, added}, passed: 3 * time.Second, want: voters("first", "second", "third")},
-		{name: "one is missing and another has come", group: voters("first", "second", "third"), members: []membership.Member{first, second, missing, added},
+		{name: "one is missing and another has joined", group: voters("first", "second", "third"), members: []membership.Member{first, second, missing, added},
 			passed: 2 * time.Second, want: voters("first", "second", "new")},
-		{name: "its successor has been taken in", group: append(voters("first", "second", "third"), learner),
+		{name: "the successor of the missing one is a learner", group: append(voters("first", "second", "third"), learner),
 			members: []membership.Member{first, second, missing, added}, passed: 2 * time.Second, want: voters("first", "second", "new")},
-		{name: "its successor votes already", group: voters("first", "second", "third", "new"),
+		{name: "the successor of the missing one is a voter", group: voters("first", "second", "third", "new"),
 			members: []membership.Member{first, second, missing, added}, passed: 2 * time.Second, want: voters("first", "second", "new")},
-		{name: "it is back before its successor votes", group: append(voters("first", "second", "third"), learner),
+		{name: "the missing one is back before its successor is a voter", group: append(voters("first", "second", "third"), learner),
 			members: []membership.Member{first, second, third, added}, passed: 2 * time.Second, want: voters("first", "second", "third")},
-		{name: "two are missing and one has come", group: voters("first", "second", "third"),
+		{name: "two are missing and one has joined", group: voters("first", "second", "third"),
 			members: []membership.Member{first, withState(membership.StateSuspect, second), withState(membership.StateDead, third), added},
 			passed:  9 * time.Second, want: voters("first", "second", "new")},
-		{name: "two are not known to membership and answer the leader", group: voters("first", "second", "third"),
+		{name: "membership doesn't list two that respond to the leader", group: voters("first", "second", "third"),
 			caughtUp: map[string]bool{"first": true, "second": true, "third": true},
 			members:  []membership.Member{first, added}, passed: 9 * time.Second, want: voters("first", "second", "third")},
-		{name: "two are taken for dead and one of them answers the leader", group: voters("first", "second", "third"),
+		{name: "membership considers two dead and one of them responds to the leader", group: voters("first", "second", "third"),
 			caughtUp: map[string]bool{"first": true, "second": true},
 			members:  []membership.Member{first, withState(membership.StateDead, second), withState(membership.StateDead, third), added},
 			passed:   9 * time.Second, want: voters("first", "second", "new")},
--- a/internal/tier/controller/repair_disk_test.go
+++ b/internal/tier/controller/repair_disk_test.go
@@ -7,11 +7,12 @@
 	"mastusher/internal/tier/membership"
 )
 
-// TestRepair_SuccessorWithFailingDisk_CatchesUp has the machine that takes a lost one's replicas get a disk with a fault at each step.
+// TestRepair_SuccessorWithFailingDisk_CatchesUp injects a disk fault into the successor of a lost machine, at several times of its
+// catching up.
 func TestRepair_SuccessorWithFailingDisk_CatchesUp(t *testing.T) {
-	const lasts = 4 * time.Second
+	const faultDuration = 4 * time.Second
 	steps := []time.Duration{700 * time.Millisecond, 0, 1400 * time.Millisecond}
-	if watched {
+	if raceEnabled {
 		steps = steps[:1]
 	}
 	for _, what := range []diskFault{slowDisk, fullDisk, stalledDisk} {
@@ -23,14 +24,14 @@
 				r.inject(diskLost, m)
 				r.run(downTime + after)
 				m.injectDiskFault(what)
-				r.run(lasts)
+				r.run(faultDuration)
 				m.injectDiskFault(healthy)
 				r.run(r.environment.catchUp())
 				if !r.allComplete() {
 					t.Error("not all groups are complete when the next loss is allowed")
 				}
 				r.finalFault()
-				r.wantAll()
+				r.wantRecovered()
 			})
 		}
 	}
--- a/internal/tier/controller/repair_leader_loss_test.go
+++ b/internal/tier/controller/repair_leader_loss_test.go
@@ -8,25 +8,25 @@
 	"mastusher/internal/tier/membership"
 )
 
-// Steps of a move at which its coordinator is lost.
+// Times of a repair at which a coordinator is killed.
 const (
 	coordinatorStep   = 250 * time.Millisecond
 	coordinatorSteps  = 20
 	restartAfter      = 700 * time.Millisecond // from a kill until the process runs again
-	coordinatorStride = 5                      // how many scenarios there are for each that is run, unless all are asked for
+	coordinatorStride = 5                      // interval at which scenarios are run, unless allPairs is set
 )
 
-// coordinator is who leads a move, or a part of it.
+// coordinator is the role of a process that leads a repair or a part of it.
 type coordinator string
 
-// The coordinators.
+// The coordinators; everyone: all processes.
 const (
 	configurationLeader coordinator = "leader of the configuration"
 	shardLeaderRole     coordinator = "leader of a shard"
 	everyone            coordinator = "everyone"
 )
 
-// killCoordinator kills the processes, which start again soon.
+// killCoordinator kills the processes of a coordinator. They restart after restartAfter.
 func (r *repair) killCoordinator(who coordinator) {
 	var victims []*testMachine
 	switch who {
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestRepair_LeaderLostAtEachStep_Completes runs repairs of which a coordinator is killed at each step, and a final fault at the first
-// moment that the rules allow.
+// TestRepair_LeaderLostAtEachStep_Completes runs repairs during which a coordinator is killed, at each of many times, and injects the
+// final fault as soon as another loss is allowed.
 func TestRepair_LeaderLostAtEachStep_Completes(t *testing.T) {
 	number := 0
 	for _, what := range []fault{diskLost, machineLost, planned} {
@@ -67,7 +67,7 @@
 					r.killCoordinator(who)
 					r.run(max(allowed, r.now+restartAfter+r.environment.catchUp()) - r.now)
 					r.finalFault()
-					r.wantAll()
+					r.wantRecovered()
 				})
 			}
 		}
--- a/internal/tier/controller/repair_mutants_test.go
+++ b/internal/tier/controller/repair_mutants_test.go
@@ -6,8 +6,8 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// TestRepairMutantsAreNoticed tries mistakes in what moves replicas, on the scenarios with real controllers and stores. Each scenario
-// plays one seed.
+// TestRepairMutantsAreNoticed checks that the scenarios with real controllers and stores detect mistakes in moving replicas. Each
+// scenario runs one seed.
 func TestRepairMutantsAreNoticed(t *testing.T) {
 	t.Parallel()
 	mutation.Test(t, []mutation.Mutant{
@@ -17,17 +17,17 @@
 			Run:    "^TestShardLeader_OlderPlacement_UndoesNothing$",
 		},
 		{
-			Name:   "reports are not confirmed",
+			Name:   "group reports are sent unconfirmed",
 			Change: mutation.Change{File: "../store/shard.go", Old: "confirmed := err == nil && after.IsLeader && after.Term == before.Term", New: "confirmed := true || err == nil && after.IsLeader && after.Term == before.Term"},
 			Run:    "^TestGroupReport_DeposedLeader_NotConfirmed$",
 		},
 		{
-			Name:   "a loss is forgotten when the spares have replicas",
+			Name:   "a lost store is forgotten once the spares have replicas",
 			Change: mutation.Change{File: "../placement/lost_hosts.go", Old: "lost[host.ID], t.lost[host.ID] = true, true", New: "lost[host.ID] = true"},
 			Run:    "^TestRepair_TwoLossesAtOnce_BothRepaired$",
 		},
 		{
-			Name: "a lost controller is waited for",
+			Name: "a lost controller isn't replaced by a spare at once",
 			Change: mutation.Change{File: "../placement/lost_hosts.go",
 				Old: "\tfor _, host := range t.replacedBySpares(now, t.spareMembers(role, hosts), len(lost), missing) {",
 				New: "\tspare := t.spareMembers(role, hosts)\n\tif role == membership.Controller {\n\t\tspare = nil\n\t}\n" +
--- a/internal/tier/controller/repair_random_test.go
+++ b/internal/tier/controller/repair_random_test.go
@@ -10,38 +10,39 @@
 	"mastusher/internal/tier/membership"
 )
 
-// repairWorlds is how many random runs of repairs and losses are played.
-var repairWorlds = flag.Int("repair-worlds", 6, "play so many random runs of repairs and losses")
+// repairRuns is the number of random runs of repairs and losses.
+var repairRuns = flag.Int("repair-worlds", 6, "number of random runs of repairs and losses")
 
-// maxFaultTime is how long a disk fault lasts at most, and the longest time from a loss until all processes are killed.
+// maxFaultTime is the maximum duration of a disk fault, of the delay before it, and of the time from a loss until all processes are
+// killed.
 const maxFaultTime = 3 * time.Second
 
-// TestRandomRepairs_LoseNothing injects random faults, each at the first moment that the rules allow or a little later, with kills of all
-// processes at any moment and faults of the disks of those that catch up.
+// TestRandomRepairs_LoseNothing injects random losses, each as soon as it is allowed or shortly after, together with kills of all
+// processes at any time and disk faults of machines that are catching up.
 func TestRandomRepairs_LoseNothing(t *testing.T) {
-	for seed := range uint64(max(1, *repairWorlds/pairStride)) {
+	for seed := range uint64(max(1, *repairRuns/pairStride)) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
 			sites := []environment{fastSite, slowSite, fastSite, slowSite, fastSite.large(), slowSite.large()}
 			run := &randomRepairs{random: rand.New(rand.NewPCG(seed, 11))}
 			run.repair = newRepair(t, membership.Store, sites[seed%uint64(len(sites))])
-			for range lossesOfARun {
+			for range lossesPerRun {
 				run.lose()
 			}
 			run.finalFault()
-			run.wantAll()
+			run.wantRecovered()
 			t.Logf("%d turns and %d orders acknowledged in %v", len(run.load.turns), len(run.load.orders), run.now)
 		})
 	}
 }
 
-// randomRepairs is a run with its source of chance.
+// randomRepairs is a run with its random source.
 type randomRepairs struct {
 	*repair
 	random *rand.Rand
 }
 
-// lose injects one fault, with what may come beside it, and waits until the next loss is allowed.
+// lose injects one fault, sometimes with a disk fault or a kill of all processes, and waits until the next loss is allowed.
 func (r *randomRepairs) lose() {
 	r.role = membership.Store
 	if r.random.IntN(3) == 0 {
@@ -57,7 +58,7 @@
 		allowed = max(allowed, r.inject(what, m))
 	}
 	if what == diskLost && r.random.IntN(2) == 0 {
-		allowed = max(allowed, r.spoilDisk(victims[0]))
+		allowed = max(allowed, r.failNewDisk(victims[0]))
 	}
 	if r.random.IntN(3) == 0 {
 		allowed = max(allowed, r.killAll())
@@ -66,7 +67,7 @@
 	r.run(time.Duration(r.random.IntN(2)) * time.Duration(r.random.Int64N(int64(time.Second))))
 }
 
-// mayRetire tells whether enough stores would remain.
+// mayRetire reports whether enough stores would remain without one.
 func (r *randomRepairs) mayRetire() bool {
 	stores := 0
 	for _, m := range r.sorted() {
@@ -77,7 +78,7 @@
 	return r.role == membership.Store && stores > 2*r.environment.faultTolerance+1
 }
 
-// victims are as many machines as a fault may hit at once: the oldest ones, or any.
+// victims returns machines for a fault, no more than may be lost at once: the oldest ones, or random ones.
 func (r *randomRepairs) victims(what fault) []*testMachine {
 	count := 1
 	if what != retired && what != added {
@@ -90,9 +91,9 @@
 	return all[:min(count, len(all))]
 }
 
-// spoilDisk has the disk of a machine that lost the one before fail once it runs again. Returned is when the machine no
-// longer counts as lost.
-func (r *randomRepairs) spoilDisk(m *testMachine) time.Duration {
+// failNewDisk has the new disk of a machine that lost its old one fail after the restart. It returns when the machine no longer counts
+// as lost.
+func (r *randomRepairs) failNewDisk(m *testMachine) time.Duration {
 	what := []diskFault{slowDisk, fullDisk, stalledDisk}[r.random.IntN(3)]
 	begins := downTime + time.Duration(r.random.Int64N(int64(maxFaultTime)))
 	ends := begins + time.Duration(r.random.Int64N(int64(maxFaultTime)))
@@ -101,7 +102,7 @@
 	return r.now + ends + r.environment.catchUp()
 }
 
-// killAll kills all processes at some moment; they start again soon. Their disks stay.
+// killAll kills all processes at a random time. They restart with their disks. It returns when the machines no longer count as lost.
 func (r *randomRepairs) killAll() time.Duration {
 	after := time.Duration(r.random.Int64N(int64(maxFaultTime)))
 	r.after(after, func() { r.killCoordinator(everyone) })
--- a/internal/tier/controller/repair_test.go
+++ b/internal/tier/controller/repair_test.go
@@ -17,21 +17,21 @@
 	"mastusher/internal/tier/wire"
 )
 
-// allPairs has every pair of a repair and a next loss played on all sites, instead of on one of them each.
-var allPairs = flag.Bool("pairs", false, "play every pair of a repair and a next loss on all sites")
+// allPairs runs every pair of a repair and a next loss on all sites, instead of each pair on one site.
+var allPairs = flag.Bool("pairs", false, "run every pair of a repair and a next loss on all sites")
 
-// Times of the faults.
+// Timing of the faults.
 const (
-	downTime      = 2 * time.Second // from a loss of power until the machine starts again
-	comesAfter    = time.Second     // from a loss for good until an empty machine starts; of a planned one, until the old one is told to end
+	downTime      = 2 * time.Second // from a loss of power until the machine restarts
+	comesAfter    = time.Second     // from a permanent loss until an empty machine starts; in a planned replacement, from its start until the old one terminates
 	partitionTime = 4500 * time.Millisecond
 	freezeTime    = 3200 * time.Millisecond
 	loadInterval  = 100 * time.Millisecond
-	orderTimeout  = 2 * time.Second  // with an order that nobody has answered
-	recoveryTime  = 12 * time.Second // until all is complete again after the last loss
+	orderTimeout  = 2 * time.Second  // until an order without a response is sent again
+	recoveryTime  = 12 * time.Second // until all groups are complete again after the last loss
 )
 
-// catchUp is how long a machine stays lost after its start.
+// catchUp returns how long a machine still counts as lost after its start.
 func (s environment) catchUp() time.Duration {
 	if s.faultTolerance > 1 {
 		return 6 * time.Second
@@ -39,56 +39,56 @@
 	return 4200 * time.Millisecond
 }
 
-// fault is one way in which machines of a class are lost, replaced or added.
+// fault is a way in which machines of a role are lost, replaced or added.
 type fault string
 
 // The faults.
 const (
 	diskLost    fault = "disk lost"
-	machineLost fault = "gone"
+	machineLost fault = "machine lost"
 	planned     fault = "planned replacement"
 	retired     fault = "retired"
 	added       fault = "added"
-	partitioned fault = "cut off"
+	partitioned fault = "partitioned"
 	frozen      fault = "frozen"
 )
 
 var faults = []fault{diskLost, machineLost, planned, retired, added, partitioned, frozen}
 
-// repair is a run of a repair, a next loss at the first moment that the rules allow, and a final fault likewise.
+// repair is a run of a repair, of a next loss as soon as it is allowed, and likewise of a final fault, under load.
 type repair struct {
 	*cluster
 	role          membership.Role
-	addedMachines int // machines that were added
-	diskFrom      map[string]time.Duration
-	removed       map[string]bool // by address
+	addedMachines int                      // number of machines that were added
+	diskNewAt     map[string]time.Duration // when a machine's disk was new, by address
+	removed       map[string]bool          // machines that are no longer part of the fleet, by address
 	load          *load
 }
 
-// load is what clients and the operator go on sending; it knows what was acknowledged.
+// load sends turns and configurations throughout a run, and records those that were acknowledged.
 type load struct {
 	cluster          *cluster
 	ended            bool
 	turns            map[string]int // acknowledged, by name
 	sent             int
 	orders           []configuration.Proposal // acknowledged
-	order            configuration.Proposal   // the next one, sent again until it is
-	resendAt         time.Duration            // when that is sent again, should nobody answer: its leader may have been killed
-	lastAcknowledged map[int]time.Duration    // by shard, when it took something last; the configuration is configurationShard
-	longestOutage    time.Duration            // the longest that any of them took nothing
+	order            configuration.Proposal   // the next configuration, sent again until it is acknowledged
+	resendAt         time.Duration            // when order is sent again without a response: its leader may have been killed
+	lastAcknowledged map[int]time.Duration    // time of the last acknowledgement, by shard; configurationShard for the configuration
+	longestOutage    time.Duration            // the longest time between two acknowledgements of a shard
 }
 
 const configurationShard = -1
 
-func newRepair(t *testing.T, role membership.Role, around environment, pair ...fault) *repair {
+func newRepair(t *testing.T, role membership.Role, env environment, pair ...fault) *repair {
 	stores := 4
-	if around.faultTolerance > 1 {
+	if env.faultTolerance > 1 {
 		stores = 8
 	}
 	if !slices.ContainsFunc(pair, func(what fault) bool { return what != retired }) {
-		stores++ // one machine of the smallest fleet may be retired, and no more
+		stores++ // of the smallest fleet only one machine may be retired
 	}
-	r := &repair{cluster: newClusterIn(t, stores, around), role: role, diskFrom: map[string]time.Duration{}, removed: map[string]bool{}}
+	r := &repair{cluster: newClusterIn(t, stores, env), role: role, diskNewAt: map[string]time.Duration{}, removed: map[string]bool{}}
 	r.awaitPlacement()
 	r.until("the configuration's group is complete", 5*time.Second, r.controllersComplete)
 	r.load = &load{cluster: r.cluster, turns: map[string]int{}, lastAcknowledged: map[int]time.Duration{}}
@@ -98,7 +98,7 @@
 	return r
 }
 
-// tick sends a turn to each shard and an order to the configuration's group, again and again.
+// tick sends a turn to each shard and a configuration to its group, each loadInterval.
 func (l *load) tick() {
 	if l.ended {
 		return
@@ -119,8 +119,8 @@
 	name := fmt.Sprintf("load-%d", l.sent)
 	begin := program.BeginTurn{Turn: name, Program: "p", Budget: 1 << 40, MaxTokens: 10, AtMs: l.cluster.time().UnixMilli(), Remembered: true,
 		KeepForS: 600, Input: []byte(strings.Repeat("x", 400))}
-	leader.ProposeAsync(program.Command{Begin: &begin}, func(answer any, err error) {
-		if result, ok := answer.(program.Result); ok && err == nil && result.Verdict == program.Accepted {
+	leader.ProposeAsync(program.Command{Begin: &begin}, func(value any, err error) {
+		if result, ok := value.(program.Result); ok && err == nil && result.Verdict == program.Accepted {
 			l.turns[name] = shard
 			l.acknowledged(shard)
 		}
@@ -134,12 +134,12 @@
 	}
 	l.resendAt = l.cluster.now + orderTimeout
 	order := l.order
-	leader.controller.Group().ProposeAsync(Command{Configuration: &order}, func(answer any, err error) {
+	leader.controller.Group().ProposeAsync(Command{Configuration: &order}, func(value any, err error) {
 		if order.Number != l.order.Number {
 			return
 		}
 		l.resendAt = l.cluster.now
-		if err != nil || answer != configuration.Accepted {
+		if err != nil || value != configuration.Accepted {
 			return
 		}
 		l.orders = append(l.orders, order)
@@ -156,7 +156,7 @@
 	l.lastAcknowledged[shard] = now
 }
 
-// controllersComplete tells whether the configuration's group has all its members, with votes and caught up.
+// controllersComplete reports whether the configuration's group has all its members, and all are voters and caught up.
 func (c *cluster) controllersComplete() bool {
 	leader := c.leader()
 	return leader != nil && len(caughtUp(leader.controller.Group().Status())) == 2*c.environment.faultTolerance+1
@@ -164,7 +164,7 @@
 
 func (r *repair) allComplete() bool { return r.isComplete() && r.controllersComplete() }
 
-// oldest lists the machines of the class whose disks have lasted longest.
+// oldest lists the machines of the role with the oldest disks.
 func (r *repair) oldest(count int) []*testMachine {
 	var list []*testMachine
 	for _, m := range r.sorted() {
@@ -173,12 +173,12 @@
 		}
 	}
 	slices.SortStableFunc(list, func(a, b *testMachine) int {
-		return int(r.diskFrom[a.member.Address] - r.diskFrom[b.member.Address])
+		return int(r.diskNewAt[a.member.Address] - r.diskNewAt[b.member.Address])
 	})
 	return list[:min(count, len(list))]
 }
 
-// addMachine starts an empty machine of the class in the zone of another one.
+// addMachine starts an empty machine of the role in a zone.
 func (r *repair) addMachine(zone string) {
 	r.addedMachines++
 	member := storeMember(20 + r.addedMachines)
@@ -188,7 +188,7 @@
 	}
 	member.Zone = zone
 	r.add(member).start()
-	r.diskFrom[member.Address] = r.now
+	r.diskNewAt[member.Address] = r.now
 }
 
 // inject injects a fault, and returns when the machine no longer counts as lost.
@@ -210,9 +210,9 @@
 	case retired:
 		r.remove(machine)
 		if got := r.decommission(machine.node()); got != decommission.Accepted {
-			r.t.Fatalf("order about %s was %v", machine.node(), got)
+			r.t.Fatalf("the result of decommissioning %s is %v", machine.node(), got)
 		}
-		r.until("the machine is empty", recoveryTime, r.isFinished(machine.node()))
+		r.until("the machine is drained", recoveryTime, r.isFinished(machine.node()))
 		machine.losePower(uint64(r.now))
 		return r.now
 	case added:
@@ -231,14 +231,14 @@
 
 func (r *repair) remove(m *testMachine) { r.removed[m.member.Address] = true }
 
-// loseDisk has a machine lose power and come back with an empty disk.
+// loseDisk kills a machine, which restarts with an empty disk.
 func (r *repair) loseDisk(m *testMachine) {
 	m.kill()
-	r.diskFrom[m.member.Address] = r.now + downTime
+	r.diskNewAt[m.member.Address] = r.now + downTime
 	r.after(downTime, m.wipe)
 }
 
-// injectAtOldest injects a fault at as many machines as may be lost at once, and waits until the next loss is allowed.
+// injectAtOldest injects a fault into as many of the oldest machines as may be lost at once, and waits until the next loss is allowed.
 func (r *repair) injectAtOldest(what fault) {
 	count := r.environment.faultTolerance
 	if what == retired || what == added {
@@ -251,7 +251,7 @@
 	r.run(until - r.now)
 }
 
-// finalFault has as many machines as may be lost at once lose their disks, and all others lose power.
+// finalFault has as many of the oldest machines as may be lost at once lose their disks, and all others lose power.
 func (r *repair) finalFault() {
 	wiped := r.oldest(r.environment.faultTolerance)
 	for _, m := range r.sorted() {
@@ -269,8 +269,8 @@
 	r.run(downTime)
 }
 
-// wantAll checks that everything is complete again and nothing that was acknowledged is lost.
-func (r *repair) wantAll() {
+// wantRecovered checks that all groups become complete again and nothing acknowledged is lost.
+func (r *repair) wantRecovered() {
 	r.t.Helper()
 	r.until("all groups are complete", recoveryTime, r.allComplete)
 	r.load.ended = true
@@ -278,7 +278,7 @@
 	register := r.leader().controller.state.configuration
 	for _, order := range r.load.orders {
 		if !register.WasAccepted(&order) {
-			r.t.Fatalf("order %d was acknowledged and isn't known", order.Number)
+			r.t.Fatalf("configuration %d was acknowledged and is lost", order.Number)
 		}
 	}
 	r.wantAcknowledgedTurns()
@@ -287,36 +287,36 @@
 	}
 }
 
-// wantAcknowledgedTurns ends all turns that were acknowledged: each must be known.
+// wantAcknowledgedTurns ends all acknowledged turns: none may be lost.
 func (r *repair) wantAcknowledgedTurns() {
 	r.t.Helper()
 	verdicts := map[string]program.Verdict{}
 	for _, name := range slices.Sorted(maps.Keys(r.load.turns)) {
 		_, leader := r.shardLeader(r.load.turns[name])
 		if leader == nil {
-			r.t.Fatalf("nobody leads shard %d", r.load.turns[name])
+			r.t.Fatalf("shard %d has no leader", r.load.turns[name])
 		}
 		end := program.EndTurn{Turn: name, Complete: true, Tokens: 1, AtMs: r.time().UnixMilli()}
-		leader.ProposeAsync(program.Command{End: &end}, func(answer any, err error) {
-			if result, ok := answer.(program.Result); ok && err == nil {
+		leader.ProposeAsync(program.Command{End: &end}, func(value any, err error) {
+			if result, ok := value.(program.Result); ok && err == nil {
 				verdicts[name] = result.Verdict
 			}
 		})
 	}
-	r.until("all turns are settled", 5*time.Second, func() bool { return len(verdicts) == len(r.load.turns) })
+	r.until("all turns are ended", 5*time.Second, func() bool { return len(verdicts) == len(r.load.turns) })
 	for _, name := range slices.Sorted(maps.Keys(verdicts)) {
 		if verdicts[name] != program.Accepted {
-			r.t.Fatalf("%s of shard %d was acknowledged and is %s", name, r.load.turns[name], verdicts[name])
+			r.t.Fatalf("turn %s of shard %d was acknowledged, but the verdict on its end is %s", name, r.load.turns[name], verdicts[name])
 		}
 	}
 }
 
-// TestRepair_SecondLossRightAfter_LosesNothing runs every pair of faults, the second one at the first moment that the rules allow, and a
-// final fault likewise.
+// TestRepair_SecondLossRightAfter_LosesNothing runs every pair of faults, the second one as soon as it is allowed, and likewise a final
+// fault.
 func TestRepair_SecondLossRightAfter_LosesNothing(t *testing.T) {
 	sites := []struct {
-		name   string
-		around environment
+		name string
+		env  environment
 	}{{"fast", fastSite}, {"slow", slowSite}, {"large and fast", fastSite.large()}, {"large and slow", slowSite.large()}}
 	number := 0
 	for _, role := range []membership.Role{membership.Store, membership.Controller} {
@@ -332,12 +332,12 @@
 					}
 					t.Run(fmt.Sprintf("%s, %s, then %s, %s site", role, first, second, site.name), func(t *testing.T) {
 						t.Parallel()
-						r := newRepair(t, role, site.around, first, second)
+						r := newRepair(t, role, site.env, first, second)
 						r.injectAtOldest(first)
 						r.injectAtOldest(second)
 						r.finalFault()
-						r.wantAll()
-						t.Logf("no group stood still for more than %v", r.load.longestOutage)
+						r.wantRecovered()
+						t.Logf("the longest time without an acknowledgement of a group was %v", r.load.longestOutage)
 					})
 				}
 			}
@@ -345,7 +345,7 @@
 	}
 }
 
-// TestRepair_TwoLossesAtOnce_BothRepaired has two of eight stores lost for good at once, each with an empty one in its place.
+// TestRepair_TwoLossesAtOnce_BothRepaired has two of eight stores lost permanently at once, and each replaced by an empty one.
 func TestRepair_TwoLossesAtOnce_BothRepaired(t *testing.T) {
 	r := newRepair(t, membership.Store, fastSite.large())
 	allowed := r.now
@@ -358,23 +358,23 @@
 	}
 }
 
-// TestGroupReport_DeposedLeader_NotConfirmed has a leader of a shard partitioned that doesn't know it yet: it must not report on its group,
-// neither then nor when it is back.
+// TestGroupReport_DeposedLeader_NotConfirmed partitions the leader of a shard, which doesn't detect that at once: it must not report
+// on its group, neither then nor after the partition.
 func TestGroupReport_DeposedLeader_NotConfirmed(t *testing.T) {
 	cluster := newCluster(t, 4)
 	cluster.awaitPlacement()
 	at, _ := cluster.shardLeader(0)
 	at.partition()
 	var reported []int
-	at.store.ReportMembers(func(answer wire.ShardMembersResponse) {
-		for _, parsed := range answer.Shards {
-			reported = append(reported, parsed.Shard)
+	at.store.ReportMembers(func(response wire.ShardMembersResponse) {
+		for _, shard := range response.Shards {
+			reported = append(reported, shard.Shard)
 		}
 	})
 	cluster.run(3 * time.Second)
 	at.heal()
 	cluster.run(3 * time.Second)
 	if len(reported) > 0 {
-		t.Errorf("reported on %v though no majority was in touch", reported)
+		t.Errorf("a leader without a majority reported on shards %v", reported)
 	}
 }
--- a/internal/tier/controller/repair_time_test.go
+++ b/internal/tier/controller/repair_time_test.go
@@ -11,10 +11,10 @@
 	"mastusher/internal/tier/program"
 )
 
-// stateSizes has the times measured with much state, which takes long.
+// stateSizes also measures repairs with much state, which takes long.
 var stateSizes = flag.Bool("states", false, "measure repairs with 1, 10 and 40 MB of state on each store")
 
-// fill brings so many bytes of state into each shard, in updates.
+// fill adds that many bytes of state to each shard, by turns with large inputs.
 func (r *repair) fill(bytesOfShard int) {
 	r.t.Helper()
 	const update = 100_000
@@ -28,7 +28,7 @@
 	r.run(time.Second)
 }
 
-// maxStateCopies is how many bytes of state the store with the most replicas holds, for each byte in a shard.
+// maxStateCopies returns the number of replicas on the store with the most: it holds that many bytes for each byte in every shard.
 func (r *repair) maxStateCopies() int {
 	limit := 0
 	for _, m := range r.sorted() {
@@ -39,19 +39,19 @@
 	return limit
 }
 
-// TestRepair_CompletesInTime measures how long after the start of an empty machine all groups are complete again. The bound is
-// catchUpS: from then on the next loss is allowed.
+// TestRepair_CompletesInTime measures how long after the start of an empty machine all groups are complete again. The bound is the
+// setting catchUpS, after which the next loss is allowed.
 func TestRepair_CompletesInTime(t *testing.T) {
 	sites := []struct {
-		name   string
-		around environment
+		name string
+		env  environment
 	}{{"fast", fastSite}, {"slow", slowSite}, {"large and fast", fastSite.large()}, {"large and slow", slowSite.large()}}
 	states := []int{1 << 20}
 	kinds := []fault{diskLost, machineLost, planned}
 	switch {
 	case *stateSizes:
 		states = []int{1 << 20, 10 << 20, 40 << 20}
-	case watched:
+	case raceEnabled:
 		sites, kinds = sites[:1], kinds[1:2]
 	default:
 		sites = sites[:3]
@@ -60,26 +60,26 @@
 		for _, state := range states {
 			for _, what := range kinds {
 				t.Run(fmt.Sprintf("%s site, %d MB, %s", site.name, state>>20, what), func(t *testing.T) {
-					measureRepair(t, site.around, state, what)
+					measureRepair(t, site.env, state, what)
 				})
 			}
 		}
 	}
 }
 
-func measureRepair(t *testing.T, around environment, state int, what fault) {
+func measureRepair(t *testing.T, env environment, state int, what fault) {
 	t.Helper()
-	r := newRepair(t, membership.Store, around)
+	r := newRepair(t, membership.Store, env)
 	r.fill(state / r.maxStateCopies())
 	allowed := r.now
-	for _, m := range r.oldest(around.faultTolerance) {
+	for _, m := range r.oldest(env.faultTolerance) {
 		allowed = r.inject(what, m)
 	}
-	r.run(comesAfter + around.joinDelay + transferTimeout) // until the groups know what they lack
+	r.run(comesAfter + env.joinDelay + transferTimeout) // until the groups have detected the loss
 	r.until("all groups are complete", 30*time.Second, r.allComplete)
-	took := r.now - allowed + around.catchUp()
-	t.Logf("whole %v after the start of the empty machine; longest pause %v", took, r.load.longestOutage)
-	if took > around.catchUp() {
-		t.Errorf("whole %v after the start of the empty machine, the next loss is allowed after %v", took, around.catchUp())
+	took := r.now - allowed + env.catchUp()
+	t.Logf("groups are complete %v after the start of the empty machine; longest time without an acknowledgement %v", took, r.load.longestOutage)
+	if took > env.catchUp() {
+		t.Errorf("groups are complete %v after the start of the empty machine, but the next loss is allowed after %v", took, env.catchUp())
 	}
 }
--- a/internal/tier/controller/rollout_analysis.go
+++ b/internal/tier/controller/rollout_analysis.go
@@ -17,17 +17,17 @@
 const (
 	analysisInterval = 150 * time.Millisecond
 	decideTimeout    = time.Second            // for the group to commit a decision or a version
-	commitDelay      = 100 * time.Millisecond // from when an order is sent until members apply it, about
-	reportTimeout    = 2 * time.Second        // in which proxies that know of a roll-out report
+	commitDelay      = 100 * time.Millisecond // approximate time from sending an order until members apply it
+	reportTimeout    = 2 * time.Second        // within which each proxy that knows of a roll-out reports
 )
 
-// analysisLoop decides the roll-outs in service while this member is the leader.
+// analysisLoop evaluates the roll-outs in service while this member is the leader.
 func (c *Controller) analysisLoop(ctx context.Context) {
 	analyses := map[uint64]*rollout.Analysis{}
 	wait.Every(ctx, analysisInterval, func() { c.analyzeRollouts(ctx, analyses) })
 }
 
-// analyzeRollouts evaluates the roll-outs in service. analyses has one for each of them, by the log index of its proposal.
+// analyzeRollouts evaluates the roll-outs in service. analyses has one analysis for each, by the log index of its proposal.
 func (c *Controller) analyzeRollouts(ctx context.Context, analyses map[uint64]*rollout.Analysis) {
 	now := c.options.Clock()
 	c.mutex.Lock()
@@ -51,9 +51,9 @@
 	}
 }
 
-// elapsed is how long a roll-out has been in service: since this process has known of it, or since a proxy has, which may be
-// longer. A proposal that was committed long after it was sent has been in service only since then. Where no proxy has had to
-// send a request to the target, the time of day decides, once proxies had the time to report.
+// elapsed returns how long a roll-out has been in service: the longer of the times for which this process and any proxy have known
+// of it. A proposal that was committed long after it was sent has been in service only since its commit. If no proxy has sent a
+// request to the target, the time of day when the order was sent is used, once proxies have had time to report.
 func (c *Controller) elapsed(current *rollout.Rollout, now, knownFor time.Duration) time.Duration {
 	c.mutex.Lock()
 	seenFor := c.dedupWindow.SeenFor(now, current.Index)
@@ -65,7 +65,7 @@
 	return elapsed
 }
 
-// proposeDecision proposes the end of a roll-out. After a failure the next evaluation proposes it again.
+// proposeDecision proposes the end of a roll-out. If that fails, the next evaluation proposes it again.
 func (c *Controller) proposeDecision(ctx context.Context, current rollout.Rollout, state rollout.State, target, baseline rollout.Stats) {
 	bounded, cancel := context.WithTimeout(ctx, decideTimeout)
 	defer cancel()
@@ -79,8 +79,8 @@
 		"good", target.Good, "bad", target.Bad, "baselineGood", baseline.Good, "baselineBad", baseline.Bad)
 }
 
-// initialVersions returns the version that each service runs in: of several the one with the most endpoints, and of those the one
-// whose name is the least. The others get no requests before an order rolls them out.
+// initialVersions returns the initial version of each service: the one with the most endpoints, and of equals the first by name. The
+// other versions get no requests until they are rolled out.
 func initialVersions(endpoints []model.Endpoint) map[string]string {
 	counts := map[string]map[string]int{}
 	for i := range endpoints {
--- a/internal/tier/controller/rollout_late_duplicate_test.go
+++ b/internal/tier/controller/rollout_late_duplicate_test.go
@@ -9,23 +9,23 @@
 	"mastusher/internal/tier/rollout"
 )
 
-// TestRolloutOrder_LateDuplicate_StartsNoSecondRollout has v2 ordered, v3 after it, and v2 again: within confirmMs that is a duplicate, long after it is an
-// order to go back. What ends in reverting is attempted again.
+// TestRolloutOrder_LateDuplicate_StartsNoSecondRollout orders v2, then v3, and then v2 again: within the dedup window that is a
+// duplicate, after it an order to go back. A reverted roll-out may be ordered again after the window.
 func TestRolloutOrder_LateDuplicate_StartsNoSecondRollout(t *testing.T) {
 	t.Parallel()
 	for _, end := range []rollout.State{rollout.Finished, rollout.Reverted} {
-		for _, interlude := range interludes {
-			runInVirtualTime(t, fmt.Sprint(end, ", ", interlude.name), func(t *testing.T) {
+		for _, disturbance := range disturbances {
+			runInVirtualTime(t, fmt.Sprint(end, ", ", disturbance.name), func(t *testing.T) {
 				cluster := rolloutOrders{newFaultyCluster(t, 1, 0)}
-				cluster.agree(Command{ObservedVersion: &rollout.ObservedVersion{Service: "lm", Version: "v1"}})
+				cluster.commit(Command{ObservedVersion: &rollout.ObservedVersion{Service: "lm", Version: "v1"}})
 
 				// Given v2, which has ended, and v3, which is in progress.
 				cluster.order("v2", http.StatusOK)
 				cluster.decide(end)
 				cluster.order("v3", http.StatusOK)
 
-				// When v2 comes again soon, then it is acknowledged and changes nothing; another order has to wait.
-				interlude.pass(cluster.faultyCluster)
+				// When v2 is ordered again soon, then that is acknowledged and changes nothing; an order for v4 is rejected.
+				disturbance.pass(cluster.faultyCluster)
 				cluster.order("v2", http.StatusOK)
 				cluster.wantNewest("v3", rollout.InService)
 				cluster.order("v4", http.StatusConflict)
@@ -36,14 +36,14 @@
 				cluster.order("v3", http.StatusOK)
 				cluster.wantNewest("v3", rollout.Finished)
 
-				// When v2 is ordered long after, then it is rolled out, and its own duplicate is one.
-				cluster.passBy(dedupWindow + 6*time.Second)
+				// When v2 is ordered long after, then it is rolled out, and a duplicate of that order changes nothing.
+				cluster.advance(dedupWindow + 6*time.Second)
 				cluster.order("v2", http.StatusOK)
 				cluster.wantNewest("v2", rollout.InService)
 				cluster.decide(rollout.Reverted)
 				cluster.order("v2", http.StatusOK)
 				cluster.wantNewest("v2", rollout.Reverted)
-				cluster.passBy(dedupWindow + 6*time.Second)
+				cluster.advance(dedupWindow + 6*time.Second)
 				cluster.order("v2", http.StatusOK)
 				cluster.wantNewest("v2", rollout.InService)
 			})
@@ -51,29 +51,29 @@
 	}
 }
 
-// dedupWindow is confirmMs and stretchMs, as they are where the settings have none.
+// dedupWindow is the sum of the defaults of the settings confirmMs and stretchMs.
 const dedupWindow = 9 * time.Second
 
-// rolloutOrders is a cluster at which an operator orders roll-outs of one service.
+// rolloutOrders is a cluster with an operator that orders roll-outs of one service.
 type rolloutOrders struct{ *faultyCluster }
 
-// order sends an order until its answer is a clear one, which must be the wanted one.
+// order repeats an order until the response is conclusive, and checks its status.
 func (c rolloutOrders) order(target string, want int) {
 	c.t.Helper()
 	body := fmt.Sprintf(`{"service":"lm","target":%q,"overS":60}`, target)
 	c.runOperators(func(int) {}, func(o *operator) {
-		ended := o.retryUntilClear(maxClearAttempts, func() bool {
+		ended := o.retryUntilConclusive(maxConclusiveAttempts, func() bool {
 			got := o.call(http.MethodPost, rolloutsPath, body)
-			if isClear := got.status != 0 && got.status != http.StatusServiceUnavailable && got.status != http.StatusGatewayTimeout; !isClear {
+			if isConclusive := got.status != 0 && got.status != http.StatusServiceUnavailable && got.status != http.StatusGatewayTimeout; !isConclusive {
 				return false
 			}
 			if got.status != want {
-				c.t.Errorf("the order for %s is answered by %d %s, want %d", target, got.status, got.body, want)
+				c.t.Errorf("the order for %s got status %d %s, want %d", target, got.status, got.body, want)
 			}
 			return true
 		})
 		if !ended {
-			c.t.Errorf("the order for %s has no clear answer", target)
+			c.t.Errorf("the order for %s has no conclusive response", target)
 		}
 	})
 }
@@ -82,13 +82,13 @@
 func (c rolloutOrders) decide(state rollout.State) {
 	c.t.Helper()
 	newest, _ := c.leader().controller.state.rollouts.Rollout("lm")
-	c.agree(Command{RolloutDecision: &rollout.Decision{Service: "lm", Target: newest.Target, Order: newest.Index, State: state}})
+	c.commit(Command{RolloutDecision: &rollout.Decision{Service: "lm", Target: newest.Target, Order: newest.Index, State: state}})
 }
 
 func (c rolloutOrders) wantNewest(target string, state rollout.State) {
 	c.t.Helper()
 	c.wait("a leader", 5*time.Second, func() bool { return c.leader() != nil })
 	if newest, _ := c.leader().controller.state.rollouts.Rollout("lm"); newest.Target != target || newest.State != state {
-		c.t.Errorf("the newest order is for %s and %s, want %s and %s", newest.Target, newest.State, target, state)
+		c.t.Errorf("the newest roll-out is of %s and %s, want %s and %s", newest.Target, newest.State, target, state)
 	}
 }
--- a/internal/tier/controller/rollout_stats.go
+++ b/internal/tier/controller/rollout_stats.go
@@ -9,9 +9,9 @@
 	"mastusher/internal/tier/wire"
 )
 
-// maxReportSilence is the time after its last report for which the counts of a proxy's process are kept. Each start of a proxy counts
-// as another process, so that those that have ended would stay for good; one that runs has its counts back with its next report. It
-// exceeds any roll-out. A longer one keeps the counts of idle proxies in the baseline, and takes memory for those that have ended.
+// maxReportSilence is how long the counts of a proxy process are kept after its last report. Each start of a proxy is a new process,
+// and the counts of ended ones would otherwise stay forever; a process that reports again restores its counts. The time exceeds the
+// duration of roll-outs. A longer one keeps the counts of idle proxies in the baseline, and takes memory for ended processes.
 const maxReportSilence = 15 * time.Minute
 
 // statsTable holds the newest report of each proxy process. It is safe for concurrent use.
@@ -20,9 +20,9 @@
 	sources map[string]proxyReport // by proxy process; its counts only grow, so a report replaces the one before
 }
 
-// proxyReport is what one proxy has reported.
+// proxyReport is the newest report of a proxy process.
 type proxyReport struct {
-	at       time.Duration // when it arrived, by the steady clock
+	at       time.Duration // when it arrived, by the monotonic clock
 	versions []wire.VersionStats
 }
 
@@ -36,7 +36,7 @@
 	maps.DeleteFunc(t.sources, func(_ string, known proxyReport) bool { return now-known.at > maxReportSilence })
 }
 
-// each calls visit with what each proxy has reported of a service's version. visit must not call the table.
+// each calls visit for each report of a service's version. visit must not call methods of the table.
 func (t *statsTable) each(service, version string, visit func(at time.Duration, stats *wire.VersionStats)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -56,8 +56,8 @@
 	return sums
 }
 
-// duringRollout sums up the stats of the target during one roll-out, by route. knownFor is for how long the first proxy to learn
-// of the roll-out has known of it; 0: none has reported.
+// duringRollout sums up the stats of the target during one roll-out, by route. knownFor is the longest time for which any proxy has
+// known of the roll-out; 0: none has reported.
 func (t *statsTable) duringRollout(current *rollout.Rollout, now time.Duration) (sums rollout.StatsByRoute, knownFor time.Duration) {
 	sums = rollout.StatsByRoute{}
 	t.each(current.Service, current.Target, func(at time.Duration, stats *wire.VersionStats) {
--- a/internal/tier/controller/rollout_stats_test.go
+++ b/internal/tier/controller/rollout_stats_test.go
@@ -8,8 +8,8 @@
 	"mastusher/internal/tier/wire"
 )
 
-func TestStatsTable_ProxyEnded_ItsCountsLeaveTheMemory(t *testing.T) {
-	// Given a proxy that reports under a new name at each of many starts, beside one that goes on,
+func TestStatsTable_ProxyEnded_CountsExpire(t *testing.T) {
+	// Given a proxy that restarts many times and reports as a new process each time, and another one that keeps running,
 	table := newStatsTable()
 	report := func(now time.Duration, source string, sent int64) {
 		table.replace(now, wire.VersionStatsReport{Source: source, Versions: []wire.VersionStats{
@@ -21,11 +21,11 @@
 		report(now, "steady", int64(start))
 		now += time.Minute
 	}
-	// then only what reported lately is kept, with the counts of the one that goes on.
+	// then only recent reports are kept, including that of the running proxy.
 	if got := len(table.sources); got > 20 {
-		t.Errorf("%d processes are known", got)
+		t.Errorf("%d processes are kept, want 20 at most", got)
 	}
 	if got := table.total("lm", "v1")["r"].Sent; got < 999 || got > 999+20 {
-		t.Errorf("%d requests are counted", got)
+		t.Errorf("%d requests are counted, want 999 to 1019", got)
 	}
 }
--- a/internal/tier/controller/server.go
+++ b/internal/tier/controller/server.go
@@ -40,8 +40,8 @@
 	return router
 }
 
-// Serve serves the operator's API at the address until ctx ends; then requests in flight get shutdownTimeout to complete, and Serve
-// returns once they have, or that time is over.
+// Serve serves the operator's API at the address until ctx ends. Then it waits for requests in flight to complete, for shutdownTimeout
+// at most.
 func (c *Controller) Serve(ctx context.Context, address string) error {
 	server := &http.Server{Handler: c.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: apiIdleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	listener, err := network.OrSystem(c.options.Network).Listen(context.Background(), new(net.ListenConfig), "tcp", address)
@@ -51,7 +51,7 @@
 	return serveUntil(ctx, server, listener)
 }
 
-// serveUntil serves until ctx ends, and then for as long as requests in flight take, within shutdownTimeout.
+// serveUntil serves until ctx ends, and then waits for requests in flight, for shutdownTimeout at most.
 func serveUntil(ctx context.Context, server *http.Server, listener net.Listener) error {
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(listener) }()
@@ -74,7 +74,7 @@
 // limitBodyTime is middleware that bounds the time in which a body must arrive.
 func (c *Controller) limitBodyTime(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(e echo.Context) error {
-		// Only a test's recorder takes no deadline.
+		// Fails only for a test's response recorder, which has no deadlines.
 		_ = http.NewResponseController(e.Response().Writer).SetReadDeadline(time.Now().Add(c.bodyTimeout))
 		return next(e)
 	}
--- a/internal/tier/controller/server_test.go
+++ b/internal/tier/controller/server_test.go
@@ -19,7 +19,7 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// pipeListener hands out the connections that a test puts in, until it is closed.
+// pipeListener is a net.Listener whose connections a test supplies.
 type pipeListener struct {
 	connections chan net.Conn
 	closed      chan struct{}
@@ -53,7 +53,7 @@
 		completes bool
 	}{
 		{"a short one gets its response", shutdownTimeout / 2, true},
-		{"a long one is broken off", 2 * shutdownTimeout, false},
+		{"a long one is aborted", 2 * shutdownTimeout, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -78,10 +78,10 @@
 					t.Error(err)
 				}
 				if took, want := time.Since(began), min(test.takes, shutdownTimeout); took < want {
-					t.Errorf("ended after %v, while a request was in flight for %v", took, want)
+					t.Errorf("serveUntil returned after %v, want %v at least, since a request was in flight", took, want)
 				}
 				if err := <-client; (err == nil) != test.completes {
-					t.Errorf("the client sees %v", err)
+					t.Errorf("the client's error is %v", err)
 				}
 				time.Sleep(test.takes) // until the handler has ended, too
 			})
@@ -89,14 +89,14 @@
 	}
 }
 
-// countingFleet counts how often the members are asked for, which the loops of a controller do all the time.
+// countingFleet counts the calls of Members, which the running loops of a controller make all the time.
 type countingFleet struct {
 	fleet
-	asked atomic.Int64
+	calls atomic.Int64
 }
 
 func (f *countingFleet) Members() []membership.Member {
-	f.asked.Add(1)
+	f.calls.Add(1)
 	return f.fleet.Members()
 }
 
@@ -110,7 +110,7 @@
 		defer cancel()
 		ended := make(chan error, 1)
 		go func() { ended <- running.Run(ctx) }()
-		for !running.group.Status().IsLeader || members.asked.Load() == 0 {
+		for !running.group.Status().IsLeader || members.calls.Load() == 0 {
 			time.Sleep(reconcileInterval)
 		}
 		// when its disk fails and turns out to be damaged,
@@ -130,16 +130,16 @@
 			}
 		}
 		if _, err := running.group.Propose(ctx, Command{}); err == nil {
-			t.Error("a command was acknowledged without having been saved")
+			t.Error("a command was acknowledged though it was not written to disk")
 		}
-		// then Run returns that, and nothing of the controller goes on, though nobody has ended the context.
+		// then Run returns that error, and all loops have ended, though the context hasn't.
 		if err := <-ended; !errors.Is(err, storage.ErrCorrupt) {
-			t.Errorf("Run returns %v", err)
+			t.Errorf("Run returns error %v, want storage.ErrCorrupt", err)
 		}
-		asked := members.asked.Load()
+		calls := members.calls.Load()
 		time.Sleep(time.Minute)
-		if now := members.asked.Load(); now != asked {
-			t.Errorf("the members were asked for %d times after Run has returned", now-asked)
+		if now := members.calls.Load(); now != calls {
+			t.Errorf("Members was called %d times after Run had returned", now-calls)
 		}
 	})
 }
--- a/internal/tier/controller/snapshot.go
+++ b/internal/tier/controller/snapshot.go
@@ -9,8 +9,8 @@
 	"mastusher/internal/tier/view"
 )
 
-// snapshot is the complete state as it is stored. The configuration's document stands apart and first, so that Snapshot can
-// splice it in without encoding megabytes again.
+// snapshot is the complete state as it is stored. The configuration's document is a field of its own and the first one, so that
+// Snapshot can insert it without encoding megabytes again.
 type snapshot struct {
 	Raw                json.RawMessage        `json:"raw,omitempty"`
 	Configuration      configuration.Snapshot `json:"register"`
--- a/internal/tier/controller/state_machine.go
+++ b/internal/tier/controller/state_machine.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/tier/view"
 )
 
-// PlacementProposal replaces the placement of shards. It is dropped if an entry that it doesn't know of was committed before it.
+// PlacementProposal replaces the placement of shards. It is dropped if the placement or decommissioning has changed since it was made.
 type PlacementProposal struct {
 	BaseIndex          uint64                `json:"base"`        // log index of the placement that it replaces; 0: none
 	DecommissionsIndex uint64                `json:"retirements"` // log index of the newest entry about decommissioning; 0: none
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// applyPlacement takes a placement unless an entry that it doesn't know of was committed before it.
+// applyPlacement replaces the placement, unless the placement or decommissioning has changed since the proposal was made.
 func (s *StateMachine) applyPlacement(index uint64, proposal *PlacementProposal) {
 	if proposal.BaseIndex == s.placementIndex && proposal.DecommissionsIndex == s.decommissionsIndex {
 		s.placement, s.placementIndex = proposal.Shards, index
--- a/internal/tier/controller/stored_format_test.go
+++ b/internal/tier/controller/stored_format_test.go
@@ -15,7 +15,7 @@
 	"mastusher/internal/tier/view"
 )
 
-// storedShards is a placement with each field set.
+// storedShards returns a placement with each field set.
 func storedShards() []view.ShardPlacement {
 	return []view.ShardPlacement{{
 		Initial:  []view.Replica{{ID: "s-1", Node: "storage-1", Address: "10.0.1.1:7002", Zone: "zone-1"}},
@@ -23,7 +23,7 @@
 	}}
 }
 
-// storedCommands are entries of the log, one of each kind, with each field set. Each is named like its file.
+// storedCommands returns log entries, one of each kind, with each field set, by the names of their golden files.
 func storedCommands() map[string]Command {
 	return map[string]Command{
 		"configure": {Configuration: &configuration.Proposal{Base: 3, Number: 8, Raw: json.RawMessage(`{"number":8,"x":"content"}`)}},
@@ -48,7 +48,7 @@
 	return strings.TrimSuffix(string(raw), "\n")
 }
 
-// TestStoredFormat_ReadsEntriesOfEarlierVersions reads log entries written before and writes the same bytes again.
+// TestStoredFormat_ReadsEntriesOfEarlierVersions decodes log entries of earlier versions and encodes them to the same bytes.
 func TestStoredFormat_ReadsEntriesOfEarlierVersions(t *testing.T) {
 	for name, want := range storedCommands() {
 		t.Run(name, func(t *testing.T) {
@@ -71,7 +71,7 @@
 	}
 }
 
-// storedMachine is a state in which each part of a snapshot holds something.
+// storedMachine returns a state machine with something in each part of its snapshot.
 func storedMachine(t *testing.T) *StateMachine {
 	t.Helper()
 	machine := NewStateMachine(func() {})
@@ -103,7 +103,7 @@
 	return machine
 }
 
-// TestStoredFormat_ReadsSnapshotsOfEarlierVersions restores a snapshot written before and writes the same bytes again.
+// TestStoredFormat_ReadsSnapshotsOfEarlierVersions restores a snapshot of an earlier version and encodes it to the same bytes.
 func TestStoredFormat_ReadsSnapshotsOfEarlierVersions(t *testing.T) {
 	golden := storedFile(t, "snapshot")
 	restored := NewStateMachine(func() {})
@@ -133,8 +133,8 @@
 	}
 }
 
-// TestWireFormat_TalliesOfProxies compares what a proxy reports of one version on one route.
-func TestWireFormat_TalliesOfProxies(t *testing.T) {
+// TestWireFormat_StatsOfProxies checks the encoding of a proxy's stats of one version on one route.
+func TestWireFormat_StatsOfProxies(t *testing.T) {
 	golden := storedFile(t, "tally")
 	want := rollout.Stats{Sent: 9, Good: 5, Bad: 2}
 	want.LatencyBuckets[0], want.LatencyBuckets[rollout.LatencyBucketCount-1] = 4, 1
@@ -143,7 +143,7 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, read); diff != "" {
-		t.Errorf("tally (-want +read):\n%s", diff)
+		t.Errorf("stats (-want +read):\n%s", diff)
 	}
 	written, err := json.Marshal(want)
 	if err != nil {
@@ -154,7 +154,7 @@
 	}
 }
 
-// TestWireFormat_BodiesOfTheControlAPI compares the bodies that an operator sends and gets.
+// TestWireFormat_BodiesOfTheControlAPI checks the encoding of the bodies of requests and responses.
 func TestWireFormat_BodiesOfTheControlAPI(t *testing.T) {
 	for want, body := range map[string]any{
 		`{"service":"a","target":"v2","overS":1.5}`:     rolloutRequest{Service: "a", Target: "v2", OverS: 1.5},
--- a/internal/tier/controller/surplus_replicas_test.go
+++ b/internal/tier/controller/surplus_replicas_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// hasSurplusReplicas names a store that runs replicas of shards which the newest placement doesn't want there; empty: none.
-func (c *cluster) hasSurplusReplicas() string {
+// storeWithSurplus returns the name of a store that runs more replicas than the newest placement gives it; empty: there is none.
+func (c *cluster) storeWithSurplus() string {
 	for _, m := range c.sorted() {
 		if m.store == nil || !m.running {
 			continue
@@ -18,7 +18,7 @@
 	return ""
 }
 
-// replaceStore kills a store and waits until others have its replicas.
+// replaceStore kills a store and waits until other stores have its replicas.
 func (c *cluster) replaceStore(number int) {
 	c.t.Helper()
 	c.storage(number).kill()
@@ -27,24 +27,24 @@
 }
 
 func TestReturningStore_SurplusReplicas_Removed(t *testing.T) {
-	// Given a store that was away for so long that others have its replicas,
+	// Given a store that was down for so long that other stores have its replicas,
 	cluster := newCluster(t, 5)
 	cluster.awaitPlacement()
 	turns := turnsOf(cluster, 0)
 	cluster.replaceStore(1)
 
-	// when it comes back, then it holds only what it is to hold: what it had takes no memory.
+	// when the store returns, then it runs only the replicas of the placement: its former ones take no memory.
 	cluster.storage(1).start()
-	cluster.until("no store holds more than it is to hold", 10*time.Second, func() bool { return cluster.hasSurplusReplicas() == "" })
+	cluster.until("no store has surplus replicas", 10*time.Second, func() bool { return cluster.storeWithSurplus() == "" })
 	cluster.wantTurns(turns)
 
-	// And when another one is lost, then it takes replicas again, also of shards that it once held, and nothing is lost.
+	// And when another store is lost, then the returned one gets replicas again, also of shards that it had before, and no turn is lost.
 	cluster.storage(2).kill()
 	cluster.run(deathDelay + 6*time.Second)
 	cluster.until("groups are complete again", 5*time.Second, cluster.isComplete)
 	if len(shardsOf(cluster.placement(), cluster.storage(1).member.ID)) == 0 {
-		t.Error("the store that came back has no replicas")
+		t.Error("the returned store has no replicas")
 	}
-	cluster.until("no store holds more than it is to hold", 10*time.Second, func() bool { return cluster.hasSurplusReplicas() == "" })
+	cluster.until("no store has surplus replicas", 10*time.Second, func() bool { return cluster.storeWithSurplus() == "" })
 	cluster.wantTurns(turns)
 }
