--- a/internal/tier/configuration/history.go
+++ b/internal/tier/configuration/history.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// maxHistory is the number of accepted proposals of which a duplicate is recognised. A larger value recognises older ones, and
+// maxHistory is the number of accepted proposals of which a duplicate is recognized. A larger value recognizes older ones, and
 // costs about 17 bytes an entry in memory and in each snapshot.
 const maxHistory = 32768
 
@@ -76,7 +76,7 @@
 	return raw
 }
 
-// decodeHistory reads what encode has written. Its errors wrap ErrCorruptHistory.
+// decodeHistory decodes the output of encode. Its errors wrap ErrCorruptHistory.
 func decodeHistory(base uint64, raw []byte) (history, error) {
 	decoded := history{base: base}
 	number := base
--- a/internal/tier/controller/api_decommission.go
+++ b/internal/tier/controller/api_decommission.go
@@ -32,7 +32,7 @@
 	}
 	ctx, cancel := context.WithTimeout(e.Request().Context(), proposeTimeout)
 	defer cancel()
-	// A deposed leader must not reject the request by an outdated list of machines, so a majority confirms its leadership first.
+	// A deposed leader must not reject the request based on an outdated list of machines, so a majority confirms its leadership first.
 	if err := c.group.Read(ctx, func() {}); err != nil {
 		return readError(err)
 	}
--- a/internal/tier/controller/api_errors.go
+++ b/internal/tier/controller/api_errors.go
@@ -11,7 +11,7 @@
 	"mastusher/internal/tier/group"
 )
 
-// retryAfterS is the Retry-After of a 503, s: about the time of an election.
+// retryAfterS is the Retry-After header of a 503, in seconds: about the duration of an election.
 const retryAfterS = "0.2"
 
 // errorBody is the body of a response that reports an error.
--- a/internal/tier/controller/api_redirect_test.go
+++ b/internal/tier/controller/api_redirect_test.go
@@ -34,8 +34,8 @@
 	cluster := newCluster(t, 4)
 	cluster.awaitPlacement()
 	leader := cluster.leader()
-	taken := mustMarshal(t, json.RawMessage(document(3)))
-	cluster.propose(Command{Configuration: &configuration.Proposal{Base: 0, Number: 3, Raw: taken}})
+	accepted := mustMarshal(t, json.RawMessage(document(3)))
+	cluster.propose(Command{Configuration: &configuration.Proposal{Base: 0, Number: 3, Raw: accepted}})
 	cluster.run(500 * time.Millisecond)
 	for _, m := range cluster.sorted() {
 		if m.controller == nil || m == leader {
--- a/internal/tier/controller/api_rollouts.go
+++ b/internal/tier/controller/api_rollouts.go
@@ -14,7 +14,7 @@
 	"mastusher/internal/tier/rollout"
 )
 
-// maxOverS is the maximum duration of a roll-out or a decommissioning, s.
+// maxOverS is the maximum duration of a roll-out or a decommissioning, in seconds.
 const maxOverS = 86400.0
 
 // rolloutRequest is the body of POST /mastusher/rollouts.
--- a/internal/tier/controller/cluster_groups_test.go
+++ b/internal/tier/controller/cluster_groups_test.go
@@ -45,11 +45,11 @@
 func (c *cluster) decommission(node string) any {
 	c.t.Helper()
 	c.until("a leader", 5*time.Second, func() bool { return c.leader() != nil })
-	order, err := c.leader().controller.decommissionProposal(c.time(), node)
+	proposal, err := c.leader().controller.decommissionProposal(c.time(), node)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	return c.propose(Command{Decommission: order})
+	return c.propose(Command{Decommission: proposal})
 }
 
 func (c *cluster) decommissionState(node string) decommission.State {
@@ -57,8 +57,8 @@
 	if leader == nil {
 		return ""
 	}
-	known, _ := leader.controller.state.decommissions.Operation(node)
-	return known.State
+	operation, _ := leader.controller.state.decommissions.Operation(node)
+	return operation.State
 }
 
 func (c *cluster) isFinished(node string) func() bool {
@@ -75,18 +75,18 @@
 
 // shardLeader returns the running member that leads a shard's group, and its machine.
 func (c *cluster) shardLeader(shard int) (*testMachine, *group.Group) {
-	var at *testMachine
+	var machine *testMachine
 	var leader *group.Group
 	for _, m := range c.sorted() {
 		for _, g := range m.groups {
 			if m.isReachable() && g.Name() == fmt.Sprintf("shard-%d", shard) && g.Status().IsLeader {
 				if leader == nil || leader.Status().Term < g.Status().Term {
-					at, leader = m, g
+					machine, leader = m, g
 				}
 			}
 		}
 	}
-	return at, leader
+	return machine, leader
 }
 
 // isComplete reports whether the members of each shard's group are those of the placement, and all are voters and caught up.
@@ -95,9 +95,9 @@
 	if placed.Index == 0 {
 		return false
 	}
-	for shard, wanted := range placed.Shards {
+	for shard, target := range placed.Shards {
 		_, leader := c.shardLeader(shard)
-		if leader == nil || !slices.Equal(slices.Sorted(slices.Values(idsOf(wanted.Replicas))), caughtUp(leader.Status())) {
+		if leader == nil || !slices.Equal(slices.Sorted(slices.Values(idsOf(target.Replicas))), caughtUp(leader.Status())) {
 			return false
 		}
 	}
--- a/internal/tier/controller/cluster_machine_test.go
+++ b/internal/tier/controller/cluster_machine_test.go
@@ -26,15 +26,15 @@
 	running           bool
 	skew              time.Duration // of its wall clock
 	frozen            bool
-	partitionedAt     time.Duration     // when it was partitioned from all other machines; 0: it isn't partitioned
-	advertised        membership.Member // as membership of the other machines has it
-	known             bool              // membership of the other machines lists it
-	membershipChanges int
-	diskFree          time.Duration // when its disk will have completed all writes and syncs
-	linkFree          time.Duration // when its link will have sent all messages
-	inboxFree         time.Duration // when its link will have received all messages
-	busy              map[*group.Group]time.Duration
-	broken            map[*group.Group]bool // groups that a disk fault has stopped
+	partitionedAt     time.Duration                  // when it was partitioned from all other machines; 0: it isn't partitioned
+	advertised        membership.Member              // its entry in the membership of the other machines
+	known             bool                           // it is in the membership of the other machines
+	membershipChanges int                            // invalidates the timers of earlier changes
+	diskFree          time.Duration                  // when its disk will have completed all writes and syncs
+	linkFree          time.Duration                  // when its link will have sent all messages
+	inboxFree         time.Duration                  // when its link will have received all messages
+	busy              map[*group.Group]time.Duration // until when a group waits for the disk
+	broken            map[*group.Group]bool          // groups that a disk fault has stopped
 	diskFault         diskFault
 	staleUpdate       *view.Update // the placement that it gets instead of the newest; nil: the newest
 	controller        *Controller
@@ -93,7 +93,7 @@
 		}
 	}
 	opened, err := Open(Options{ID: m.member.ID, Address: m.member.Address, Settings: &settings.Settings{FaultTolerance: settings.FaultTolerance{Machines: cluster.environment.faultTolerance}},
-		Initial: initial, Disk: m.disk, Fleet: machineFleet{m}, Reader: &list{}, Logger: log.NewNopLogger(), Seed: uint64(cluster.starts), SendMessage: send, Clock: clock,
+		Initial: initial, Disk: m.disk, Fleet: machineFleet{m}, Reader: &staticReader{}, Logger: log.NewNopLogger(), Seed: uint64(cluster.starts), SendMessage: send, Clock: clock,
 		Now:        func() time.Time { return cluster.time().Add(m.skew) },
 		QueryStore: m.queryStore})
 	if err != nil {
--- a/internal/tier/controller/cluster_test.go
+++ b/internal/tier/controller/cluster_test.go
@@ -17,7 +17,7 @@
 
 // Timing of a cluster in memory.
 const (
-	clusterStep = 5 * time.Millisecond // latency of a message, one way
+	clusterStep = 5 * time.Millisecond // step of virtual time, and one-way latency of a message
 	spreadDelay = 20 * time.Millisecond
 	deathDelay  = time.Second // from a kill until membership considers the machine dead
 )
@@ -131,7 +131,7 @@
 
 func (c *cluster) step() {
 	c.now += clusterStep
-	c.doDue()
+	c.runDueTimers()
 	c.deliver()
 	for _, m := range c.sorted() {
 		if m.running && !m.frozen {
@@ -140,7 +140,7 @@
 	}
 }
 
-func (c *cluster) doDue() {
+func (c *cluster) runDueTimers() {
 	var due []timer
 	c.timers = slices.DeleteFunc(c.timers, func(t timer) bool {
 		if t.due <= c.now {
--- a/internal/tier/controller/configuration_duplicates_test.go
+++ b/internal/tier/controller/configuration_duplicates_test.go
@@ -23,7 +23,7 @@
 				seen := startedRollouts{}
 				event := func(now int) {
 					if now == step {
-						failure.lose(cluster, cluster.leader())
+						failure.inject(cluster, cluster.leader())
 					}
 					if now == step+200 {
 						cluster.heal()
@@ -40,12 +40,12 @@
 					wantAcknowledged(t, operator, "a duplicate of the roll-out", func() reply { return operator.call(http.MethodPost, rolloutsPath, body) })
 				})
 				if got := len(seen["lm v2 60000"]); got != 1 {
-					t.Errorf("leader lost at step %d: one order started %d roll-outs, want 1", step, got)
+					t.Errorf("leader failed at step %d: one order started %d roll-outs, want 1", step, got)
 				}
 				cluster.heal()
 				cluster.wait("the group is complete", 30*time.Second, cluster.isComplete)
 				if got := cluster.leader().controller.state.configuration.Current().Number; got != 5 {
-					t.Errorf("leader lost at step %d: version %d is current, want 5", step, got)
+					t.Errorf("leader failed at step %d: version %d is current, want 5", step, got)
 				}
 			}
 		})
@@ -58,15 +58,15 @@
 	t.Parallel()
 	for _, failure := range leaderFailures {
 		runInVirtualTime(t, failure.name, func(t *testing.T) {
-			for _, heals := range []int{1, 40, 150, 400} {
-				cluster := newFaultyCluster(t, uint64(heals), 0)
+			for _, healStep := range []int{1, 40, 150, 400} {
+				cluster := newFaultyCluster(t, uint64(healStep), 0)
 				copies := func(method, path, body string) []func(operator *operator) {
 					var calls []func(operator *operator)
 					for range 2 * len(cluster.machines) {
 						calls = append(calls, func(operator *operator) {
 							got := operator.callOne(cluster.sorted()[operator.number%len(cluster.machines)], method, path, body, "If-Match", "0")
 							if !slices.Contains([]int{0, http.StatusOK, http.StatusServiceUnavailable, http.StatusGatewayTimeout}, got.status) {
-								t.Errorf("healed after step %d: a copy got status %d %s", heals, got.status, got.body)
+								t.Errorf("healed after step %d: a copy got status %d %s", healStep, got.status, got.body)
 							}
 						})
 					}
@@ -76,9 +76,9 @@
 				calls := append(copies(http.MethodPut, settingsPath, document(3)), copies(http.MethodPost, rolloutsPath, `{"service":"lm","target":"v2","overS":60}`)...)
 				cluster.runOperators(func(now int) {
 					if now == 1 {
-						failure.lose(cluster, cluster.leader())
+						failure.inject(cluster, cluster.leader())
 					}
-					if now == heals {
+					if now == healStep {
 						cluster.heal()
 					}
 					seen.observe(cluster)
@@ -87,7 +87,7 @@
 				cluster.wait("the group is complete", 30*time.Second, cluster.isComplete)
 				seen.observe(cluster)
 				if got := len(seen["lm v2 60000"]); got > 1 {
-					t.Errorf("healed after step %d: one order started %d roll-outs, want 1 at most", heals, got)
+					t.Errorf("healed after step %d: one order started %d roll-outs, want 1 at most", healStep, got)
 				}
 				// Some copies got no conclusive response, so the operator sends the order again.
 				cluster.runOperators(func(int) {}, func(operator *operator) {
--- a/internal/tier/controller/decommission_duplicates_test.go
+++ b/internal/tier/controller/decommission_duplicates_test.go
@@ -20,7 +20,7 @@
 				cluster.wait("the stores are complete", 15*time.Second, cluster.cluster.isComplete)
 				event := func(now int) {
 					if now == step {
-						failure.lose(cluster, cluster.leader())
+						failure.inject(cluster, cluster.leader())
 					}
 					if now == step+200 {
 						cluster.heal()
@@ -34,7 +34,7 @@
 				cluster.wait("the machine is drained", 20*time.Second, cluster.isFinished("storage-1"))
 				cluster.runOperators(func(int) {}, order)
 				if cluster.decommissionState("storage-1") != decommission.Finished || cluster.hosts("s-1") {
-					t.Errorf("leader lost at step %d: after a duplicate the state of the machine is %s, or it has replicas", step, cluster.decommissionState("storage-1"))
+					t.Errorf("leader failed at step %d: after a duplicate the state of the machine is %s, or it has replicas", step, cluster.decommissionState("storage-1"))
 				}
 			}
 		})
--- a/internal/tier/controller/endpoints.go
+++ b/internal/tier/controller/endpoints.go
@@ -18,7 +18,7 @@
 	listReadInterval    = 700 * time.Millisecond
 	listReadTimeout     = 2500 * time.Millisecond
 	leaderCheckInterval = 100 * time.Millisecond // how often a follower checks whether it has become the leader
-	initialReads        = 2                      // that a new leader makes before it publishes: a single one may miss an endpoint that moved between pages
+	initialReads        = 2                      // by a new leader before it publishes: one may miss an endpoint that moved between pages
 )
 
 // readLoop reads the platform's list while this member is the leader, and publishes each change.
--- a/internal/tier/controller/endpoints_test.go
+++ b/internal/tier/controller/endpoints_test.go
@@ -45,7 +45,7 @@
 }
 
 func TestEndpoints_OnlyLeaderReads(t *testing.T) {
-	reader := &list{endpoints: []model.Endpoint{endpoint("a", 0)}}
+	reader := &staticReader{endpoints: []model.Endpoint{endpoint("a", 0)}}
 	follower := newFixture(t, memorydisk.New(), func(options *Options) { options.Reader = reader })
 	if got := follower.ReadEndpoints(t.Context(), &EndpointPublisher{}); got != leaderCheckInterval || len(follower.fleet.published) > 0 {
 		t.Errorf("a follower published %v and checks again after %v", follower.fleet.published, got)
--- a/internal/tier/controller/environment_test.go
+++ b/internal/tier/controller/environment_test.go
@@ -31,25 +31,25 @@
 )
 
 // large returns the same site with more machines, of which two may be lost at once.
-func (s environment) large() environment {
-	s.faultTolerance, s.deathDelay = 2, 5300*time.Millisecond
-	return s
+func (e environment) large() environment {
+	e.faultTolerance, e.deathDelay = 2, 5300*time.Millisecond
+	return e
 }
 
 // machineFleet implements Fleet as one machine sees membership.
 type machineFleet struct{ machine *testMachine }
 
 // Members implements Fleet.
-func (s machineFleet) Members() []membership.Member {
-	c := s.machine.cluster
+func (f machineFleet) Members() []membership.Member {
+	c := f.machine.cluster
 	var members []membership.Member
 	for _, m := range c.sorted() {
 		if !m.known {
 			continue
 		}
 		seen := m.advertised
-		if m != s.machine && s.machine.partitionedAt > 0 {
-			seen.State = c.environment.stateAfter(c.now-s.machine.partitionedAt, seen.State)
+		if m != f.machine && f.machine.partitionedAt > 0 {
+			seen.State = c.environment.stateAfter(c.now-f.machine.partitionedAt, seen.State)
 		}
 		members = append(members, seen)
 	}
@@ -57,18 +57,18 @@
 }
 
 // Publish implements Fleet.
-func (s machineFleet) Publish(update view.Update) {
-	if s.machine.isReachable() {
-		s.machine.cluster.Publish(update)
+func (f machineFleet) Publish(update view.Update) {
+	if f.machine.isReachable() {
+		f.machine.cluster.Publish(update)
 	}
 }
 
 // stateAfter returns the membership state of a member that has been unreachable for that long.
-func (s environment) stateAfter(silent time.Duration, before membership.State) membership.State {
+func (e environment) stateAfter(silent time.Duration, before membership.State) membership.State {
 	switch {
-	case silent >= s.deathDelay:
+	case silent >= e.deathDelay:
 		return max(before, membership.StateDead)
-	case s.suspicionDelay > 0 && silent >= s.suspicionDelay:
+	case e.suspicionDelay > 0 && silent >= e.suspicionDelay:
 		return max(before, membership.StateSuspect)
 	}
 	return before
--- a/internal/tier/controller/faulty_cluster_test.go
+++ b/internal/tier/controller/faulty_cluster_test.go
@@ -55,7 +55,7 @@
 	c.nowMutex.Lock()
 	c.now += clusterStep
 	c.nowMutex.Unlock()
-	c.doDue()
+	c.runDueTimers()
 	c.applyFaults()
 	c.deliver()
 	for _, m := range c.sorted() {
@@ -238,7 +238,7 @@
 		if recorder.Code != http.StatusTemporaryRedirect {
 			return reply{recorder.Code, recorder.Body.String()}
 		}
-		if m = o.cluster.at(recorder.Header().Get("Location")); m == nil {
+		if m = o.cluster.machineAt(recorder.Header().Get("Location")); m == nil {
 			return reply{}
 		}
 		o.sleep(0)
@@ -246,8 +246,8 @@
 	return reply{}
 }
 
-// at returns the machine at the location of a redirect.
-func (c *faultyCluster) at(location string) *testMachine {
+// machineAt returns the machine at the location of a redirect.
+func (c *faultyCluster) machineAt(location string) *testMachine {
 	for _, m := range c.controllers() {
 		if strings.HasPrefix(location, "http://"+m.member.Control+"/") {
 			return m
--- a/internal/tier/controller/fixture_test.go
+++ b/internal/tier/controller/fixture_test.go
@@ -55,13 +55,13 @@
 	f.members = members
 }
 
-// list implements EndpointReader with a fixed list or error.
-type list struct {
+// staticReader implements EndpointReader with a fixed list or error.
+type staticReader struct {
 	endpoints []model.Endpoint
 	err       error
 }
 
-func (l *list) ReadAll(context.Context) ([]model.Endpoint, error) { return l.endpoints, l.err }
+func (r *staticReader) ReadAll(context.Context) ([]model.Endpoint, error) { return r.endpoints, r.err }
 
 func controllerMember(name, id, address, control string) membership.Member {
 	return membership.Member{Name: name + "/controller", ID: id, Role: membership.Controller, Address: address, Control: control, Incarnation: 1}
@@ -90,7 +90,7 @@
 
 func testOptions(disk *memorydisk.Disk, fleetOfTest *fleet) Options {
 	return Options{ID: selfID, Address: selfAddress, Settings: &settings.Settings{FaultTolerance: settings.FaultTolerance{Machines: 1}},
-		Initial: []replica.Member{{ID: selfID, Address: selfAddress}}, Disk: disk, Fleet: fleetOfTest, Reader: &list{},
+		Initial: []replica.Member{{ID: selfID, Address: selfAddress}}, Disk: disk, Fleet: fleetOfTest, Reader: &staticReader{},
 		Logger: log.NewNopLogger(), Seed: 1,
 		QueryStore: func(string, func(wire.ShardMembersResponse, error)) {}}
 }
--- a/internal/tier/controller/former_leader_test.go
+++ b/internal/tier/controller/former_leader_test.go
@@ -11,9 +11,9 @@
 	"mastusher/internal/tier/configuration"
 )
 
-// respondWhileStepping sends a request to a controller of the cluster, and steps the cluster each time the handler waits for its
+// sendWhileStepping sends a request to a controller of the cluster, and steps the cluster each time the handler waits for its
 // group. It must be called in a synctest bubble.
-func (c *cluster) respondWhileStepping(m *testMachine, method, path, body, base string) *httptest.ResponseRecorder {
+func (c *cluster) sendWhileStepping(m *testMachine, method, path, body, base string) *httptest.ResponseRecorder {
 	c.t.Helper()
 	recorder, done := httptest.NewRecorder(), make(chan struct{})
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
@@ -77,7 +77,7 @@
 	}
 	// when the former leader continues, and gets a request before any message,
 	former.running = true
-	response := cluster.respondWhileStepping(former, call.method, call.path, call.body, call.base)
+	response := cluster.sendWhileStepping(former, call.method, call.path, call.body, call.base)
 	// then it returns no state, and rejects nothing.
 	switch response.Code {
 	case http.StatusServiceUnavailable, http.StatusTemporaryRedirect:
--- a/internal/tier/controller/list_reader_test.go
+++ b/internal/tier/controller/list_reader_test.go
@@ -69,29 +69,29 @@
 	platform         *platform
 	publisher        EndpointPublisher
 	unreachablePeers map[string]bool // controllers that the leader can't reach
-	asked            map[string]int
+	peerCalls        map[string]int  // calls of peers, by address
 }
 
 const coreTwo, coreThree = "10.0.0.2:7000", "10.0.0.3:7000"
 
 func newLeaderWithPeers(t *testing.T) *leaderWithPeers {
-	r := &leaderWithPeers{t: t, platform: &platform{startedAt: time.Now(), unreachable: map[string]bool{}}, unreachablePeers: map[string]bool{}, asked: map[string]int{}}
+	r := &leaderWithPeers{t: t, platform: &platform{startedAt: time.Now(), unreachable: map[string]bool{}}, unreachablePeers: map[string]bool{}, peerCalls: map[string]int{}}
 	r.fixture = startFixture(t, memorydisk.New())
-	others := map[string]*Controller{}
+	peers := map[string]*Controller{}
 	members := r.fleet.Members()
 	for name, address := range map[string]string{"core-2": coreTwo, "core-3": coreThree} {
-		others[address] = newFixture(t, memorydisk.New(), func(options *Options) { options.Reader = platformReader{r.platform, address} }).Controller
+		peers[address] = newFixture(t, memorydisk.New(), func(options *Options) { options.Reader = platformReader{r.platform, address} }).Controller
 		members = append(members, controllerMember(name, name+"-id", address, ""))
 	}
 	r.fleet.set(members...)
 	r.options.Reader = platformReader{r.platform, selfAddress}
 	r.options.QueryEndpoints = func(ctx context.Context, address string) ([]model.Endpoint, error) {
-		r.asked[address]++
+		r.peerCalls[address]++
 		if r.unreachablePeers[address] {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		response, err := others[address].handleListRequest(ctx, "", wire.EndpointsRequest{})
+		response, err := peers[address].handleListRequest(ctx, "", wire.EndpointsRequest{})
 		return response.Endpoints, err
 	}
 	return r
@@ -196,12 +196,12 @@
 	fault.inject(r)
 	r.run(fault.delegateAfter)
 	lag := r.run(faultTime - fault.delegateAfter)
-	r.t.Logf("the list lagged by %v at most, peers were asked %v, the platform was called %d times", lag, r.asked, len(r.platform.calls))
+	r.t.Logf("the list lagged by %v at most, peers were asked %v, the platform was called %d times", lag, r.peerCalls, len(r.platform.calls))
 	if lag > fault.maxLag {
 		r.t.Errorf("the list lagged by %v, want %v at most", lag, fault.maxLag)
 	}
-	if asked := r.asked[coreTwo] + r.asked[coreThree]; fault.noDelegate && asked > 0 {
-		r.t.Errorf("peers were asked %d times, want none", asked)
+	if peerCalls := r.peerCalls[coreTwo] + r.peerCalls[coreThree]; fault.noDelegate && peerCalls > 0 {
+		r.t.Errorf("peers were asked %d times, want none", peerCalls)
 	}
 }
 
@@ -211,9 +211,9 @@
 	*r.platform = platform{startedAt: r.platform.startedAt, unreachable: map[string]bool{}, calls: r.platform.calls}
 	clear(r.unreachablePeers)
 	r.run(localRetryInterval + 2*listReadTimeout)
-	clear(r.asked)
-	if lag := r.run(faultFreeTime); lag > faultFreeMaxLag || len(r.asked) > 0 {
-		r.t.Errorf("after the fault the list lagged by %v, peers were asked %v", lag, r.asked)
+	clear(r.peerCalls)
+	if lag := r.run(faultFreeTime); lag > faultFreeMaxLag || len(r.peerCalls) > 0 {
+		r.t.Errorf("after the fault the list lagged by %v, peers were asked %v", lag, r.peerCalls)
 	}
 }
 
@@ -233,7 +233,7 @@
 func TestEndpoints_NewTerm_DropsEarlierReads(t *testing.T) {
 	removed := endpoint("gone", 0)
 	removed.Address = "10.1.0.9:8080"
-	reader := &list{endpoints: []model.Endpoint{removed, endpoint("b", 0)}}
+	reader := &staticReader{endpoints: []model.Endpoint{removed, endpoint("b", 0)}}
 	c := newFixture(t, memorydisk.New(), func(options *Options) { options.Reader = reader })
 	var publisher EndpointPublisher
 	if got, err := c.readCompleteList(t.Context(), &publisher, 3); err != nil || len(got) != 2 {
@@ -249,10 +249,10 @@
 		t.Errorf("read %v, error %v", got, err)
 	}
 	// In a new term, too, an endpoint must be missed twice to be dropped: the first list merges two reads.
-	moving := &incompleteList{list: reader.endpoints}
-	c.options.Reader = moving
-	if got, err := c.readCompleteList(t.Context(), &publisher, 7); err != nil || len(got) != 1 || moving.reads != initialReads {
-		t.Errorf("got %v by %d reads, error %v", got, moving.reads, err)
+	incomplete := &incompleteList{list: reader.endpoints}
+	c.options.Reader = incomplete
+	if got, err := c.readCompleteList(t.Context(), &publisher, 7); err != nil || len(got) != 1 || incomplete.reads != initialReads {
+		t.Errorf("got %v by %d reads, error %v", got, incomplete.reads, err)
 	}
 	// If a read of the first list fails, the publisher keeps its earlier term.
 	reader.err = errors.New("too many calls")
@@ -282,7 +282,7 @@
 	cluster.until("a leader", 5*time.Second, func() bool { return cluster.leader() != nil })
 	leader := cluster.leader().controller
 	published := len(cluster.updates)
-	// Given a leader that is partitioned from the others for longer than the election time-out while it reads,
+	// Given a leader that is partitioned from the peers for longer than the election time-out while it reads,
 	leader.options.Reader = readerFunc(func() ([]model.Endpoint, error) {
 		for _, m := range cluster.sorted() {
 			m.running = m.controller == leader
@@ -303,10 +303,10 @@
 
 // TestEndpoints_PeerReadsOverTransport has another controller read the list, by a real transport call.
 func TestEndpoints_PeerReadsOverTransport(t *testing.T) {
-	reader := &list{endpoints: []model.Endpoint{endpoint("a", 900), endpoint("b", 0)}}
-	asked := newFixture(t, memorydisk.New(), func(options *Options) { options.Reader = reader })
+	reader := &staticReader{endpoints: []model.Endpoint{endpoint("a", 900), endpoint("b", 0)}}
+	peer := newFixture(t, memorydisk.New(), func(options *Options) { options.Reader = reader })
 	handlers := transport.NewHandlers()
-	asked.Register(handlers)
+	peer.Register(handlers)
 	server, err := transport.Listen("127.0.0.1:0", handlers, log.NewNopLogger())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/tier/controller/options.go
+++ b/internal/tier/controller/options.go
@@ -30,7 +30,7 @@
 
 // EndpointReader reads the platform's complete list of endpoints.
 type EndpointReader interface {
-	// ReadAll returns the current list. An *platformlist.UnreachableError means that the platform didn't respond.
+	// ReadAll returns the current list. A *platformlist.UnreachableError means that the platform didn't respond.
 	ReadAll(ctx context.Context) ([]model.Endpoint, error)
 }
 
--- a/internal/tier/controller/order_runs_test.go
+++ b/internal/tier/controller/order_runs_test.go
@@ -14,8 +14,8 @@
 
 // leaderFailures are the ways in which a leader fails.
 var leaderFailures = []struct {
-	name string
-	lose func(c *faultyCluster, leader *testMachine)
+	name   string
+	inject func(c *faultyCluster, leader *testMachine)
 }{
 	{"killed", func(c *faultyCluster, leader *testMachine) { c.restart(leader, false) }},
 	{"power lost", func(c *faultyCluster, leader *testMachine) { c.restart(leader, true) }},
@@ -31,7 +31,7 @@
 	{"disk lost", func(_ *faultyCluster, leader *testMachine) { leader.wipe() }},
 }
 
-// maxSteps is the number of steps of the cluster within which an order is committed and answered.
+// maxSteps is the number of steps of the cluster within which an order is committed and acknowledged.
 const maxSteps = 9
 
 // runOperators runs operators concurrently while virtual time advances. At each step of the cluster, event gets the number of steps
@@ -114,8 +114,8 @@
 
 // disturbances are events between an order and its duplicate.
 var disturbances = []struct {
-	name string
-	pass func(c *faultyCluster)
+	name  string
+	apply func(c *faultyCluster)
 }{
 	{"nothing", func(*faultyCluster) {}},
 	{"an election", func(c *faultyCluster) {
--- a/internal/tier/controller/partition_calls_test.go
+++ b/internal/tier/controller/partition_calls_test.go
@@ -55,11 +55,11 @@
 func (m *partitionedMachine) exchange(method, path, body, base string) *httptest.ResponseRecorder {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	answered := make(chan *httptest.ResponseRecorder, 1)
+	response := make(chan *httptest.ResponseRecorder, 1)
 	go func() {
 		m.waitWhileFrozen()
 		if ctx.Err() != nil && method == http.MethodPost {
-			return // the caller has closed the connection; other tests cover late duplicates of roll-outs and decommissioning
+			return // the caller has closed the connection; late duplicates of these orders have rules of their own
 		}
 		m.count(1)
 		defer m.count(-1)
@@ -68,10 +68,10 @@
 		recorder := httptest.NewRecorder()
 		m.handler.ServeHTTP(recorder, request)
 		m.waitWhileFrozen() // a frozen machine sends nothing
-		answered <- recorder
+		response <- recorder
 	}()
 	select {
-	case recorder := <-answered:
+	case recorder := <-response:
 		return recorder
 	case <-ctx.Done():
 		return nil
--- a/internal/tier/controller/partition_fixture_test.go
+++ b/internal/tier/controller/partition_fixture_test.go
@@ -124,7 +124,7 @@
 	}
 	tolerance := settings.FaultTolerance{Machines: m.cluster.kind.group / 2}
 	opened, err := Open(Options{ID: m.member.ID, Address: m.member.Address, Settings: &settings.Settings{FaultTolerance: tolerance},
-		Initial: initial, Disk: disk, Fleet: m, Reader: &list{endpoints: []model.Endpoint{endpoint("e", 0)}}, Logger: log.NewNopLogger(),
+		Initial: initial, Disk: disk, Fleet: m, Reader: &staticReader{endpoints: []model.Endpoint{endpoint("e", 0)}}, Logger: log.NewNopLogger(),
 		Seed: seed + uint64(m.number), SendMessage: m.send, QueryStore: func(string, func(wire.ShardMembersResponse, error)) {}})
 	if err != nil {
 		m.cluster.t.Fatal(err)
--- a/internal/tier/controller/repair_random_test.go
+++ b/internal/tier/controller/repair_random_test.go
@@ -49,7 +49,7 @@
 		r.role = membership.Controller
 	}
 	what := faults[r.random.IntN(len(faults))]
-	if what == retired && !r.mayRetire() {
+	if what == decommissioned && !r.mayDecommission() {
 		what = diskLost
 	}
 	victims := r.victims(what)
@@ -67,8 +67,8 @@
 	r.run(time.Duration(r.random.IntN(2)) * time.Duration(r.random.Int64N(int64(time.Second))))
 }
 
-// mayRetire reports whether enough stores would remain without one.
-func (r *randomRepairs) mayRetire() bool {
+// mayDecommission reports whether enough stores would remain without one.
+func (r *randomRepairs) mayDecommission() bool {
 	stores := 0
 	for _, m := range r.sorted() {
 		if m.member.Role == membership.Store && !r.removed[m.member.Address] {
@@ -81,7 +81,7 @@
 // victims returns machines for a fault, no more than may be lost at once: the oldest ones, or random ones.
 func (r *randomRepairs) victims(what fault) []*testMachine {
 	count := 1
-	if what != retired && what != added {
+	if what != decommissioned && what != added {
 		count += r.random.IntN(r.environment.faultTolerance)
 	}
 	all := r.oldest(len(r.machines))
--- a/internal/tier/controller/repair_test.go
+++ b/internal/tier/controller/repair_test.go
@@ -22,18 +22,18 @@
 
 // Timing of the faults.
 const (
-	downTime      = 2 * time.Second // from a loss of power until the machine restarts
-	comesAfter    = time.Second     // from a permanent loss until an empty machine starts; in a planned replacement, from its start until the old one terminates
-	partitionTime = 4500 * time.Millisecond
-	freezeTime    = 3200 * time.Millisecond
-	loadInterval  = 100 * time.Millisecond
-	orderTimeout  = 2 * time.Second  // until an order without a response is sent again
-	recoveryTime  = 12 * time.Second // until all groups are complete again after the last loss
+	downTime         = 2 * time.Second // from a loss of power until the machine restarts
+	replacementDelay = time.Second     // until a lost machine's successor starts; in a planned replacement, from then until the old one ends
+	partitionTime    = 4500 * time.Millisecond
+	freezeTime       = 3200 * time.Millisecond
+	loadInterval     = 100 * time.Millisecond
+	orderTimeout     = 2 * time.Second  // until an order without a response is sent again
+	recoveryTime     = 12 * time.Second // until all groups are complete again after the last loss
 )
 
 // catchUp returns how long a machine still counts as lost after its start.
-func (s environment) catchUp() time.Duration {
-	if s.faultTolerance > 1 {
+func (e environment) catchUp() time.Duration {
+	if e.faultTolerance > 1 {
 		return 6 * time.Second
 	}
 	return 4200 * time.Millisecond
@@ -44,23 +44,23 @@
 
 // The faults.
 const (
-	diskLost    fault = "disk lost"
-	machineLost fault = "machine lost"
-	planned     fault = "planned replacement"
-	retired     fault = "retired"
-	added       fault = "added"
-	partitioned fault = "partitioned"
-	frozen      fault = "frozen"
+	diskLost       fault = "disk lost"
+	machineLost    fault = "machine lost"
+	planned        fault = "planned replacement"
+	decommissioned fault = "decommissioned"
+	added          fault = "added"
+	partitioned    fault = "partitioned"
+	frozen         fault = "frozen"
 )
 
-var faults = []fault{diskLost, machineLost, planned, retired, added, partitioned, frozen}
+var faults = []fault{diskLost, machineLost, planned, decommissioned, added, partitioned, frozen}
 
 // repair is a run of a repair, of a next loss as soon as it is allowed, and likewise of a final fault, under load.
 type repair struct {
 	*cluster
 	role          membership.Role
 	addedMachines int                      // number of machines that were added
-	diskNewAt     map[string]time.Duration // when a machine's disk was new, by address
+	diskNewAt     map[string]time.Duration // when a machine's disk was new, by address; none: from the start
 	removed       map[string]bool          // machines that are no longer part of the fleet, by address
 	load          *load
 }
@@ -85,8 +85,8 @@
 	if env.faultTolerance > 1 {
 		stores = 8
 	}
-	if !slices.ContainsFunc(pair, func(what fault) bool { return what != retired }) {
-		stores++ // of the smallest fleet only one machine may be retired
+	if !slices.ContainsFunc(pair, func(what fault) bool { return what != decommissioned }) {
+		stores++ // in the smallest fleet only one machine may be decommissioned
 	}
 	r := &repair{cluster: newClusterIn(t, stores, env), role: role, diskNewAt: map[string]time.Duration{}, removed: map[string]bool{}}
 	r.awaitPlacement()
@@ -200,14 +200,14 @@
 	case machineLost:
 		r.remove(machine)
 		machine.losePower(uint64(r.now))
-		r.after(comesAfter, func() { r.addMachine(machine.member.Zone) })
-		return r.now + comesAfter + r.environment.catchUp()
+		r.after(replacementDelay, func() { r.addMachine(machine.member.Zone) })
+		return r.now + replacementDelay + r.environment.catchUp()
 	case planned:
 		r.remove(machine)
 		r.addMachine(machine.member.Zone)
-		r.after(comesAfter, machine.terminate)
+		r.after(replacementDelay, machine.terminate)
 		return r.now + r.environment.catchUp()
-	case retired:
+	case decommissioned:
 		r.remove(machine)
 		if got := r.decommission(machine.node()); got != decommission.Accepted {
 			r.t.Fatalf("the result of decommissioning %s is %v", machine.node(), got)
@@ -241,7 +241,7 @@
 // injectAtOldest injects a fault into as many of the oldest machines as may be lost at once, and waits until the next loss is allowed.
 func (r *repair) injectAtOldest(what fault) {
 	count := r.environment.faultTolerance
-	if what == retired || what == added {
+	if what == decommissioned || what == added {
 		count = 1
 	}
 	until := r.now
@@ -322,7 +322,7 @@
 	for _, role := range []membership.Role{membership.Store, membership.Controller} {
 		for _, first := range faults {
 			for _, second := range faults {
-				if role == membership.Controller && (first == retired || second == retired) {
+				if role == membership.Controller && (first == decommissioned || second == decommissioned) {
 					continue
 				}
 				number++
--- a/internal/tier/controller/repair_time_test.go
+++ b/internal/tier/controller/repair_time_test.go
@@ -75,7 +75,7 @@
 	for _, m := range r.oldest(env.faultTolerance) {
 		allowed = r.inject(what, m)
 	}
-	r.run(comesAfter + env.joinDelay + transferTimeout) // until the groups have detected the loss
+	r.run(replacementDelay + env.joinDelay + transferTimeout) // until the groups have detected the loss
 	r.until("all groups are complete", 30*time.Second, r.allComplete)
 	took := r.now - allowed + env.catchUp()
 	t.Logf("groups are complete %v after the start of the empty machine; longest time without an acknowledgement %v", took, r.load.longestOutage)
--- a/internal/tier/controller/rollout_analysis.go
+++ b/internal/tier/controller/rollout_analysis.go
@@ -104,7 +104,7 @@
 	return versions
 }
 
-// recordVersions records the version of each service, unless one is known already.
+// recordVersions commits the initial version of each service that has none yet.
 func (c *Controller) recordVersions(ctx context.Context, endpoints []model.Endpoint) {
 	for service, version := range initialVersions(endpoints) {
 		c.mutex.Lock()
--- a/internal/tier/controller/rollout_late_duplicate_test.go
+++ b/internal/tier/controller/rollout_late_duplicate_test.go
@@ -25,7 +25,7 @@
 				cluster.order("v3", http.StatusOK)
 
 				// When v2 is ordered again soon, then that is acknowledged and changes nothing; an order for v4 is rejected.
-				disturbance.pass(cluster.faultyCluster)
+				disturbance.apply(cluster.faultyCluster)
 				cluster.order("v2", http.StatusOK)
 				cluster.wantNewest("v3", rollout.InService)
 				cluster.order("v4", http.StatusConflict)
--- a/internal/tier/decommission/doc.go
+++ b/internal/tier/decommission/doc.go
@@ -2,6 +2,6 @@
 // must never get replicas again, and whether nothing depends on a store any more, so that it may be removed with its disk.
 //
 // Package controller proposes decommissioning for the operator's API, applies the committed entries to the state machine, and calls
-// IsDrained on the leader. The state machine is pure: the same
-// entries give the same state on each replica. It is not safe for concurrent use.
+// IsDrained on the leader. The state machine is pure: the same entries give the same state on each replica. It is not safe for
+// concurrent use.
 package decommission
--- a/internal/tier/decommission/proposal.go
+++ b/internal/tier/decommission/proposal.go
@@ -19,7 +19,7 @@
 // decide alike.
 type Proposal struct {
 	Store
-	RunningStores []Store `json:"running"` // when the leader proposed this
+	RunningStores []Store `json:"running"` // as the leader knew them when it made the proposal
 	MinRemaining  int     `json:"least"`   // stores that must remain
 	AtMs          int64   `json:"atMs"`    // the leader's time of day when it proposed this, ms since 1970
 
--- a/internal/tier/decommission/state_machine.go
+++ b/internal/tier/decommission/state_machine.go
@@ -12,7 +12,7 @@
 	IDs   []string `json:"ids"` // identities that never get replicas again, sorted
 	State State    `json:"state"`
 	Index uint64   `json:"index"` // log index of the proposal
-	AtMs  int64    `json:"atMs"`  // the leader's time of day when it proposed this, ms since 1970
+	AtMs  int64    `json:"atMs"`  // the leader's time of day when it made the proposal, ms since 1970
 }
 
 // has reports whether the identity is one of the machine's.
--- a/internal/tier/view/view.go
+++ b/internal/tier/view/view.go
@@ -1,8 +1,8 @@
 // Package view holds what the control plane disseminates to every process: one section each for the configuration, the endpoints,
-// the roll-outs and the placement of shards. The leader of the controllers writes sections; package gossip spreads them between
-// processes, and package viewfeed streams them to proxies. A section is replaced as a whole by one with a higher stamp, so that
-// updates may arrive in any order and more than once. Values are immutable once shared. Processes of different versions exchange
-// the JSON: tags must not change.
+// the roll-outs and the placement of shards. Controllers write the sections; package gossip spreads them between processes, and
+// package viewfeed streams them to proxies. A section is replaced as a whole by one with a higher stamp, so that updates may arrive in
+// any order and more than once. Values are immutable once shared. Processes of different versions exchange the JSON: tags must not
+// change.
 package view
 
 import (
@@ -12,7 +12,8 @@
 	"mastusher/internal/tier/model"
 )
 
-// Stamp orders the contents of one section: by the term of the leader that wrote it, then by that leader's sequence number.
+// Stamp orders the contents of one section: by the term of the leader that wrote it, then by that leader's sequence number. State from
+// the replicated log has term 0 and its log index as the sequence number.
 type Stamp struct {
 	Term     uint64 `json:"epoch"`
 	Sequence uint64 `json:"sequence"`
--- a/internal/tier/viewfeed/feed.go
+++ b/internal/tier/viewfeed/feed.go
@@ -1,4 +1,4 @@
-// Package viewfeed maintains a proxy's view: the configuration, the endpoints, the rollouts and the placement of shards. A Feed
+// Package viewfeed maintains a proxy's view: the configuration, the endpoints, the roll-outs and the placement of shards. A Feed
 // streams updates from the agent on the same machine, and keeps the newest ones while the agent is unavailable.
 //
 // Package command runs one Feed in each proxy. Run applies updates in one goroutine; Routes and Ready are safe to call from
@@ -29,7 +29,7 @@
 	maxBackoff     = 250 * time.Millisecond
 )
 
-// Endpoints receives the list of endpoints and the versions that rollouts allow.
+// Endpoints receives the list of endpoints and the versions that roll-outs allow.
 type Endpoints interface {
 	SetEndpoints(endpoints []model.Endpoint)
 	SetVersions(versions []view.ServiceVersions)
