--- a/internal/tier/decommission/proposal.go
+++ b/internal/tier/decommission/proposal.go
@@ -21,7 +21,7 @@
 	Store
 	RunningStores []Store `json:"running"` // as the leader knew them when it made the proposal
 	MinRemaining  int     `json:"least"`   // stores that must remain
-	AtMs          int64   `json:"atMs"`    // the leader's time of day when it proposed this, ms since 1970
+	AtMs          int64   `json:"atMs"`    // the leader's time of day when it made the proposal, ms since 1970
 
 	// DedupExpiredIndex is the log index up to which no duplicates of accepted proposals arrive any more, by the leader's clocks.
 	DedupExpiredIndex uint64 `json:"settled,omitempty"`
