--- a/internal/tier/group/calls.go
+++ b/internal/tier/group/calls.go
@@ -6,27 +6,27 @@
 	"mastusher/internal/tier/replica"
 )
 
-// pendingCall waits for its outcome.
+// pendingCall is a command or a read whose outcome is not known yet.
 type pendingCall struct {
-	view func() // of a read: run once it is confirmed; else nil
+	view func() // run once a read is confirmed; nil for a command
 	done func(result any, err error)
 }
 
-// Propose has the command committed and returns the state machine's result. A *NotLeaderError tells whether the command can
-// still be committed.
+// Propose proposes a command, waits until it is committed and returns the state machine's result. A *NotLeaderError says whether
+// the command may still be committed.
 func (g *Group) Propose(ctx context.Context, command any) (any, error) {
-	return g.wait(ctx, func(done func(any, error)) uint64 { return g.ProposeAsync(command, done) })
+	return g.await(ctx, func(done func(any, error)) uint64 { return g.ProposeAsync(command, done) })
 }
 
-// Read runs view on the member's goroutine once it is confirmed that this member led the group after Read was called. An
-// error is a *NotLeaderError.
+// Read runs view on the member's goroutine once a majority has confirmed that this member was the leader after Read was called.
+// An error is a *NotLeaderError.
 func (g *Group) Read(ctx context.Context, view func()) error {
-	_, err := g.wait(ctx, func(done func(any, error)) uint64 { return g.ReadAsync(view, done) })
+	_, err := g.await(ctx, func(done func(any, error)) uint64 { return g.ReadAsync(view, done) })
 	return err
 }
 
-// ProposeAsync has the command committed; done is called with the result, on the member's goroutine, or at once where the
-// command cannot be queued. The token can be given to Cancel; it is 0 if done was called at once.
+// ProposeAsync proposes a command. It calls done with the result: on the member's goroutine, or before it returns if the command
+// can't be queued. The token can be passed to Cancel; it is 0 if done has been called already.
 func (g *Group) ProposeAsync(command any, done func(result any, err error)) (token uint64) {
 	data, err := encodeCommand(command)
 	if err != nil {
@@ -43,7 +43,7 @@
 	})
 }
 
-// ReadAsync runs view once a read is confirmed, and then calls done, as ProposeAsync does.
+// ReadAsync runs view as Read does, and then calls done as ProposeAsync does.
 func (g *Group) ReadAsync(view func(), done func(result any, err error)) (token uint64) {
 	return g.submit(pendingCall{view: view, done: done}, func(token uint64) error {
 		g.input.Reads = append(g.input.Reads, token)
@@ -51,14 +51,14 @@
 	})
 }
 
-// Cancel makes sure that a call's done is not called any more. The command may still be committed.
+// Cancel drops a pending call, so that its done is never called. The command may still be committed.
 func (g *Group) Cancel(token uint64) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	delete(g.pendingCalls, token)
 }
 
-// submit registers a call and queues its input.
+// submit assigns a token to a call, queues its input and registers it as pending. If that fails, it calls done and returns 0.
 func (g *Group) submit(submitted pendingCall, queue func(token uint64) error) uint64 {
 	g.mutex.Lock()
 	var err error
@@ -82,13 +82,14 @@
 	return token
 }
 
-// outcome is the result of a call that is waited for.
+// outcome is the result of a call that Propose or Read waits for.
 type outcome struct {
 	result any
 	err    error
 }
 
-func (g *Group) wait(ctx context.Context, start func(done func(any, error)) uint64) (any, error) {
+// await starts an asynchronous call and waits for its outcome, or cancels it when ctx ends.
+func (g *Group) await(ctx context.Context, start func(done func(any, error)) uint64) (any, error) {
 	outcomes := make(chan outcome, 1)
 	token := start(func(result any, err error) { outcomes <- outcome{result, err} })
 	select {
@@ -100,7 +101,7 @@
 	}
 }
 
-// completeCalls ends the calls whose outcome is known.
+// completeCalls calls done of the pending calls whose outcome is known.
 func (g *Group) completeCalls(outcomes []replica.Outcome, results map[uint64]any) {
 	for _, o := range outcomes {
 		g.mutex.Lock()
--- a/internal/tier/group/chunks_test.go
+++ b/internal/tier/group/chunks_test.go
@@ -14,7 +14,7 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// chunkedList is a state machine whose snapshot has a chunk for each command, and one before them.
+// chunkedList is a state machine whose snapshot has a first chunk "begin", and then one chunk for each command.
 type chunkedList struct{ commandList }
 
 // CaptureChunks implements group.ChunkedStateMachine.
@@ -40,11 +40,11 @@
 // BeginRestore implements group.ChunkedStateMachine.
 func (s *chunkedList) BeginRestore() group.Restorer {
 	s.Commands = nil
-	return &chunkedListRestorer{series: s}
+	return &chunkedListRestorer{machine: s}
 }
 
 type chunkedListRestorer struct {
-	series  *chunkedList
+	machine *chunkedList
 	started bool
 }
 
@@ -57,23 +57,23 @@
 	if !r.started {
 		r.started = true
 		if command != "begin" {
-			return fmt.Errorf("the first chunk is %q", command)
+			return fmt.Errorf("the first chunk is %q, want %q", command, "begin")
 		}
 		return nil
 	}
-	r.series.Commands = append(r.series.Commands, command)
+	r.machine.Commands = append(r.machine.Commands, command)
 	return nil
 }
 
 // Finish implements group.Restorer.
 func (r *chunkedListRestorer) Finish() error {
 	if !r.started {
-		return errors.New("no first chunk")
+		return errors.New("the snapshot has no chunks")
 	}
 	return nil
 }
 
-// newChunkedCluster starts members a, b and c, of which a leads the group at first, and has them compact a number of commands.
+// newChunkedCluster starts members a, b and c, waits for a leader and commits a number of commands, which the members compact.
 func newChunkedCluster(t *testing.T, commands int) *cluster {
 	t.Helper()
 	c := emptyCluster(t)
@@ -85,7 +85,7 @@
 	return c
 }
 
-// write has commands committed, one after the other.
+// write proposes commands one by one and waits until each is committed.
 func (c *cluster) write(commands int) {
 	c.t.Helper()
 	for range commands {
@@ -100,14 +100,14 @@
 	}
 }
 
-// join has a member that knows nothing taken in.
+// join starts a member without any state and adds it to the group's target members.
 func (c *cluster) join(name string) {
 	c.open(name, 99, nil)
 	c.members = append(c.members, member(name))
 	c.setTargetMembers(c.members...)
 }
 
-// hasAll tells whether a member's machine holds what the leader's does.
+// hasAll reports whether a member's state machine holds the same commands as the leader's.
 func (c *cluster) hasAll(name string) bool {
 	leader := c.leader()
 	if leader == "" {
@@ -117,7 +117,7 @@
 	return len(want) > 0 && slices.Equal(want, got)
 }
 
-// countChunks counts the chunks that are sent, by the sender and number; those for which lost is true don't arrive.
+// countChunks counts how often each chunk is sent, by its number, and drops the chunks for which lost returns true.
 func (c *cluster) countChunks(lost func(message replica.Message, sent int) bool) map[int]int {
 	sent := map[int]int{}
 	c.drop = func(_ string, message replica.Message) bool {
@@ -134,22 +134,22 @@
 	// Given a group whose log begins with a snapshot of many chunks,
 	c := newChunkedCluster(t, 200)
 	sent := c.countChunks(nil)
-	// when a member without anything joins it,
+	// when a member without any state joins it,
 	c.join("d")
-	c.runUntil("it has a vote", func() bool { return c.isVoter(member("d")) })
-	c.runUntil("it holds all", func() bool { return c.hasAll("d") })
+	c.runUntil("the new member is a voter", func() bool { return c.isVoter(member("d")) })
+	c.runUntil("the new member has the leader's state", func() bool { return c.hasAll("d") })
 	// then each chunk was sent once.
 	if len(sent) < 10 {
-		t.Errorf("only %d chunks were sent", len(sent))
+		t.Errorf("%d chunks were sent, want at least 10", len(sent))
 	}
 	for chunk, times := range sent {
 		if times != 1 {
-			t.Errorf("chunk %d was sent %d times", chunk, times)
+			t.Errorf("chunk %d was sent %d times, want once", chunk, times)
 		}
 	}
 }
 
-// A loss costs the chunks that were on their way: eight at most, and half as many for the next one.
+// After a loss, all chunks in flight are sent again: eight at most, and half as many after the next loss.
 func TestSnapshot_ChunkLost_OnlyThatOneIsSentAgain(t *testing.T) {
 	for name, tc := range map[string]struct {
 		lost      func(message replica.Message, sent int) bool
@@ -166,13 +166,13 @@
 			c := newChunkedCluster(t, 200)
 			sent := c.countChunks(tc.lost)
 			c.join("d")
-			c.runUntil("it holds all", func() bool { return c.hasAll("d") })
+			c.runUntil("the new member has the leader's state", func() bool { return c.hasAll("d") })
 			resent := 0
 			for _, times := range sent {
 				resent += times - 1
 			}
 			if resent == 0 || resent > tc.maxResent {
-				t.Errorf("%d chunks were sent again: %v", resent, sent)
+				t.Errorf("%d chunks were sent again, want 1 to %d; sent: %v", resent, tc.maxResent, sent)
 			}
 		})
 	}
@@ -180,16 +180,16 @@
 
 func TestSnapshot_ResponsesLost_TransferCompletes(t *testing.T) {
 	c := newChunkedCluster(t, 200)
-	answers := 0
+	responses := 0
 	c.drop = func(_ string, message replica.Message) bool {
 		if message.Kind != replica.InstallSnapshotResponse {
 			return false
 		}
-		answers++
-		return answers%3 == 0
+		responses++
+		return responses%3 == 0
 	}
 	c.join("d")
-	c.runUntil("it holds all", func() bool { return c.hasAll("d") })
+	c.runUntil("the new member has the leader's state", func() bool { return c.hasAll("d") })
 }
 
 func TestSnapshot_ReceiverRestarts_StartsOver(t *testing.T) {
@@ -197,18 +197,18 @@
 	d := member("d")
 	sent := c.countChunks(nil)
 	c.join("d")
-	c.runUntil("half of the chunks have come", func() bool { return sent[8] > 0 })
-	// when its process ends and another one starts on the same disk,
+	c.runUntil("some of the chunks have been sent", func() bool { return sent[8] > 0 })
+	// When the receiving process crashes and another one starts on the same disk,
 	c.disks[d.Address].Kill()
 	c.open("d", 100, nil)
-	// then an incomplete snapshot counts for nothing,
+	// then the incomplete snapshot is ignored,
 	if status := c.groups[d.Address].Status(); status.LastIndex != 0 {
-		t.Fatalf("its last entry is %d", status.LastIndex)
+		t.Fatalf("the last entry after the restart is %d, want 0", status.LastIndex)
 	}
-	// and it gets all of them.
-	c.runUntil("it holds all", func() bool { return c.hasAll("d") })
+	// and all chunks are sent again.
+	c.runUntil("the restarted member has the leader's state", func() bool { return c.hasAll("d") })
 	if sent[0] < 2 {
-		t.Errorf("the first chunk was sent %d times", sent[0])
+		t.Errorf("the first chunk was sent %d times, want at least twice", sent[0])
 	}
 }
 
@@ -216,36 +216,36 @@
 	c := newChunkedCluster(t, 200)
 	sent := c.countChunks(nil)
 	c.join("d")
-	c.runUntil("half of the chunks have come", func() bool { return sent[8] > 0 })
-	// when the leader is partitioned in the middle of it,
+	c.runUntil("some of the chunks have been sent", func() bool { return sent[8] > 0 })
+	// When the leader is partitioned in the middle of the transfer,
 	old := c.leader()
 	c.isolated[old] = true
-	// then another one leads the group and sends its snapshot.
-	c.runUntil("another one leads the group", func() bool { return c.leader() != "" && c.leader() != old })
-	c.runUntil("it holds all", func() bool { return c.hasAll("d") })
+	// then another member becomes the leader and sends its own snapshot.
+	c.runUntil("another member is the leader", func() bool { return c.leader() != "" && c.leader() != old })
+	c.runUntil("the new member has the leader's state", func() bool { return c.hasAll("d") })
 }
 
 func TestCompact_SnapshotBeingSent_Waits(t *testing.T) {
 	c := newChunkedCluster(t, 200)
 	sent := c.countChunks(func(message replica.Message, _ int) bool { return message.Chunk >= 8 })
 	c.join("d")
-	c.runUntil("half of the chunks have come", func() bool { return sent[8] > 0 })
+	c.runUntil("some of the chunks have been sent", func() bool { return sent[8] > 0 })
 	base := func() int { return snapshotIndex(t, c.disks[c.leader()]) }
-	// when as much is written meanwhile as makes a compaction due,
+	// When enough is written during the transfer to make a compaction due,
 	before, leader := base(), c.leader()
 	c.write(45)
-	// then the snapshot that is on its way stays,
+	// then the snapshot that is being sent is kept,
 	if got := base(); leader != c.leader() || got != before {
 		t.Fatalf("the snapshot up to %d was replaced by one up to %d", before, got)
 	}
-	// but not for ever,
+	// but not without bound,
 	c.write(200)
 	if got := base(); got == before {
-		t.Fatalf("the log of %d entries is not compacted", c.groups[leader].Status().LastIndex)
+		t.Fatalf("the log up to entry %d is not compacted", c.groups[leader].Status().LastIndex)
 	}
-	// and the member gets the newer one then.
+	// and the new member then gets the newer snapshot.
 	c.drop = nil
-	c.runUntil("it holds all", func() bool { return c.hasAll("d") })
+	c.runUntil("the new member has the leader's state", func() bool { return c.hasAll("d") })
 }
 
 func TestSnapshot_WritesGoOn_MemberCatchesUp(t *testing.T) {
@@ -257,10 +257,10 @@
 		}
 		c.write(1)
 	}
-	t.Fatal("it has not caught up while 600 commands were written")
+	t.Fatal("the new member has not caught up while 600 commands were written")
 }
 
-// snapshotIndex is the last entry that the snapshot on a disk stands for.
+// snapshotIndex returns the index of the last entry that the snapshot on a disk covers, or 0 without a snapshot.
 func snapshotIndex(t *testing.T, disk *memorydisk.Disk) int {
 	t.Helper()
 	found := (&singleMember{t: t, disk: disk}).recovered()
--- a/internal/tier/group/cluster_test.go
+++ b/internal/tier/group/cluster_test.go
@@ -19,7 +19,7 @@
 	step      = 5 * time.Millisecond
 )
 
-// commandList is a state machine that keeps all commands.
+// commandList is a state machine that stores all commands.
 type commandList struct{ Commands []string }
 
 func (l *commandList) Apply(_ uint64, command json.RawMessage) any {
@@ -31,7 +31,7 @@
 
 func (l *commandList) Restore(state json.RawMessage) error { return json.Unmarshal(state, l) }
 
-// cluster is a group in virtual time whose messages arrive with the next step.
+// cluster is a replica group in virtual time, in which messages arrive at the next step.
 type cluster struct {
 	t        *testing.T
 	now      time.Duration
@@ -44,7 +44,7 @@
 	machines        map[string]group.StateMachine
 	newMachine      func() group.StateMachine
 	compactionBytes int64
-	drop            func(to string, message replica.Message) bool // nil: nothing is dropped on purpose
+	drop            func(to string, message replica.Message) bool // returns true for messages to drop; may be nil
 }
 
 func newCluster(t *testing.T, names ...string) *cluster {
@@ -54,7 +54,7 @@
 	return c
 }
 
-// emptyCluster is one without members, to be set up otherwise than usual.
+// emptyCluster returns a cluster without members, whose fields can be changed before begin.
 func emptyCluster(t *testing.T) *cluster {
 	t.Helper()
 	return &cluster{t: t, groups: map[string]*group.Group{}, isolated: map[string]bool{}, disks: map[string]*memorydisk.Disk{},
@@ -108,7 +108,7 @@
 	c.groups[own.Address], c.machines[own.Address] = opened, machine
 }
 
-// runUntil plays until the condition holds.
+// runUntil delivers messages and runs iterations until the condition holds, for 2000 steps at most.
 func (c *cluster) runUntil(what string, condition func() bool) {
 	c.t.Helper()
 	for range 2000 {
@@ -127,7 +127,7 @@
 			}
 		}
 	}
-	c.t.Fatalf("it doesn't come to hold that %s", what)
+	c.t.Fatalf("still not true after 2000 steps: %s", what)
 }
 
 func (c *cluster) addresses() []string {
@@ -139,7 +139,7 @@
 	return addresses
 }
 
-// leader is the address of the member that leads the group and is heard.
+// leader returns the address of the leader that is not isolated, or an empty string if there is none.
 func (c *cluster) leader() string {
 	for _, address := range c.addresses() {
 		if !c.isolated[address] && c.groups[address].Status().IsLeader {
@@ -153,7 +153,7 @@
 	c.groups[c.leader()].SetTargetMembers(members)
 }
 
-// isVoter tells whether a member's own list gives it a vote.
+// isVoter reports whether a member is a voter according to its own configuration.
 func (c *cluster) isVoter(m replica.Member) bool {
 	return slices.Contains(c.groups[m.Address].Status().Members, m)
 }
--- a/internal/tier/group/compaction.go
+++ b/internal/tier/group/compaction.go
@@ -9,28 +9,28 @@
 	"mastusher/internal/tier/storage"
 )
 
-// logToStateRatio is the share of the state's length that the log must reach before it is compacted, so that a large state
-// is not written for little.
+// logToStateRatio is the minimum ratio of the log's size to the snapshot's for a compaction, so that a large state isn't
+// rewritten for a few entries.
 const logToStateRatio = 0.25
 
-// transferBoundFactor is how many times its bound the log may reach while a snapshot is on its way to or from another
-// member: a compaction overwrites that snapshot's place on disk, so that the transfer would have to restart.
+// transferBoundFactor multiplies the bound on the log's size while a snapshot is being sent to or received from another member:
+// a compaction overwrites that snapshot's slot on disk, so the transfer would have to restart.
 const transferBoundFactor = 2
 
-// compaction is the replacement of the log by a snapshot while the member goes on: it has captured the state, and another goroutine
-// writes it to the slot that the log doesn't follow.
+// compaction replaces the log by a snapshot while the member goes on: the state has been captured, and another goroutine writes
+// it to the inactive slot on disk.
 type compaction struct {
 	snapshot replica.Snapshot
 	disk     *storage.Compaction
 	canceled atomic.Bool
-	written  chan struct{} // closed once the disk isn't used by the other goroutine any more
+	written  chan struct{} // closed once the other goroutine no longer uses the disk
 }
 
-// errCompactionCanceled ends the writing of a compaction that isn't needed any more.
+// errCompactionCanceled stops the write of a canceled compaction.
 var errCompactionCanceled = errors.New("compaction canceled")
 
-// compact replaces a long log by a snapshot and what remains after it, in two iterations and what lies between. Entries that
-// remain count as little as the snapshot: only what has been saved since makes the next compaction due.
+// compact begins a compaction when one is due, and finishes it in the first iteration after its snapshot has been written. Entries
+// kept after the snapshot don't count towards the next compaction; only what is saved after this one does.
 func (g *Group) compact() error {
 	if g.compaction == nil {
 		if !g.isCompactionDue() {
@@ -43,7 +43,7 @@
 	return g.finishCompaction()
 }
 
-// isCompactionDue tells whether the log has reached its bound, and another snapshot would shorten it.
+// isCompactionDue reports whether the log has reached its bound and a new snapshot would shorten it.
 func (g *Group) isCompactionDue() bool {
 	bound := max(g.options.CompactionBytes, int64(logToStateRatio*float64(g.disk.SnapshotBytes())))
 	if g.replica.IsSendingSnapshot() || g.replica.IsReceivingSnapshot() {
@@ -55,9 +55,9 @@
 	return g.replica.SnapshotMetadata().Index > g.snapshotIndex
 }
 
-// beginCompaction captures the state and has it written, unless another member that shares the lock compacts: it takes the
-// processor and the disk for a while, and a later iteration does as well. A snapshot that is being received would go to the same
-// slot; it is given up.
+// beginCompaction captures the state and starts writing it in the background. It does nothing while another member holds the
+// CompactionLock, since compactions load the processor and the disk; a later iteration tries again. A snapshot that is being
+// received is abandoned, because it is written to the same slot on disk.
 func (g *Group) beginCompaction() error {
 	if !g.options.CompactionLock.TryLock() {
 		return nil
@@ -69,7 +69,7 @@
 		return err
 	}
 	g.replica.GiveUpIncomingSnapshot()
-	g.releaseSnapshotSlot(false)
+	g.releaseReceiveSlot(false)
 	begun := &compaction{snapshot: snapshot, disk: disk, written: make(chan struct{})}
 	g.compaction = begun
 	state := g.stateMachine.CaptureChunks()
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// write writes the state until it is complete or the compaction is canceled. FinishCompaction tells an error.
+// write writes the state until it is complete or the compaction is canceled. FinishCompaction returns the error, if any.
 func (c *compaction) write(state storage.ChunkSource) {
 	defer close(c.written)
 	_ = c.disk.Write(func(write func(chunk json.RawMessage) error) error {
@@ -94,7 +94,7 @@
 	})
 }
 
-// isWritten tells whether the disk holds the state.
+// isWritten reports whether the write has ended, successfully or not.
 func (c *compaction) isWritten() bool {
 	select {
 	case <-c.written:
@@ -104,7 +104,8 @@
 	}
 }
 
-// finishCompaction puts a snapshot that has been written in place of the log up to it.
+// finishCompaction replaces the log by a snapshot that has been written and the entries after it. It does nothing while the
+// snapshot is being written. If the compaction was canceled, it requests the leader's snapshot instead.
 func (g *Group) finishCompaction() error {
 	done := g.compaction
 	if done == nil || !done.isWritten() {
@@ -129,25 +130,26 @@
 	return nil
 }
 
-// cancelCompaction has a compaction under way end soon, as its slot is needed for a snapshot of another member.
+// cancelCompaction stops a running compaction after its current chunk, since a snapshot from another member needs the slot on disk.
 func (g *Group) cancelCompaction() {
 	if g.compaction != nil {
 		g.compaction.canceled.Store(true)
 	}
 }
 
-// awaitCompaction cancels a compaction under way and waits until it doesn't use the disk any more, for one write at most.
+// awaitCompaction cancels a running compaction and waits, for the length of one write at most, until it no longer uses the disk.
 func (g *Group) awaitCompaction() {
 	if g.compaction == nil {
 		return
 	}
 	g.cancelCompaction()
 	<-g.compaction.written
-	g.disk.AbandonCompaction(g.compaction.disk) // else the disk would take its slot for in use
+	g.disk.AbandonCompaction(g.compaction.disk) // otherwise the slot would still count as in use
 	g.compaction = nil
 }
 
-// entriesBefore returns the entries below the index. The result must be copied before it grows into the rest.
+// entriesBefore returns the entries below the index. If entries has others, the result's capacity is limited so that an append to it
+// doesn't overwrite them.
 func entriesBefore(entries []replica.Entry, index uint64) []replica.Entry {
 	for i := range entries {
 		if entries[i].Index >= index {
--- a/internal/tier/group/compaction_background_test.go
+++ b/internal/tier/group/compaction_background_test.go
@@ -15,14 +15,14 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// backgroundMember is a single-voter member whose compactions run when the test says so.
+// backgroundMember is the only voter of its group. Its compactions are written when the test calls runBackground.
 type backgroundMember struct {
 	t       *testing.T
 	disk    *memorydisk.Disk
 	machine *chunkedList
 	group   *group.Group
 	now     time.Duration
-	work    []func() // given to RunBackground and not run yet
+	work    []func() // passed to RunBackground and not run yet
 }
 
 func newBackgroundMember(t *testing.T) *backgroundMember {
@@ -46,7 +46,7 @@
 	m.group = opened
 }
 
-// commit has commands of some 200 bytes committed.
+// commit proposes commands of about 200 bytes and waits until they are committed.
 func (m *backgroundMember) commit(commands int) {
 	m.t.Helper()
 	for range commands {
@@ -54,7 +54,7 @@
 		m.group.ProposeAsync(strings.Repeat("x", 200), func(_ any, err error) { done = err == nil })
 		for round := 0; !done; round++ {
 			if round > 20 {
-				m.t.Fatal("a command is not committed")
+				m.t.Fatal("a command is not committed after 20 iterations")
 			}
 			m.now += heartbeat
 			if _, err := m.group.RunOnce(); err != nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-// runBackground does the work that waits, and lets the member take note.
+// runBackground runs the pending background work, and then two iterations in which the member processes the result.
 func (m *backgroundMember) runBackground() {
 	m.t.Helper()
 	for _, work := range m.work {
@@ -80,27 +80,27 @@
 }
 
 func TestCompaction_InBackground_MemberGoesOnMeanwhile(t *testing.T) {
-	// Given a member whose log is due for a snapshot that isn't written yet,
+	// Given a member that has begun a compaction whose snapshot isn't written yet,
 	m := newBackgroundMember(t)
 	m.commit(20)
 	if len(m.work) != 1 {
 		t.Fatalf("%d compactions have begun, want 1", len(m.work))
 	}
-	// when more is committed meanwhile,
+	// when more is committed before it is written,
 	m.commit(30)
 	if got := snapshotIndex(t, m.disk); got != 0 || len(m.work) != 1 {
-		t.Fatalf("the snapshot on the disk goes up to %d, and %d compactions have begun", got, len(m.work))
+		t.Fatalf("the snapshot on the disk covers entries up to %d, want 0; %d compactions have begun, want 1", got, len(m.work))
 	}
 	m.runBackground()
-	// then the snapshot stands for what had been applied when it began, and a start finds all of it.
+	// then the snapshot covers what had been applied when the compaction began, and a restart recovers all commands.
 	if got := snapshotIndex(t, m.disk); got == 0 || got > 25 {
-		t.Errorf("the snapshot goes up to %d", got)
+		t.Errorf("the snapshot covers entries up to %d, want 1 to 25", got)
 	}
 	m.disk.LosePower(3)
 	m.open()
 	m.commit(1)
 	if got := len(m.machine.Commands); got != 52 {
-		t.Errorf("%d commands were found, want 52", got)
+		t.Errorf("%d commands were recovered, want 52", got)
 	}
 }
 
@@ -112,13 +112,13 @@
 	go write()
 	m.group.Stop(func() { stopped = true })
 	if _, err := m.group.RunOnce(); err != nil || !stopped {
-		t.Fatalf("stopped: %t, %v", stopped, err)
+		t.Fatalf("stopped: %t, error %v, want a member that has stopped", stopped, err)
 	}
 	m.open() // on the same disk
 	m.commit(20)
 	m.runBackground()
 	if got := snapshotIndex(t, m.disk); got == 0 {
-		t.Error("it doesn't compact any more")
+		t.Error("the reopened member doesn't compact its log")
 	}
 }
 
@@ -138,9 +138,9 @@
 	}
 	m.work = nil
 	m.disk.InjectFaults(nil)
-	// when the member takes note, then that is a failure of its disk, from which it recovers with all that was committed.
+	// when the member runs its next iteration, then it fails with the disk's error, and reopening recovers all that was committed.
 	if _, err := m.group.RunOnce(); !errors.Is(err, storage.ErrFailed) || !errors.Is(err, errFull) {
-		t.Fatalf("error %v, want one of the disk", err)
+		t.Fatalf("error %v, want storage.ErrFailed caused by %v", err, errFull)
 	}
 	if err := m.group.Reopen(); err != nil {
 		t.Fatal(err)
@@ -149,12 +149,12 @@
 	m.commit(30)
 	m.runBackground()
 	if got := len(m.machine.Commands); got != 51 || snapshotIndex(t, m.disk) == 0 {
-		t.Errorf("%d commands, snapshot up to %d", got, snapshotIndex(t, m.disk))
+		t.Errorf("%d commands, want 51; snapshot up to entry %d, want a snapshot", got, snapshotIndex(t, m.disk))
 	}
 }
 
 func TestCompaction_InBackground_SnapshotOfLeaderComes_IsCanceled(t *testing.T) {
-	// Given a follower that compacts,
+	// Given a follower that is writing a compaction,
 	single := &singleMember{t: t, disk: memorydisk.New(), machine: &commandList{}, inBackground: true}
 	single.open([]replica.Member{member("a"), member("b"), member("c")}, 2000)
 	var entries []replica.Entry
@@ -165,20 +165,20 @@
 	if len(single.work) != 1 {
 		t.Fatalf("%d compactions have begun, want 1", len(single.work))
 	}
-	// when a leader sends its snapshot, since the follower lacks too much,
+	// when a leader sends its snapshot,
 	state := json.RawMessage(`{"Commands":["z"]}`)
 	chunk := replica.Message{Kind: replica.InstallSnapshot, From: member("b").ID, Address: member("b").Address, To: member("a").ID, Term: 2,
 		Snapshot: &replica.Snapshot{Index: 90, Term: 2, Members: []replica.Member{member("a"), member("b"), member("c")}, Chunks: 1, State: state}}
 	single.run(chunk)
 	if got := single.group.Status().LastIndex; got != 20 {
-		t.Fatalf("its last entry is %d while it compacts", got)
+		t.Fatalf("the follower's last entry during the compaction is %d, want 20", got)
 	}
 	single.work[0]()
 	single.run()
-	// then the snapshot is taken once the disk is free for it.
+	// then the compaction is canceled, and the snapshot is installed once the compaction has released the slot on disk.
 	single.run(chunk)
 	if got := single.group.Status().LastIndex; got != 90 {
-		t.Errorf("its last entry is %d, want 90", got)
+		t.Errorf("the follower's last entry is %d, want 90", got)
 	}
 }
 
@@ -194,6 +194,6 @@
 	}
 	found := (&singleMember{t: t, disk: m.disk}).recovered()
 	if found.Snapshot == nil || found.Snapshot.Index != 0 || len(found.Entries) > 0 || found.HardState.Term == 0 {
-		t.Errorf("the disk holds %+v", found)
+		t.Errorf("the disk holds %+v, want an empty snapshot, no entries and a term", found)
 	}
 }
--- a/internal/tier/group/compaction_lock_test.go
+++ b/internal/tier/group/compaction_lock_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestCompact_TwoMembers_TakeTurns(t *testing.T) {
-	// Given a member whose log is due for a snapshot while another one of its process takes its own,
+	// Given a member whose compaction is due while another member holds the shared lock,
 	var compacting sync.Mutex
 	disk := memorydisk.New()
 	own := replica.Member{ID: "a", Address: "a:1"}
@@ -32,24 +32,24 @@
 			t.Fatal(err)
 		}
 	}
-	// then it goes on with its log,
+	// then the member keeps its log,
 	if opened.snapshotIndex != 0 {
-		t.Errorf("it has compacted up to %d although another member does", opened.snapshotIndex)
+		t.Errorf("the member has compacted up to entry %d while another one held the lock", opened.snapshotIndex)
 	}
-	// and compacts when the other one has done so.
+	// and compacts once the lock is released.
 	compacting.Unlock()
 	if _, err := opened.RunOnce(); err != nil {
 		t.Fatal(err)
 	}
 	if opened.snapshotIndex == 0 {
-		t.Error("it hasn't compacted")
+		t.Error("the member hasn't compacted after the lock was released")
 	}
 	if !compacting.TryLock() {
-		t.Error("it keeps others from compacting")
+		t.Error("the member still holds the lock after its compaction")
 	}
 }
 
-// emptyMachine holds nothing.
+// emptyMachine is a state machine without state.
 type emptyMachine struct{}
 
 func (*emptyMachine) Apply(uint64, json.RawMessage) any  { return nil }
--- a/internal/tier/group/envelope.go
+++ b/internal/tier/group/envelope.go
@@ -8,14 +8,14 @@
 	"mastusher/internal/tier/replica"
 )
 
-// Envelope is a message between members, with the group that it is for. It is sent.
+// Envelope is a message between members, with the name of their group. It is the wire format.
 type Envelope struct {
 	Group   string          `json:"group"`
 	Message replica.Message `json:"message"`
 }
 
-// AppendJSON implements transport.Appender. It writes what encoding/json would; the data of entries and chunks, which are
-// JSON already, are copied unread.
+// AppendJSON implements transport.Appender. It writes JSON equivalent to that of encoding/json, but copies the data of entries
+// and chunks, which are JSON already, without parsing them.
 func (e Envelope) AppendJSON(buffer []byte) ([]byte, error) {
 	name, err := json.Marshal(e.Group)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return append(buffer, '}'), nil
 }
 
-// separator stands before the element of a list: first before the first one, else a comma.
+// separator returns the text before a list element: first for index 0, otherwise a comma.
 func separator(index int, first string) string {
 	if index == 0 {
 		return first
--- a/internal/tier/group/envelope_test.go
+++ b/internal/tier/group/envelope_test.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/tier/replica"
 )
 
-// Given any message, then it is written as the library writes it.
+// Given any message, then AppendJSON writes JSON that decodes to the same message as that of encoding/json.
 func TestEnvelope_AppendJSON_MatchesEncodingJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.String()
@@ -49,7 +49,7 @@
 	})
 }
 
-// Given any proposal, then it is read back from its own form and from any other.
+// Given any proposal, then parseProposal reads it from the form that appendProposal writes and from any other JSON form.
 func TestProposal_AnyForm_IsReadBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		command, _ := json.Marshal(rapid.SampledFrom([]any{nil, 1, "}", `"c":`, map[string]any{"c": 1, "t": "x"}, []int{2}}).Draw(t, "command"))
@@ -70,7 +70,7 @@
 	})
 	for _, data := range []string{``, `{"o":"a","t":1`, `{"o":"a","t":1,"c":}`, `{"o":"a","t":x,"c":1}`} {
 		if _, err := parseProposal(json.RawMessage(data)); err == nil {
-			t.Errorf("%q is read", data)
+			t.Errorf("%q was parsed without an error", data)
 		}
 	}
 }
--- a/internal/tier/group/errors.go
+++ b/internal/tier/group/errors.go
@@ -7,24 +7,24 @@
 	"mastusher/internal/tier/storage"
 )
 
-// errQueueFull is the cause for which a command is dropped when the member has had no iteration for too long.
-var errQueueFull = errors.New("the member's queue is full")
+// errQueueFull is the cause when a command is dropped because earlier input is still waiting for an iteration.
+var errQueueFull = errors.New("the member's input queue is full")
 
-// ErrStateRejected says that the disk holds a snapshot or a log that is whole and that the state machine or the replica rejects: one of
-// another build, or the result of a fault in this one. Neither a retry nor another disk operation mends it.
-var ErrStateRejected = errors.New("state on the disk rejected")
+// ErrStateRejected means that a snapshot or log is intact but rejected by the state machine or the replica: it comes from an
+// incompatible build, or from a bug in this one. Retrying doesn't help.
+var ErrStateRejected = errors.New("state on disk rejected")
 
-// IsFatal reports whether an error of a member can't be mended by opening it again: the disk is damaged, or what it holds is rejected.
+// IsFatal reports whether reopening the member can't resolve an error: the disk is corrupt, or the state on it is rejected.
 func IsFatal(err error) bool {
 	return errors.Is(err, storage.ErrCorrupt) || errors.Is(err, ErrStateRejected)
 }
 
-// NotLeaderError says that this member could not complete a call.
+// NotLeaderError means that this member could not complete a call.
 type NotLeaderError struct {
 	Group   string
-	Leader  string // address of the leader; empty: not known
-	Dropped bool   // the command was certainly not proposed; else it may yet be committed
-	Cause   error  // why, where this member is out of service or the caller gave up; else nil
+	Leader  string // address of the leader; empty if unknown
+	Dropped bool   // whether the command was definitely not proposed; otherwise it may still be committed
+	Cause   error  // set if the member is out of service, its queue is full or the caller's context ended
 }
 
 // Error implements error.
--- a/internal/tier/group/failure.go
+++ b/internal/tier/group/failure.go
@@ -2,24 +2,24 @@
 
 import "github.com/go-kit/log/level"
 
-// failed returns why the member is out of service; nil: it works.
-func (g *Group) failed() error {
+// failureCause returns the cause for which the member is out of service, or nil if it is in service.
+func (g *Group) failureCause() error {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.failure
 }
 
-// fail takes the member out of service: all pending calls end, and as far as it knows there is no leader.
+// fail logs the cause and takes the member out of service.
 func (g *Group) fail(cause error) {
 	level.Error(g.options.Logger).Log("msg", "replica stopped", "group", g.options.Name, "err", cause)
 	g.disable(cause)
 }
 
-// disable takes the member out of service without a log line.
+// disable takes the member out of service: all pending calls fail, and its status names no leader.
 func (g *Group) disable(cause error) {
 	g.mutex.Lock()
 	g.failure = cause
-	g.releaseSnapshotSlot(false)
+	g.releaseReceiveSlot(false)
 	calls := g.pendingCalls
 	g.pendingCalls = map[uint64]pendingCall{}
 	g.mutex.Unlock()
@@ -31,8 +31,8 @@
 	}
 }
 
-// Reopen recovers a failed member from its disk, as a new process would: nothing that memory held is kept. What the failed
-// operation left behind has been truncated, as far as the disk allowed.
+// Reopen recovers a failed member from its disk, as a new process would, and discards the state in memory. Package storage has
+// tried to truncate what the failed operation left on disk.
 func (g *Group) Reopen() error {
 	g.awaitCompaction()
 	if g.disk != nil {
--- a/internal/tier/group/format_test.go
+++ b/internal/tier/group/format_test.go
@@ -12,7 +12,7 @@
 	"mastusher/internal/tier/replica"
 )
 
-// formatEnvelopes are envelopes with each kind of message and of entry; together they set each field.
+// formatEnvelopes contain each kind of message and of entry, and together set every field.
 var formatEnvelopes = []Envelope{
 	{Group: "g", Message: replica.Message{Kind: replica.RequestVote, From: "a", To: "b", Term: 3, PreVote: true, Index: 7, LogTerm: 2,
 		Address: "a:1", LeadershipTransfer: true}},
@@ -31,10 +31,11 @@
 	{Group: "g", Message: replica.Message{Kind: replica.InstallSnapshotResponse, From: "b", To: "a", Term: 3, Index: 6, Chunk: 1, Reject: true, Address: "b:1"}},
 }
 
-// formatProposal is a command as it lies in an entry of the log.
+// formatProposal is a command as it is stored in a log entry.
 var formatProposal = proposal{Origin: "a@1f", Token: 4, Command: json.RawMessage(`{"x":1}`)}
 
-// Members of earlier versions send these bytes, and read them.
+// Members of earlier versions send and receive exactly the bytes in the testdata file, so a changed format would break rolling
+// upgrades.
 func TestWireFormat_ReadsMessagesOfEarlierVersions(t *testing.T) {
 	t.Parallel()
 	golden, err := os.ReadFile(filepath.Join("testdata", "format", "envelopes.jsonl"))
@@ -43,7 +44,7 @@
 	}
 	lines := bytes.Split(bytes.TrimSuffix(golden, []byte("\n")), []byte("\n"))
 	if len(lines) != len(formatEnvelopes) {
-		t.Fatalf("%d envelopes on file, want %d", len(lines), len(formatEnvelopes))
+		t.Fatalf("envelopes.jsonl holds %d envelopes, want %d", len(lines), len(formatEnvelopes))
 	}
 	for i, want := range formatEnvelopes {
 		t.Run(string(want.Message.Kind), func(t *testing.T) {
@@ -65,7 +66,7 @@
 	}
 }
 
-// Entries of a log on disk hold these bytes.
+// Entries in existing logs hold exactly the bytes in the testdata file.
 func TestStoredFormat_ReadsProposalsOfEarlierVersions(t *testing.T) {
 	t.Parallel()
 	golden, err := os.ReadFile(filepath.Join("testdata", "format", "proposal.json"))
--- a/internal/tier/group/group.go
+++ b/internal/tier/group/group.go
@@ -9,44 +9,44 @@
 	"mastusher/internal/tier/storage"
 )
 
-// Group is one running member. Open makes it, Run drives it.
+// Group is a running member of a replica group. Open creates it, Run drives it.
 type Group struct {
 	options Options
-	origin  string // names this process in proposals, so that it finds the outcomes of its own
+	origin  string // identifies this process in proposals, so that it recognizes its own when they are committed
 	wake    chan struct{}
 	status  atomic.Pointer[replica.Status]
 	stats   atomic.Pointer[MemberStats]
 
-	nextRunDue atomic.Int64 // when the next iteration is due at the latest, by options.Clock
+	nextIterationDue atomic.Int64 // latest time of the next iteration, by options.Clock
 
 	// Owned by the member's goroutine.
-	disk                 *storage.Group // nil: could not be reopened
+	disk                 *storage.Group // nil if it could not be reopened
 	replica              *replica.Replica
 	hardState            replica.HardState
-	entries              []replica.Entry // saved since the last snapshot
-	snapshotIndex        uint64          // last entry of that snapshot
-	logBytesAtCompaction int64           // length that the log had after the last compaction
+	entries              []replica.Entry // in the log after the last snapshot
+	snapshotIndex        uint64          // index of the last entry that the snapshot covers
+	logBytesAtCompaction int64           // length of the log after the last compaction
 	stateMachine         ChunkedStateMachine
-	initialState         []json.RawMessage // chunks of the state of a machine that has applied nothing
-	receiving            bool              // it holds one of options.ReceiveLimiter's slots
-	compaction           *compaction       // under way; nil: none
-	snapshotWanted       atomic.Bool       // there is capacity again for a snapshot that was refused; set by others too
-	peerAddresses        map[string]string // by identity, as messages have brought them
+	initialState         []json.RawMessage // chunks of the state before any command was applied
+	receiving            bool              // whether this member holds a slot of options.ReceiveLimiter
+	compaction           *compaction       // running; nil if none
+	snapshotRequested    atomic.Bool       // whether to request a refused snapshot again; also set by other members' goroutines
+	peerAddresses        map[string]string // by identity, learned from messages
 
-	mutex        sync.Mutex // guards all below
+	mutex        sync.Mutex // guards the fields below
 	input        replica.Input
 	queuedBytes  int // of messages and commands in input
 	pendingCalls map[uint64]pendingCall
 	lastToken    uint64
-	failure      error  // why the member is out of service; nil: it works
-	onStopped    func() // to be called when the member has stopped; nil: it is not to stop
-	forgetOnStop bool   // its state goes from the disk then
+	failure      error  // why the member is out of service; nil if it is in service
+	onStopped    func() // called once the member has stopped; nil if no stop is requested
+	forgetOnStop bool   // whether a stop also removes the member's state from the disk
 }
 
 // Name returns the group's name.
 func (g *Group) Name() string { return g.options.Name }
 
-// TransferLeadership has the member hand the leadership over, if it leads, once its pending calls are resolved.
+// TransferLeadership asks the member, if it is the leader, to hand over the leadership once its pending calls are resolved.
 func (g *Group) TransferLeadership() {
 	g.mutex.Lock()
 	g.input.TransferLeadership = true
@@ -54,8 +54,8 @@
 	g.signal()
 }
 
-// SetTargetMembers sets the members that the group is to have. The leader moves it there one member at a time; an empty list
-// leaves it as it is.
+// SetTargetMembers sets the members that the group should have. The leader changes the membership one member at a time; an empty
+// list leaves it unchanged.
 func (g *Group) SetTargetMembers(members []replica.Member) {
 	g.mutex.Lock()
 	g.input.TargetMembers = members
@@ -63,14 +63,15 @@
 	g.signal()
 }
 
-// SetContacts sets the processes that may be in the group without this member's knowing: it asks them too when it hears no leader.
+// SetContacts sets processes that may be members of the group although this member's configuration doesn't list them. The member
+// also contacts them when it hears from no leader.
 func (g *Group) SetContacts(contacts []replica.Member) {
 	g.mutex.Lock()
 	g.input.Contacts = contacts
 	g.mutex.Unlock()
 }
 
-// signal has the member's goroutine run an iteration soon.
+// signal wakes the member's goroutine for an iteration.
 func (g *Group) signal() {
 	select {
 	case g.wake <- struct{}{}:
--- a/internal/tier/group/iteration.go
+++ b/internal/tier/group/iteration.go
@@ -9,7 +9,8 @@
 	"mastusher/internal/tier/replica"
 )
 
-// process takes the input in, and carries out the Ready that follows from it in the order that package replica demands.
+// process passes the queued input to the replica and processes the resulting Ready in the order that package replica requires. It
+// returns the latest time of the next iteration. An error is the disk's, or ErrStateRejected.
 func (g *Group) process() (time.Duration, error) {
 	input := g.takeInput()
 	g.learnAddresses(input.Messages)
@@ -23,11 +24,11 @@
 		return 0, err
 	}
 	timing.save = timing.lap()
-	g.releaseSnapshotSlot(g.replica.IsReceivingSnapshot())
+	g.releaseReceiveSlot(g.replica.IsReceivingSnapshot())
 	if err := g.send(ready.MessagesAfterSync); err != nil {
 		return 0, err
 	}
-	g.nextRunDue.Store(int64(ready.NextWake))
+	g.nextIterationDue.Store(int64(ready.NextWake))
 	results := g.apply(ready.CommittedEntries)
 	timing.apply = timing.lap()
 	g.publish()
@@ -37,12 +38,12 @@
 	}
 	timing.compact = timing.lap()
 	g.recordStats()
-	g.logSlowRun(&timing, &ready)
+	g.logSlowIteration(&timing, &ready)
 	return ready.NextWake, nil
 }
 
-// send sends messages, and adds the data of the chunk to those that install a snapshot. Chunks of a snapshot that has been
-// replaced meanwhile are left out. An error is one of the disk.
+// send sends messages, after adding the chunk's data to each InstallSnapshot. It skips chunks of a snapshot that has been
+// replaced since. An error is the disk's.
 func (g *Group) send(messages []replica.Message) error {
 	for _, message := range messages {
 		if message.Kind == replica.InstallSnapshot {
@@ -62,6 +63,8 @@
 	return nil
 }
 
+// sendOne sends a message to the address in the configuration or, failing that, to the one learned from messages. Without either
+// it drops the message.
 func (g *Group) sendOne(message replica.Message) {
 	address := g.replica.Address(message.To)
 	if address == "" {
@@ -72,8 +75,8 @@
 	}
 }
 
-// learnAddresses notes where messages come from: a new member has no configuration yet, and one that is behind lacks the
-// members that were added since.
+// learnAddresses records the senders' addresses: a new member has no configuration yet, and the configuration of a member that
+// lags behind lacks members that were added since.
 func (g *Group) learnAddresses(messages []replica.Message) {
 	for i := range messages {
 		if m := &messages[i]; m.To == g.options.Replica.ID && m.Address != "" && g.peerAddresses[m.From] != m.Address {
@@ -82,7 +85,8 @@
 	}
 }
 
-// save puts the records of a Ready on disk, and keeps the copy of the entries from which a compaction writes what remains.
+// save writes a Ready to disk, restores the state machine from a snapshot that it installs, and updates the copy of the entries
+// from which a compaction writes those that remain.
 func (g *Group) save(ready *replica.Ready) error {
 	if err := g.disk.Save(ready); err != nil {
 		return err
@@ -103,7 +107,7 @@
 	return nil
 }
 
-// apply folds committed commands in and returns the results of those proposed here, by token.
+// apply applies committed commands to the state machine and returns the results of those proposed by this process, by token.
 func (g *Group) apply(committed []replica.Entry) map[uint64]any {
 	var results map[uint64]any
 	for _, entry := range committed {
@@ -129,10 +133,10 @@
 	return results
 }
 
-// replay folds in a command whose result nobody here waits for.
+// replay applies a command that another process proposed, so that its result isn't needed.
 func (g *Group) replay(index uint64, command json.RawMessage) {
-	if replaying, ok := g.options.StateMachine.(Replayer); ok {
-		replaying.Replay(index, command)
+	if replayer, ok := g.options.StateMachine.(Replayer); ok {
+		replayer.Replay(index, command)
 		return
 	}
 	g.stateMachine.Apply(index, command)
--- a/internal/tier/group/member_test.go
+++ b/internal/tier/group/member_test.go
@@ -11,7 +11,7 @@
 	// Given a group with a leader,
 	c := newCluster(t, "a", "b", "c")
 	c.runUntil("there is a leader", func() bool { return c.leader() != "" })
-	// when a member that knows nobody is to take the place of one that is lost,
+	// when a new member without any state replaces one that is lost,
 	lost := c.members[0]
 	if lost.Address == c.leader() {
 		lost = c.members[1]
@@ -20,12 +20,12 @@
 	c.open("d", 9, nil)
 	target := append(slices.DeleteFunc(slices.Clone(c.members), func(m replica.Member) bool { return m == lost }), member("d"))
 	c.setTargetMembers(target...)
-	// then it gets a vote.
-	c.runUntil("the new member has a vote", func() bool { return c.isVoter(member("d")) })
+	// then the new member becomes a voter.
+	c.runUntil("the new member is a voter", func() bool { return c.isVoter(member("d")) })
 }
 
 func TestGroup_MemberBehind_VotesForUnknownCandidate(t *testing.T) {
-	// Given a group of which one member doesn't learn that a new one takes the place of another,
+	// Given a group in which one member, behind, doesn't learn that a new member, d, has replaced another one,
 	c := newCluster(t, "a", "b", "c")
 	c.runUntil("there is a leader", func() bool { return c.leader() != "" })
 	rest := slices.DeleteFunc(slices.Clone(c.members), func(m replica.Member) bool { return m.Address == c.leader() })
@@ -34,13 +34,13 @@
 	c.isolated[behind.Address] = true
 	c.open("d", 9, nil)
 	c.setTargetMembers(leaderMember, behind, member("d"))
-	c.runUntil("the new member has a vote", func() bool { return c.isVoter(member("d")) })
-	c.runUntil("the old one has none", func() bool { return !slices.Contains(c.groups[leader].Status().Members, leaving) })
-	c.runUntil("the new member knows that", func() bool { return !slices.Contains(c.groups[member("d").Address].Status().Members, leaving) })
-	// when only that one and the new one are left,
+	c.runUntil("the new member is a voter", func() bool { return c.isVoter(member("d")) })
+	c.runUntil("the replaced member is removed from the leader's configuration", func() bool { return !slices.Contains(c.groups[leader].Status().Members, leaving) })
+	c.runUntil("the replaced member is removed from the new member's configuration", func() bool { return !slices.Contains(c.groups[member("d").Address].Status().Members, leaving) })
+	// when only the member behind and the new member are reachable,
 	c.isolated[leader], c.isolated[leaving.Address] = true, true
 	c.isolated[behind.Address] = false
-	// then the new one becomes the leader.
+	// then the new member becomes the leader.
 	c.runUntil("there is a leader", func() bool { return c.leader() != "" })
 }
 
@@ -49,7 +49,7 @@
 	c := newCluster(t, "a", "b", "c")
 	c.runUntil("there is a leader", func() bool { return c.leader() != "" })
 	old := c.leader()
-	c.runUntil("the others know it", func() bool {
+	c.runUntil("all members know the leader", func() bool {
 		for _, address := range c.addresses() {
 			if c.groups[address].Status().Leader == "" {
 				return false
@@ -57,12 +57,12 @@
 		}
 		return true
 	})
-	// when that is to hand over,
+	// when the leader is asked to transfer the leadership,
 	began := c.now
 	c.groups[old].TransferLeadership()
-	// then another one leads the group before an election timeout is over.
+	// then another member becomes the leader within less than an election timeout.
 	c.runUntil("there is another leader", func() bool { return c.leader() != "" && c.leader() != old })
 	if took := c.now - began; took >= election {
-		t.Errorf("it took %v, as long as the timeout of %v", took, election)
+		t.Errorf("the transfer took %v, want less than the election timeout of %v", took, election)
 	}
 }
--- a/internal/tier/group/mutants_test.go
+++ b/internal/tier/group/mutants_test.go
@@ -20,22 +20,22 @@
 			Run:    "^TestCompact_SnapshotBeingSent_Waits$",
 		},
 		{
-			Name:   "a member without a slot receives all the same",
+			Name:   "a member without a receive slot receives a snapshot",
 			Change: mutation.Change{File: "snapshot_limiter.go", Old: "message.Index, message.Snapshot = message.Snapshot.Index, nil", New: "_ = message"},
 			Run:    "^TestSnapshotLimiter_TwoMembers_ReceiveInTurn$",
 		},
 		{
-			Name:   "a slot is never released",
+			Name:   "a receive slot is never released",
 			Change: mutation.Change{File: "snapshot_limiter.go", Old: "		g.options.ReceiveLimiter.release()\n", New: ""},
 			Run:    "^TestSnapshotLimiter_TwoMembers_ReceiveInTurn$",
 		},
 		{
-			Name:   "a machine isn't set to the snapshot that was installed",
+			Name:   "the state machine isn't restored from an installed snapshot",
 			Change: mutation.Change{File: "iteration.go", Old: "if err := g.restore(g.disk, true); err != nil {", New: "if err := error(nil); err != nil {"},
 			Run:    "^TestSnapshot_MemberJoins_GetsEachChunkOnce$",
 		},
 		{
-			Name:   "what was queued counts for ever",
+			Name:   "processed input is never released from the queue budget",
 			Change: mutation.Change{File: "queue.go", Old: "	g.options.QueueBudget.release(g.queuedBytes)\n", New: ""},
 			Run:    "^TestQueueBudget_TwoMembers_ShareIt$",
 		},
--- a/internal/tier/group/options.go
+++ b/internal/tier/group/options.go
@@ -10,41 +10,41 @@
 	"mastusher/internal/tier/storage"
 )
 
-// Options sets a member up.
+// Options configures a member.
 type Options struct {
-	Name         string // of the group, the same at all members; begins the names of its files
+	Name         string // of the group, the same for all members; the prefix of its file names
 	Replica      replica.Options
 	Disk         storage.Disk
-	StateMachine StateMachine                            // a ChunkedStateMachine where the state may be large
+	StateMachine StateMachine                            // should be a ChunkedStateMachine if the state may be large
 	Send         func(address string, envelope Envelope) // must not block; messages may be lost, duplicated and reordered
-	// CompactionLock is held while a member compacts, so that members that share it do so in turn: together they would keep the disk
-	// from all others for longer. Nil: one of its own.
+	// CompactionLock is held during a compaction, so that members that share it compact one at a time: concurrent compactions would
+	// slow down the disk for all other members for longer. Default: a lock of its own.
 	CompactionLock *sync.Mutex
-	// ReceiveLimiter bounds the snapshots that members that share it receive at once. More fill an empty machine sooner, and take
-	// more memory. Nil: one of its own, for one snapshot.
+	// ReceiveLimiter bounds how many snapshots the members that share it receive at once. A higher limit fills an empty machine
+	// sooner, and takes more memory. Default: a limiter of its own, for one snapshot.
 	ReceiveLimiter *SnapshotLimiter
-	// QueueBudget bounds the bytes that are queued at all members that share it. A larger one bears longer stalls of the disk without
-	// losing messages, and takes as much more memory. Nil: one of its own, of 4 MiB.
+	// QueueBudget bounds the bytes queued by all members that share it. A larger budget tolerates longer disk stalls without losing
+	// messages, and takes as much more memory. Default: a budget of its own, of 4 MiB.
 	QueueBudget *QueueBudget
-	// CompactionBytes is the length of the log from which on a snapshot replaces it; it is at least a quarter of the last
-	// snapshot's length, and twice as much while a snapshot is sent or received. A larger one writes the state more seldom,
-	// and costs disk, memory and time of a restart. 0: 1 MiB.
+	// CompactionBytes is the growth of the log that triggers a compaction. The actual threshold is at least a quarter of the last
+	// snapshot's length, and doubles while a snapshot is sent or received. A larger value writes the state less often, but costs
+	// disk space, memory and restart time. Default: 1 MiB.
 	CompactionBytes int64
 	Logger          log.Logger
-	// Clock must be monotonic. Nil: the time since Open.
+	// Clock must be monotonic. Default: the time since Open.
 	Clock func() time.Duration
-	// RunBackground runs what takes long and isn't the member's goroutine's to wait for: the writing of a compaction's snapshot.
-	// It must not run it more than once. Nil: within the member's iteration, which then takes as long.
+	// RunBackground runs work that would block the member's goroutine for long: writing a compaction's snapshot. It must run work
+	// exactly once. Default: on the member's goroutine, within the iteration.
 	RunBackground func(work func())
-	// OnStatusChange is called after a change of leader, term or members: by Open at first, then on the member's goroutine.
+	// OnStatusChange is called after a change of leader, term or members: first by Open, later on the member's goroutine.
 	// It must not block. May be nil.
 	OnStatusChange func(status replica.Status)
 }
 
-// defaultCompactionBytes is CompactionBytes where the options leave it open.
+// defaultCompactionBytes is the default of Options.CompactionBytes.
 const defaultCompactionBytes = 1 << 20
 
-// setDefaults fills in what the options leave open.
+// setDefaults sets the options that are zero to their defaults.
 func (o *Options) setDefaults() {
 	if o.CompactionBytes == 0 {
 		o.CompactionBytes = defaultCompactionBytes
--- a/internal/tier/group/proposal.go
+++ b/internal/tier/group/proposal.go
@@ -6,16 +6,16 @@
 	"strconv"
 )
 
-// proposal wraps a command on its way through the log, so that its proposer finds the outcome. It is stored.
+// proposal wraps a command in a log entry, so that its proposer can match the outcome to the call. It is a stored format.
 type proposal struct {
 	Origin  string          `json:"o"`
 	Token   uint64          `json:"t"`
 	Command json.RawMessage `json:"c"`
 }
 
-// JSONEncoder is a command that writes its own JSON: one with large fields that are JSON already.
+// JSONEncoder is implemented by commands with large fields that are JSON already, which encoding/json would parse again.
 type JSONEncoder interface {
-	// EncodeJSON returns the command as encoding/json would write it.
+	// EncodeJSON returns the same JSON as encoding/json.
 	EncodeJSON() (json.RawMessage, error)
 }
 
@@ -26,26 +26,26 @@
 	return json.Marshal(command)
 }
 
-// What stands between the fields of a proposal as appendProposal writes it.
+// The text before each field of a proposal as appendProposal writes it.
 const (
-	beforeOrigin  = `{"o":`
-	beforeToken   = `,"t":`
-	beforeCommand = `,"c":`
+	originKey  = `{"o":`
+	tokenKey   = `,"t":`
+	commandKey = `,"c":`
 )
 
-// appendProposal appends a proposal as JSON. The command is copied unread.
+// appendProposal appends a proposal as JSON. It copies the command without parsing it.
 func appendProposal(buffer []byte, p *proposal) []byte {
-	buffer = append(buffer, beforeOrigin...)
-	buffer = strconv.AppendQuoteToASCII(buffer, p.Origin) // an identity and a number: as JSON writes them
-	buffer = append(buffer, beforeToken...)
+	buffer = append(buffer, originKey...)
+	buffer = strconv.AppendQuoteToASCII(buffer, p.Origin) // an identity and a number, which JSON quotes in the same way
+	buffer = append(buffer, tokenKey...)
 	buffer = strconv.AppendUint(buffer, p.Token, 10)
-	buffer = append(buffer, beforeCommand...)
+	buffer = append(buffer, commandKey...)
 	buffer = append(buffer, p.Command...)
 	return append(buffer, '}')
 }
 
-// parseProposal reads an entry's data. The command shares its memory, and is not read where the proposal has the form that
-// appendProposal writes; any other JSON is decoded as a whole.
+// parseProposal parses an entry's data. If it has the form that appendProposal writes, the command is a slice of it and isn't
+// parsed; any other JSON is decoded by encoding/json.
 func parseProposal(data json.RawMessage) (proposal, error) {
 	if p, ok := parseCanonicalProposal(data); ok {
 		return p, nil
@@ -55,16 +55,17 @@
 	return p, err
 }
 
+// parseCanonicalProposal parses a proposal that appendProposal has written, and returns false for any other form.
 func parseCanonicalProposal(data json.RawMessage) (proposal, bool) {
-	rest, ok := bytes.CutPrefix(data, []byte(beforeOrigin+`"`))
+	rest, ok := bytes.CutPrefix(data, []byte(originKey+`"`))
 	if !ok {
 		return proposal{}, false
 	}
-	origin, rest, ok := bytes.Cut(rest, []byte(`"`+beforeToken))
+	origin, rest, ok := bytes.Cut(rest, []byte(`"`+tokenKey))
 	if !ok || bytes.ContainsAny(origin, `"\\`) {
 		return proposal{}, false
 	}
-	written, rest, ok := bytes.Cut(rest, []byte(beforeCommand))
+	written, rest, ok := bytes.Cut(rest, []byte(commandKey))
 	if !ok {
 		return proposal{}, false
 	}
--- a/internal/tier/group/recovery.go
+++ b/internal/tier/group/recovery.go
@@ -10,8 +10,8 @@
 	"mastusher/internal/tier/storage"
 )
 
-// Open recovers the member from its disk. A damaged disk is an error (storage.ErrCorrupt), never an empty disk; so is a state that is
-// whole and that the state machine or the replica rejects (ErrStateRejected).
+// Open recovers the member from its disk. A corrupt disk is never treated as empty: the error is storage.ErrCorrupt. The error is
+// ErrStateRejected if the disk is intact but the state machine or the replica rejects the state on it.
 func Open(options Options) (*Group, error) {
 	options.setDefaults()
 	g := &Group{
@@ -32,7 +32,8 @@
 	return g, nil
 }
 
-// recover sets the member up with what its disk holds. A state machine that has been used starts again from its initial state.
+// recover initializes the member from its disk. If the state machine has been used before, it is reset even if the disk holds no
+// snapshot.
 func (g *Group) recover(used bool) error {
 	disk, recovered, err := storage.Open(g.options.Disk, g.options.Name)
 	if err != nil {
@@ -49,7 +50,7 @@
 	member, err := replica.New(g.options.Replica, recovered, g.options.Clock())
 	if err != nil {
 		_ = disk.Close()
-		return rejected(err)
+		return wrapRejected(err)
 	}
 	g.disk, g.replica = disk, member
 	g.hardState, g.entries = recovered.HardState, recovered.Entries
@@ -60,10 +61,10 @@
 	return nil
 }
 
-// writeInitialSnapshot stores the initial members at the first start, so that a later start needs no others.
+// writeInitialSnapshot saves a snapshot with the initial members at the first start, so that later starts don't need the option.
 func (g *Group) writeInitialSnapshot(disk *storage.Group, recovered *replica.Recovered) error {
-	untouched := recovered.Snapshot == nil && len(recovered.Entries) == 0 && recovered.HardState == replica.HardState{}
-	if !untouched || len(g.options.Replica.InitialMembers) == 0 {
+	empty := recovered.Snapshot == nil && len(recovered.Entries) == 0 && recovered.HardState == replica.HardState{}
+	if !empty || len(g.options.Replica.InitialMembers) == 0 {
 		return nil
 	}
 	first := replica.Snapshot{Members: g.options.Replica.InitialMembers}
@@ -75,13 +76,13 @@
 	return nil
 }
 
-// keepInitialChunk keeps a chunk of the state of a machine that has applied nothing.
+// keepInitialChunk stores a chunk of the state machine's initial state, before any command was applied.
 func (g *Group) keepInitialChunk(chunk json.RawMessage) error {
 	g.initialState = append(g.initialState, bytes.Clone(chunk))
 	return nil
 }
 
-// writeInitialChunks writes what keepInitialChunk has kept.
+// writeInitialChunks is a storage.ChunkSource of the initial state.
 func (g *Group) writeInitialChunks(write func(chunk json.RawMessage) error) error {
 	for _, chunk := range g.initialState {
 		if err := write(chunk); err != nil {
@@ -91,7 +92,8 @@
 	return nil
 }
 
-// restore sets the state machine to what the disk's snapshot holds, chunk by chunk; without one, to its initial state.
+// restore restores the state machine from the snapshot on disk. Without a snapshot, it resets a used state machine to its initial
+// state.
 func (g *Group) restore(disk *storage.Group, used bool) error {
 	chunks := disk.ReadChunks
 	if disk.SnapshotChunks() == 0 {
@@ -101,14 +103,14 @@
 		chunks = g.writeInitialChunks
 	}
 	restorer := g.stateMachine.BeginRestore()
-	if err := chunks(func(chunk json.RawMessage) error { return rejected(restorer.Add(chunk)) }); err != nil {
+	if err := chunks(func(chunk json.RawMessage) error { return wrapRejected(restorer.Add(chunk)) }); err != nil {
 		return err
 	}
-	return rejected(restorer.Finish())
+	return wrapRejected(restorer.Finish())
 }
 
-// rejected marks an error of the state machine, or of the log's replay, as one that reading the same bytes again can't mend.
-func rejected(err error) error {
+// wrapRejected wraps an error of the state machine or the replica in ErrStateRejected, since retrying with the same data can't succeed.
+func wrapRejected(err error) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/tier/group/recovery_test.go
+++ b/internal/tier/group/recovery_test.go
@@ -11,7 +11,7 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// becomeLeader makes the member the leader of its group of one.
+// becomeLeader runs iterations until the only member of a group is its leader.
 func (s *singleMember) becomeLeader() {
 	s.t.Helper()
 	for range 4 {
@@ -19,11 +19,11 @@
 		s.run()
 	}
 	if !s.group.Status().IsLeader {
-		s.t.Fatal("the member doesn't lead its group")
+		s.t.Fatal("the only member is not the leader after 4 iterations")
 	}
 }
 
-// propose has a command agreed on and returns its error.
+// propose proposes a command, runs iterations and returns the command's error.
 func (s *singleMember) propose(text string) error {
 	s.t.Helper()
 	var outcome error
@@ -43,7 +43,7 @@
 
 func TestReopen_DiskWorksAgain_MemberGoesOn(t *testing.T) {
 	faults := map[string]func(kind memorydisk.Operation, name string) error{
-		"full": func(kind memorydisk.Operation, _ string) error {
+		"disk full": func(kind memorydisk.Operation, _ string) error {
 			if kind == memorydisk.Write {
 				return syscall.ENOSPC
 			}
@@ -55,7 +55,7 @@
 			}
 			return nil
 		},
-		"all fails": func(memorydisk.Operation, string) error { return syscall.EIO },
+		"every operation fails": func(memorydisk.Operation, string) error { return syscall.EIO },
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
@@ -65,23 +65,23 @@
 			if err := single.propose("x"); err != nil {
 				t.Fatal(err)
 			}
-			// when its disk fails for a while, during which it is tried again,
+			// when its disk fails for a while, during which the member is reopened,
 			single.disk.InjectFaults(fault)
 			if err := single.propose("y"); err == nil {
 				t.Fatal("a command was acknowledged without having been saved")
 			}
 			if status := single.group.Status(); status.IsLeader || single.changes[len(single.changes)-1].IsLeader {
-				t.Fatal("a failed member says that it leads the group")
+				t.Fatal("a failed member reports that it is the leader")
 			}
 			failed := single.group.Reopen()
 			if _, err := single.group.RunOnce(); err == nil && failed != nil {
-				t.Fatalf("the member was not reopened (%v), and goes on", failed)
+				t.Fatalf("reopening failed (%v), but an iteration succeeded", failed)
 			}
-			var not *group.NotLeaderError
-			if err := single.propose("z"); !errors.As(err, &not) {
-				t.Fatalf("a command while the disk fails gives %v", err)
+			var notLeader *group.NotLeaderError
+			if err := single.propose("z"); !errors.As(err, &notLeader) {
+				t.Fatalf("a command while the disk fails returned %v, want a NotLeaderError", err)
 			}
-			// then, once the disk works again, the member has what it acknowledged and takes more.
+			// then, once the disk works again, the member has what it acknowledged and accepts more commands.
 			single.disk.InjectFaults(nil)
 			if err := single.group.Reopen(); err != nil {
 				t.Fatal(err)
@@ -91,7 +91,7 @@
 				t.Fatal(err)
 			}
 			if got := single.machine.Commands; !slices.Equal(got, []string{`"x"`, `"w"`}) {
-				t.Fatalf("the state holds %v", got)
+				t.Fatalf("the state machine holds %v, want x and w", got)
 			}
 		})
 	}
@@ -105,23 +105,23 @@
 	if err := single.propose("x"); err == nil {
 		t.Fatal("a command was acknowledged without having been saved")
 	}
-	// when a command comes,
+	// when a command is proposed,
 	_, err := single.group.Propose(context.Background(), "y")
-	// then its caller learns that it certainly isn't committed.
-	var not *group.NotLeaderError
-	if !errors.As(err, &not) || !not.Dropped {
-		t.Fatalf("the error is %v", err)
+	// then its caller learns that it was dropped.
+	var notLeader *group.NotLeaderError
+	if !errors.As(err, &notLeader) || !notLeader.Dropped {
+		t.Fatalf("error %v, want a NotLeaderError with Dropped set", err)
 	}
 }
 
 func TestReopen_DiskDamaged_Fails(t *testing.T) {
-	// Given a leader that has saved something,
+	// Given a leader that has saved a command,
 	single := newSingle(t, 0, "a")
 	single.becomeLeader()
 	if err := single.propose("x"); err != nil {
 		t.Fatal(err)
 	}
-	// when its disk fails, and what had been saved turns out to be damaged,
+	// when its disk fails and the saved files are corrupt,
 	single.disk.InjectFaults(func(kind memorydisk.Operation, _ string) error {
 		if kind == memorydisk.Write {
 			return syscall.EIO
@@ -140,8 +140,8 @@
 			t.Fatal(err)
 		}
 	}
-	// then the member doesn't go on.
+	// then the member can't be reopened.
 	if err := single.group.Reopen(); err == nil {
-		t.Fatal("the member goes on with a damaged disk")
+		t.Fatal("the member was reopened on a corrupt disk")
 	}
 }
--- a/internal/tier/group/rejected_test.go
+++ b/internal/tier/group/rejected_test.go
@@ -13,7 +13,7 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// rejectingMachine rejects every snapshot, as one of another build would.
+// rejectingMachine rejects every snapshot, as the state machine of an incompatible build would.
 type rejectingMachine struct{ commandList }
 
 var errOtherBuild = errors.New("a snapshot of another build")
@@ -27,7 +27,7 @@
 	_, err := group.Open(group.Options{Name: "g", Disk: single.disk, StateMachine: &rejectingMachine{}, Logger: log.NewNopLogger(),
 		Send: func(string, group.Envelope) {}, Replica: replica.Options{ID: "a", Address: "a:1", HeartbeatInterval: heartbeat, ElectionTimeout: election}})
 	if !errors.Is(err, group.ErrStateRejected) || !errors.Is(err, errOtherBuild) || !group.IsFatal(err) {
-		t.Errorf("error %v, want a fatal one", err)
+		t.Errorf("error %v, want a fatal ErrStateRejected caused by %v", err, errOtherBuild)
 	}
 }
 
@@ -42,16 +42,16 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- opened.Run(t.Context()) }()
-	// when that comes,
+	// when the snapshot arrives,
 	opened.Deliver(replica.Message{Kind: replica.InstallSnapshot, From: b.ID, Address: b.Address, To: a.ID, Term: 2,
 		Snapshot: &replica.Snapshot{Index: 9, Term: 2, Members: []replica.Member{a, b, c}, Chunks: 1, State: json.RawMessage(`{}`)}})
-	// then the member ends, in place of opening its disk again and again.
+	// then Run returns, instead of reopening the member in a loop.
 	select {
 	case err := <-ended:
 		if !errors.Is(err, group.ErrStateRejected) {
-			t.Errorf("it ended with %v", err)
+			t.Errorf("Run returned %v, want ErrStateRejected", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("it goes on")
+		t.Error("Run has not returned after 10 s")
 	}
 }
--- a/internal/tier/group/run.go
+++ b/internal/tier/group/run.go
@@ -7,17 +7,16 @@
 	"github.com/go-kit/log/level"
 )
 
-// reopenInterval is the time from a failure of the disk until a member recovers from what the disk holds.
+// reopenInterval is the delay before each attempt to reopen a member after a disk failure.
 const reopenInterval = 300 * time.Millisecond
 
-// transferElectionTimeouts is the number of election timeouts for which a member that is to end waits until the group has
-// another leader.
+// transferElectionTimeouts is the number of election timeouts for which Run waits, before it returns, for another leader.
 const transferElectionTimeouts = 2
 
-// Run drives the member until ctx ends, and then, if it leads, until the group has another leader, for two election timeouts
-// at most. Where its disk fails it recovers from what the disk holds, as often as needed, so that the process need not end
-// for that. What cannot be repaired so is returned: a damaged disk, or a state on it that is rejected (IsFatal). What RunBackground runs has ended when
-// Run returns.
+// Run drives the member until ctx ends. If the member is then the leader, Run transfers the leadership and waits for another
+// leader, for two election timeouts at most. After a disk failure it reopens the member until that succeeds, so that the process
+// need not restart. It returns only errors that reopening can't resolve (IsFatal). Work passed to RunBackground has ended when Run
+// returns.
 func (g *Group) Run(ctx context.Context) error {
 	defer g.awaitCompaction()
 	if err := g.runUntil(ctx, func() bool { return false }); err != nil {
@@ -32,7 +31,7 @@
 	return g.runUntil(bounded, g.hasOtherLeader)
 }
 
-// runUntil runs iterations until ctx ends, or until holds after one.
+// runUntil runs iterations until ctx ends, the member has stopped, or until returns true after an iteration.
 func (g *Group) runUntil(ctx context.Context, until func() bool) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -57,7 +56,7 @@
 	}
 }
 
-// reopen retries Reopen at an interval until it succeeds, ctx ends or the error is fatal.
+// reopen calls Reopen at intervals until it succeeds, ctx ends or the error is fatal. It returns only a fatal error.
 func (g *Group) reopen(ctx context.Context) error {
 	for {
 		select {
@@ -77,14 +76,13 @@
 	}
 }
 
-// RunOnce runs one iteration and returns when the next one is due at the latest, by Options.Clock. After an error, which is
-// the disk's, the member is out of service until Reopen succeeds: it sends nothing, knows no leader, and all calls fail. A
-// member that has stopped does nothing.
+// RunOnce runs one iteration and returns the latest time of the next one, by Options.Clock. After an error, the member is out of
+// service until Reopen succeeds: it sends nothing, reports no leader, and all calls fail. A stopped member does nothing.
 func (g *Group) RunOnce() (time.Duration, error) {
 	if g.stop() || g.isStopped() {
-		return g.options.Clock() + stoppedWake, nil
+		return g.options.Clock() + stoppedWakeInterval, nil
 	}
-	if err := g.failed(); err != nil {
+	if err := g.failureCause(); err != nil {
 		return 0, err
 	}
 	next, err := g.process()
--- a/internal/tier/group/single_test.go
+++ b/internal/tier/group/single_test.go
@@ -13,7 +13,7 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// singleMember is one member in virtual time whose messages are kept, and to which a test speaks for the others.
+// singleMember is one member of a group in virtual time. Its messages are recorded, and the test sends it those of other members.
 type singleMember struct {
 	t       *testing.T
 	now     time.Duration
@@ -23,11 +23,11 @@
 	sent    []replica.Message
 	changes []replica.Status
 
-	inBackground bool     // compactions are written when the test says so
-	work         []func() // of compactions, to be called by the test
+	inBackground bool     // whether compactions are written only when the test calls work
+	work         []func() // passed to RunBackground
 }
 
-// newSingle opens member a of a group of those names.
+// newSingle opens member a of a group with the given member names.
 func newSingle(t *testing.T, compactionBytes int64, names ...string) *singleMember {
 	t.Helper()
 	s := &singleMember{t: t, disk: memorydisk.New(), machine: &commandList{}}
@@ -60,7 +60,7 @@
 	s.group = opened
 }
 
-// run delivers messages and lets the member act on them.
+// run delivers messages and runs one iteration.
 func (s *singleMember) run(messages ...replica.Message) {
 	s.t.Helper()
 	for _, message := range messages {
@@ -72,20 +72,20 @@
 	}
 }
 
-// appendEntries is what the leader b sends in its term.
+// appendEntries returns an AppendEntries message from member b as the leader of the term.
 func appendEntries(term, previous, previousTerm, commit uint64, entries ...replica.Entry) replica.Message {
 	return replica.Message{Kind: replica.AppendEntries, From: member("b").ID, Address: member("b").Address, Term: term,
 		Index: previous, LogTerm: previousTerm, Commit: commit, Entries: entries}
 }
 
-// command is an entry as another member has proposed it.
+// command returns an entry that another member has proposed.
 func command(index, term uint64, text string) replica.Entry {
 	content, _ := json.Marshal(text)
 	data, _ := json.Marshal(map[string]any{"o": "other", "t": index, "c": json.RawMessage(content)})
 	return replica.Entry{Index: index, Term: term, Data: data}
 }
 
-// recovered is what the next process would find on the disk.
+// recovered returns what the next process would recover from the disk.
 func (s *singleMember) recovered() replica.Recovered {
 	s.t.Helper()
 	opened, recovered, err := storage.Open(s.disk, "g")
--- a/internal/tier/group/snapshot_limiter.go
+++ b/internal/tier/group/snapshot_limiter.go
@@ -7,19 +7,19 @@
 	"mastusher/internal/tier/replica"
 )
 
-// SnapshotLimiter bounds how many members of a process receive snapshots at the same time. A member without a slot does
-// everything else. When a slot is free, the one that has waited for the longest time asks its leader for the first chunk again;
-// the leader also sends that again after a while.
+// SnapshotLimiter bounds how many members of a process receive snapshots at the same time. A member without a receive slot works
+// normally otherwise. When a slot becomes free, the member that has waited longest asks its leader for the first chunk again; the
+// leader also resends that chunk by itself after a while.
 type SnapshotLimiter struct {
 	mutex   sync.Mutex
-	free    int      // slots
-	waiting []*Group // that were refused a slot since they last had one
+	free    int      // number of free slots
+	waiting []*Group // members that were refused a slot, the longest waiting first
 }
 
-// NewSnapshotLimiter returns a limiter with so many slots.
+// NewSnapshotLimiter returns a limiter that lets the given number of members receive at once.
 func NewSnapshotLimiter(members int) *SnapshotLimiter { return &SnapshotLimiter{free: members} }
 
-// tryAcquire takes a slot for a member, or has it wait for one.
+// tryAcquire takes a slot for a member, or adds the member to the waiting ones and returns false.
 func (l *SnapshotLimiter) tryAcquire(g *Group) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -35,7 +35,7 @@
 	return true
 }
 
-// release returns a slot, and tells the member that has waited for the longest time.
+// release frees a slot and signals the member that has waited longest.
 func (l *SnapshotLimiter) release() {
 	l.mutex.Lock()
 	l.free++
@@ -50,16 +50,16 @@
 	}
 }
 
-// requestSnapshot has the member ask its leader for the snapshot that it had no capacity for. It takes no lock of the member, since
-// other members call it.
+// requestSnapshot makes the member ask its leader for the snapshot that it refused before. Other members' goroutines call it, so it
+// takes none of the member's locks.
 func (g *Group) requestSnapshot() {
-	g.snapshotWanted.Store(true)
+	g.snapshotRequested.Store(true)
 	g.signal()
 }
 
-// limitIncomingSnapshots removes the snapshots from messages that bring chunks of them, unless this member has or gets a
-// slot. What is left of such a message shows that the leader is there, and which snapshot it has. A compaction under way has the
-// slot on the disk; it is canceled.
+// limitIncomingSnapshots removes the chunks from InstallSnapshot messages unless this member has or gets a receive slot. The rest
+// of the message still proves that the leader is alive, and names its snapshot. A running compaction uses the same slot on disk as
+// a received snapshot; it is canceled, and the chunk is refused until it has ended.
 func (g *Group) limitIncomingSnapshots(messages []replica.Message) {
 	for i := range messages {
 		message := &messages[i]
@@ -73,8 +73,8 @@
 	}
 }
 
-// releaseSnapshotSlot returns this member's slot once it no longer receives a snapshot.
-func (g *Group) releaseSnapshotSlot(receiving bool) {
+// releaseReceiveSlot releases this member's receive slot unless it is still receiving a snapshot.
+func (g *Group) releaseReceiveSlot(receiving bool) {
 	if g.receiving && !receiving {
 		g.receiving = false
 		g.options.ReceiveLimiter.release()
--- a/internal/tier/group/state_machine.go
+++ b/internal/tier/group/state_machine.go
@@ -10,7 +10,7 @@
 
 // StateMachine is the state that a group replicates. Its methods are called by the member's goroutine only.
 type StateMachine interface {
-	// Apply folds the command in and returns the result for its proposer. It must be deterministic.
+	// Apply executes a command and returns the result for its proposer. It must be deterministic.
 	Apply(index uint64, command json.RawMessage) any
 	// Snapshot returns the complete state.
 	Snapshot() (json.RawMessage, error)
@@ -18,46 +18,46 @@
 	Restore(state json.RawMessage) error
 }
 
-// Replayer is a StateMachine that saves work where nobody waits for a command's result.
+// Replayer is a StateMachine that can execute a command with less work if its result isn't needed.
 type Replayer interface {
-	// Replay folds the command in as Apply does, without a result.
+	// Replay executes a command as Apply does, without a result.
 	Replay(index uint64, command json.RawMessage)
 }
 
-// StateSizer is a StateMachine that knows how many bytes its contents take.
+// StateSizer is a StateMachine that knows the size of its state.
 type StateSizer interface {
-	// StateBytes is called by the group's goroutine only.
+	// StateBytes is called by the member's goroutine only.
 	StateBytes() int64
 }
 
-// ChunkedStateMachine is a StateMachine whose state may be large: it is read and replaced in chunks of bounded size, so that
-// no copy of it is in memory.
+// ChunkedStateMachine is a StateMachine whose state may be large. It is read and restored in chunks of bounded size, so that no
+// complete copy of it is needed in memory.
 type ChunkedStateMachine interface {
 	StateMachine
-	// CaptureChunks returns the state as it is now, as a source that hands it over in chunks, in their order. The source may run on
-	// another goroutine, while the machine applies further commands: it must not see them.
+	// CaptureChunks returns a source of the current state's chunks, in order. The source may run on another goroutine while the
+	// machine applies more commands, whose effects it must not include.
 	CaptureChunks() storage.ChunkSource
-	// BeginRestore begins to replace the state. What the machine holds may be dropped at once.
+	// BeginRestore begins to replace the state. The machine may drop its current state at once.
 	BeginRestore() Restorer
 }
 
-// Restorer replaces a machine's state by the one that comes in chunks. After an error the machine's state is undefined.
+// Restorer replaces a machine's state, chunk by chunk. After an error the machine's state is undefined.
 type Restorer interface {
-	// Add takes the next chunk in, and must not keep its memory.
+	// Add adds the next chunk. It must not retain the slice.
 	Add(chunk json.RawMessage) error
-	// Finish ends the series of chunks.
+	// Finish completes the state after the last chunk.
 	Finish() error
 }
 
-// asChunked returns a machine as one in chunks; a plain StateMachine has a single chunk.
+// asChunked returns the machine if it is a ChunkedStateMachine, and otherwise wraps it so that its state is a single chunk.
 func asChunked(machine StateMachine) ChunkedStateMachine {
-	if large, ok := machine.(ChunkedStateMachine); ok {
-		return large
+	if chunked, ok := machine.(ChunkedStateMachine); ok {
+		return chunked
 	}
 	return singleChunkMachine{machine}
 }
 
-// singleChunkMachine has its complete state in one chunk.
+// singleChunkMachine adapts a StateMachine to ChunkedStateMachine, with its complete state in one chunk.
 type singleChunkMachine struct{ StateMachine }
 
 // CaptureChunks implements ChunkedStateMachine.
@@ -76,19 +76,19 @@
 	return &singleChunkRestorer{machine: m.StateMachine}
 }
 
-// singleChunkRestorer keeps the only chunk until the end.
+// singleChunkRestorer restores a StateMachine from a single chunk once Finish is called.
 type singleChunkRestorer struct {
 	machine StateMachine
 	state   json.RawMessage
 }
 
-// errNotOneChunk rejects a state of several chunks, or of none, for a plain StateMachine.
-var errNotOneChunk = errors.New("the state must come in a single chunk")
+// errNotSingleChunk rejects a state of no or several chunks for a StateMachine that is not chunked.
+var errNotSingleChunk = errors.New("the state must come in a single chunk")
 
 // Add implements Restorer.
 func (r *singleChunkRestorer) Add(chunk json.RawMessage) error {
 	if r.state != nil {
-		return errNotOneChunk
+		return errNotSingleChunk
 	}
 	r.state = bytes.Clone(chunk)
 	return nil
@@ -97,7 +97,7 @@
 // Finish implements Restorer.
 func (r *singleChunkRestorer) Finish() error {
 	if r.state == nil {
-		return errNotOneChunk
+		return errNotSingleChunk
 	}
 	return r.machine.Restore(r.state)
 }
--- a/internal/tier/group/stats.go
+++ b/internal/tier/group/stats.go
@@ -8,15 +8,15 @@
 	"mastusher/internal/tier/replica"
 )
 
-// slowRun is the time from which on an iteration is logged: it comes near to the timeouts after which others take over.
-const slowRun = 200 * time.Millisecond
+// slowIteration is the duration from which an iteration is logged: it approaches the election timeouts after which other members campaign.
+const slowIteration = 200 * time.Millisecond
 
-// MemberStats are a member's sizes.
+// MemberStats holds the sizes of a member's state, snapshot and log.
 type MemberStats struct {
-	StateBytes    int64 // of a StateSizer's contents; else 0
+	StateBytes    int64 // of the state machine, if it is a StateSizer; otherwise 0
 	SnapshotBytes int64 // of the snapshot on disk
-	LogBytes      int64 // of the log on disk that follows it
-	Entries       int   // in memory
+	LogBytes      int64 // of the log on disk after the snapshot
+	Entries       int   // log entries in memory
 }
 
 // Stats returns the member's sizes at the end of its last iteration.
@@ -29,8 +29,8 @@
 
 func (g *Group) recordStats() {
 	stats := MemberStats{SnapshotBytes: g.disk.SnapshotBytes(), LogBytes: g.disk.LogBytes(), Entries: len(g.entries)}
-	if sized, ok := g.options.StateMachine.(StateSizer); ok {
-		stats.StateBytes = sized.StateBytes()
+	if sizer, ok := g.options.StateMachine.(StateSizer); ok {
+		stats.StateBytes = sizer.StateBytes()
 	}
 	g.stats.Store(&stats)
 }
@@ -39,7 +39,7 @@
 type phases struct {
 	clock                func() time.Duration
 	began, last          time.Duration
-	save, apply, compact time.Duration // of records and chunks, of committed commands, of a snapshot
+	save, apply, compact time.Duration // saving to disk, applying committed commands, compaction
 }
 
 func startPhases(clock func() time.Duration) phases {
@@ -47,21 +47,21 @@
 	return phases{clock: clock, began: now, last: now}
 }
 
-// lap returns the time since the last call.
+// lap returns the time since the previous call, or since startPhases.
 func (p *phases) lap() time.Duration {
 	now := p.clock()
-	took := now - p.last
+	elapsed := now - p.last
 	p.last = now
-	return took
+	return elapsed
 }
 
-// logSlowRun logs an iteration during which the member has answered nobody for long.
-func (g *Group) logSlowRun(p *phases, ready *replica.Ready) {
-	took := p.last - p.began
-	if took < slowRun {
+// logSlowIteration logs an iteration of at least slowRun, during which the member answered no messages.
+func (g *Group) logSlowIteration(p *phases, ready *replica.Ready) {
+	elapsed := p.last - p.began
+	if elapsed < slowIteration {
 		return
 	}
 	level.Info(g.options.Logger).Log("msg", "slow replica iteration", "group", g.options.Name,
-		"took", took, "save", p.save, "apply", p.apply, "compact", p.compact,
+		"took", elapsed, "save", p.save, "apply", p.apply, "compact", p.compact,
 		"committed", len(ready.CommittedEntries), "appended", len(ready.Entries), "installed", ready.Snapshot != nil)
 }
--- a/internal/tier/group/status.go
+++ b/internal/tier/group/status.go
@@ -7,14 +7,14 @@
 	"mastusher/internal/tier/replica"
 )
 
-// Status returns the member's last view of the group. A member whose iteration is overdue by an election timeout reports
-// that it does not lead, also before it has found that out: its process or its disk does not get on, or did not until now.
-// Nor does it name a leader that it has not heard for an election timeout: that one, or this member, is partitioned.
+// Status returns the member's latest view of the group. A leader whose iteration is overdue by more than an election timeout reports
+// that it doesn't lead: its process or its disk is stalled, and another member may have been elected. A leader that this member
+// hasn't heard from for longer than an election timeout is not reported: one of the two may be partitioned.
 func (g *Group) Status() replica.Status {
 	status := *g.status.Load()
 	now := g.options.Clock()
 	switch {
-	case status.IsLeader && now-time.Duration(g.nextRunDue.Load()) > g.options.Replica.ElectionTimeout:
+	case status.IsLeader && now-time.Duration(g.nextIterationDue.Load()) > g.options.Replica.ElectionTimeout:
 		status.Leader, status.IsLeader, status.CaughtUp = "", false, nil
 	case status.Leader != status.ID && now-status.LeaderLastContact > g.options.Replica.ElectionTimeout:
 		status.Leader = ""
@@ -22,9 +22,10 @@
 	return status
 }
 
-// publish makes the replica's present status visible.
+// publish publishes the replica's current status.
 func (g *Group) publish() { g.publishStatus(g.replica.Status()) }
 
+// publishStatus makes a status visible to Status, and calls OnStatusChange if it is the first one or has changed.
 func (g *Group) publishStatus(status replica.Status) {
 	old := g.status.Swap(&status)
 	if g.options.OnStatusChange == nil {
@@ -35,19 +36,19 @@
 	}
 }
 
-// statusChanged tells whether a change of status is reported: of leader, term or members, not of progress.
+// statusChanged reports whether leader, term or members differ. OnStatusChange is not called for mere progress of the log.
 func statusChanged(old, status *replica.Status) bool {
 	return old.Leader != status.Leader || old.IsLeader != status.IsLeader || old.Term != status.Term ||
 		!slices.Equal(old.Members, status.Members)
 }
 
-// hasOtherLeader tells whether another member is known to lead.
+// hasOtherLeader reports whether another member is known to be the leader.
 func (g *Group) hasOtherLeader() bool {
 	status := g.Status()
 	return status.Leader != "" && status.Leader != status.ID
 }
 
-// leaderAddress is the last known address of the leader; empty when it is not known.
+// leaderAddress returns the leader's address, or an empty string if the leader is unknown.
 func (g *Group) leaderAddress() string {
 	status := g.Status()
 	for _, member := range status.Members {
--- a/internal/tier/group/status_test.go
+++ b/internal/tier/group/status_test.go
@@ -8,37 +8,37 @@
 	// Given a leader,
 	single := newSingle(t, 0, "a")
 	single.becomeLeader()
-	// when it has no iteration for longer than an election timeout, since its process or its disk is stalled,
+	// when it runs no iteration for longer than an election timeout, since its process or its disk is stalled,
 	single.now += heartbeat + election + step
-	// then it doesn't say any more that it leads the group, until it has had an iteration.
+	// then it doesn't report itself as the leader until it has run an iteration.
 	if status := single.group.Status(); status.IsLeader || status.Leader != "" {
-		t.Errorf("its status is %+v", status)
+		t.Errorf("the stalled leader's status is %+v, want no leader", status)
 	}
 	single.becomeLeader()
 }
 
 func TestStatus_LeaderNotHeard_IsNotNamed(t *testing.T) {
-	// Given a member that has a leader,
+	// Given a member that knows its leader,
 	single := newSingle(t, 1<<30, "a", "b", "c")
 	message := appendEntries(1, 0, 0, 0)
 	message.To = member("a").ID
 	single.run(message)
 	if got := single.group.Status().Leader; got != member("b").ID {
-		t.Fatalf("its leader is %q", got)
+		t.Fatalf("the leader is %q, want %q", got, member("b").ID)
 	}
-	// when it hears nothing of that one for an election timeout, whether it has iterations meanwhile or is stalled,
+	// when it doesn't hear from the leader for longer than an election timeout,
 	single.now += election
 	if got := single.group.Status().Leader; got != member("b").ID {
-		t.Errorf("it names %q within the timeout", got)
+		t.Errorf("within the election timeout, the leader is %q, want %q", got, member("b").ID)
 	}
 	single.now += step
-	// then it names none, also before it campaigns itself,
+	// then it reports no leader, even before an iteration in which it could campaign,
 	if got := single.group.Status().Leader; got != "" {
-		t.Errorf("it still names %q", got)
+		t.Errorf("after the election timeout, the leader is still %q", got)
 	}
-	// until it hears of one again.
+	// until it hears from the leader again.
 	single.run(message)
 	if got := single.group.Status().Leader; got != member("b").ID {
-		t.Errorf("its leader is %q", got)
+		t.Errorf("after another message, the leader is %q, want %q", got, member("b").ID)
 	}
 }
--- a/internal/tier/group/stop.go
+++ b/internal/tier/group/stop.go
@@ -7,18 +7,18 @@
 	"github.com/go-kit/log/level"
 )
 
-// errStopped is the cause of the errors of a stopped member's calls.
+// errStopped is the cause with which calls to a stopped member fail.
 var errStopped = errors.New("the member has stopped")
 
-// stoppedWake is how long a stopped member may sleep.
-const stoppedWake = time.Hour
+// stoppedWakeInterval is the time until the next iteration that RunOnce returns for a stopped member, which has nothing to do.
+const stoppedWakeInterval = time.Hour
 
-// Stop ends the member for good at its next iteration: to the others it is down. What it has on its disk stays, so that it
-// can be opened again; done is called once the disk is free for that. It must not block.
+// Stop stops the member for good at its next iteration. Its files are kept, so that Open can open it again; done is called once the
+// member no longer uses the disk, and must not block.
 func (g *Group) Stop(done func()) { g.requestStop(false, done) }
 
-// StopAndForget is Stop for a member that its group has replaced, as a majority has confirmed: its state and its log go from the
-// disk too. Term and vote stay, so that it may be taken in again under its identity.
+// StopAndForget stops a member that a majority has confirmed to be replaced, and also removes its state and log from the disk. Term
+// and vote are kept, so that it can rejoin under the same identity without voting twice in a term.
 func (g *Group) StopAndForget(done func()) { g.requestStop(true, done) }
 
 func (g *Group) requestStop(forget bool, done func()) {
@@ -28,10 +28,10 @@
 	g.signal()
 }
 
-// isStopped tells whether the member has ended.
-func (g *Group) isStopped() bool { return errors.Is(g.failed(), errStopped) }
+// isStopped reports whether the member has stopped.
+func (g *Group) isStopped() bool { return errors.Is(g.failureCause(), errStopped) }
 
-// stop ends the member if that was requested.
+// stop stops the member if that was requested, and reports whether it did.
 func (g *Group) stop() bool {
 	g.mutex.Lock()
 	done, forget := g.onStopped, g.forgetOnStop
@@ -43,17 +43,17 @@
 	g.disable(errStopped)
 	g.takeInput()
 	g.awaitCompaction()
-	if g.disk != nil { // else a failed disk is closed already
+	if g.disk != nil { // nil if a failed disk has been closed already
 		if forget {
 			g.forget()
 		}
-		_ = g.disk.Close() // everything acknowledged has been synced
+		_ = g.disk.Close() // the error doesn't matter: everything acknowledged has been synced
 	}
 	done()
 	return true
 }
 
-// forget removes the state and the log from the disk. Where that fails they stay, which costs space and nothing else.
+// forget removes the state and the log from the disk. If that fails, the files only waste disk space.
 func (g *Group) forget() {
 	if err := g.disk.Forget(g.writeInitialChunks); err != nil {
 		level.Warn(g.options.Logger).Log("msg", "removing replica's files failed", "group", g.options.Name, "err", err)
