--- a/internal/tier/group/chunks_test.go
+++ b/internal/tier/group/chunks_test.go
@@ -57,7 +57,7 @@
 	if !r.started {
 		r.started = true
 		if command != "begin" {
-			return fmt.Errorf("the first chunk is %q, want %q", command, "begin")
+			return fmt.Errorf("the first chunk is %q, want begin", command)
 		}
 		return nil
 	}
@@ -172,7 +172,7 @@
 				resent += times - 1
 			}
 			if resent == 0 || resent > tc.maxResent {
-				t.Errorf("%d chunks were sent again, want 1 to %d; sent: %v", resent, tc.maxResent, sent)
+				t.Errorf("too many or too few chunks were sent again: %d; times sent, by number: %v", resent, sent)
 			}
 		})
 	}
--- a/internal/tier/group/compaction_background_test.go
+++ b/internal/tier/group/compaction_background_test.go
@@ -140,7 +140,7 @@
 	m.disk.InjectFaults(nil)
 	// when the member runs its next iteration, then it fails with the disk's error, and reopening recovers all that was committed.
 	if _, err := m.group.RunOnce(); !errors.Is(err, storage.ErrFailed) || !errors.Is(err, errFull) {
-		t.Fatalf("error %v, want storage.ErrFailed caused by %v", err, errFull)
+		t.Fatalf("error %v, want storage.ErrFailed caused by errFull", err)
 	}
 	if err := m.group.Reopen(); err != nil {
 		t.Fatal(err)
--- a/internal/tier/group/rejected_test.go
+++ b/internal/tier/group/rejected_test.go
@@ -27,7 +27,7 @@
 	_, err := group.Open(group.Options{Name: "g", Disk: single.disk, StateMachine: &rejectingMachine{}, Logger: log.NewNopLogger(),
 		Send: func(string, group.Envelope) {}, Replica: replica.Options{ID: "a", Address: "a:1", HeartbeatInterval: heartbeat, ElectionTimeout: election}})
 	if !errors.Is(err, group.ErrStateRejected) || !errors.Is(err, errOtherBuild) || !group.IsFatal(err) {
-		t.Errorf("error %v, want a fatal ErrStateRejected caused by %v", err, errOtherBuild)
+		t.Errorf("error %v, want a fatal ErrStateRejected caused by errOtherBuild", err)
 	}
 }
 
--- a/internal/tier/group/snapshot_limiter_test.go
+++ b/internal/tier/group/snapshot_limiter_test.go
@@ -81,7 +81,7 @@
 	}
 	// then the second member refuses the chunk but knows its leader,
 	if status := groups[1].Status(); status.Leader != member("b").ID || status.LastIndex != 0 {
-		t.Errorf("the status of the waiting member is %+v, want leader %s and last index 0", status, member("b").ID)
+		t.Errorf("the status of the waiting member is %+v, want leader id-b and last index 0", status)
 	}
 	run(1, chunk(1, 5, 1, 2, `"x"`))
 	if len(machines[1].Commands) != 0 {
--- a/internal/tier/group/status_test.go
+++ b/internal/tier/group/status_test.go
@@ -24,12 +24,12 @@
 	message.To = member("a").ID
 	single.run(message)
 	if got := single.group.Status().Leader; got != member("b").ID {
-		t.Fatalf("the leader is %q, want %q", got, member("b").ID)
+		t.Fatalf("the leader is %q, want id-b", got)
 	}
 	// when it doesn't hear from the leader for longer than an election timeout,
 	single.now += election
 	if got := single.group.Status().Leader; got != member("b").ID {
-		t.Errorf("within the election timeout, the leader is %q, want %q", got, member("b").ID)
+		t.Errorf("within the election timeout, the leader is %q, want id-b", got)
 	}
 	single.now += step
 	// then it reports no leader, even before an iteration in which it could campaign,
@@ -39,6 +39,6 @@
 	// until it hears from the leader again.
 	single.run(message)
 	if got := single.group.Status().Leader; got != member("b").ID {
-		t.Errorf("after another message, the leader is %q, want %q", got, member("b").ID)
+		t.Errorf("after another message, the leader is %q, want id-b", got)
 	}
 }
