--- a/internal/tier/group/compaction.go
+++ b/internal/tier/group/compaction.go
@@ -30,7 +30,7 @@
 var errCompactionCanceled = errors.New("compaction canceled")
 
 // compact begins a compaction when one is due, and finishes it in the first iteration after its snapshot has been written. Entries
-// kept after the snapshot don't count towards the next compaction; only what is saved after this one does.
+// kept after the snapshot don't count towards the next compaction, only those saved after this compaction do.
 func (g *Group) compact() error {
 	if g.compaction == nil {
 		if !g.isCompactionDue() {
--- a/internal/tier/group/doc.go
+++ b/internal/tier/group/doc.go
@@ -6,9 +6,9 @@
 // All other exported methods of Group may be called by any goroutine and never block on the disk or the network.
 //
 // An iteration passes all queued input to replica.Replica.Step and processes the Ready that Step returns: first the messages that
-// need no sync, then the sync, then everything that depends on the sync. This order must not change: what a member has
-// acknowledged must be on its disk.
+// need no sync, then the sync, then everything that depends on the sync. This order must not change: a member must not
+// acknowledge anything that isn't durable.
 //
-// After a disk failure the state in memory is not trusted, since a failed write or sync leaves it unknown what is on disk. The
-// member discards that state, recovers from the disk and continues as a follower.
+// A failed write or sync leaves the content of the disk unknown, so the state in memory can't be trusted either. The member discards
+// it, recovers from the disk and continues as a follower.
 package group
--- a/internal/tier/group/failure.go
+++ b/internal/tier/group/failure.go
@@ -32,7 +32,7 @@
 }
 
 // Reopen recovers a failed member from its disk, as a new process would, and discards the state in memory. Package storage has
-// tried to truncate what the failed operation left on disk.
+// tried to truncate the incomplete write of the failed operation.
 func (g *Group) Reopen() error {
 	g.awaitCompaction()
 	if g.disk != nil {
--- a/internal/tier/group/group.go
+++ b/internal/tier/group/group.go
@@ -46,7 +46,7 @@
 // Name returns the group's name.
 func (g *Group) Name() string { return g.options.Name }
 
-// TransferLeadership asks the member, if it is the leader, to hand over the leadership once its pending calls are resolved.
+// TransferLeadership makes the member, if it is the leader, transfer the leadership once its pending calls are resolved.
 func (g *Group) TransferLeadership() {
 	g.mutex.Lock()
 	g.input.TransferLeadership = true
--- a/internal/tier/group/stop.go
+++ b/internal/tier/group/stop.go
@@ -13,7 +13,7 @@
 // stoppedWakeInterval is the time until the next iteration that RunOnce returns for a stopped member, which has nothing to do.
 const stoppedWakeInterval = time.Hour
 
-// Stop stops the member for good at its next iteration. Its files are kept, so that Open can open it again; done is called once the
+// Stop stops the member permanently at its next iteration. Its files are kept, so that Open can open it again; done is called once the
 // member no longer uses the disk, and must not block.
 func (g *Group) Stop(done func()) { g.requestStop(false, done) }
 
--- a/internal/tier/storage/bench_test.go
+++ b/internal/tier/storage/bench_test.go
@@ -9,7 +9,7 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// unsynced is a disk whose syncs do nothing, to see what a save costs apart from them.
+// unsynced is a disk that omits the sync of files, to measure the cost of a save without it.
 type unsynced struct{ storage.Disk }
 
 func (d unsynced) Create(name string) (storage.File, error) {
@@ -21,7 +21,7 @@
 
 func (unsyncedFile) Sync() error { return nil }
 
-// benchmarkSave measures saves of entries; the log is compacted when it is long.
+// benchmarkSave measures saves of a number of entries. It compacts a long log while the timer is stopped.
 func benchmarkSave(b *testing.B, disk storage.Disk, entries int) {
 	const dataBytes, maxLogBytes = 1024, 32 << 20
 	group, _, err := storage.Open(disk, groupName)
--- a/internal/tier/storage/check.go
+++ b/internal/tier/storage/check.go
@@ -6,8 +6,8 @@
 	"mastusher/internal/tier/replica"
 )
 
-// checkReady checks that what a step has to save continues what is saved, and returns the indexes that it leads to. Package
-// replica never asks for anything else; a mistake there must not reach the disk.
+// checkReady checks that a Ready is consistent with what is saved, and returns the snapshot index and last index after it. Package
+// replica never asks for anything else; the check keeps a bug there from reaching the disk.
 func (g *Group) checkReady(ready *replica.Ready) (snapshotIndex, lastIndex uint64, err error) {
 	snapshotIndex, lastIndex = g.snapshotIndex, g.lastIndex
 	if ready.HardState != nil {
@@ -28,7 +28,7 @@
 	return snapshotIndex, lastIndex, err
 }
 
-// checkCompaction refuses a compaction that would lose something saved.
+// checkCompaction returns an error if a compaction would lose saved entries, or its hard state contradicts the saved one.
 func (g *Group) checkCompaction(snapshot *replica.Snapshot, remaining []replica.Entry, state replica.HardState) error {
 	if err := checkHardState(g.hardState, state); err != nil {
 		return fmt.Errorf("compaction: %w", err)
@@ -38,24 +38,25 @@
 		return fmt.Errorf("compaction: %w", err)
 	}
 	if snapshot.Index < g.snapshotIndex || last < g.lastIndex {
-		return fmt.Errorf("compaction: %w: from %d to %d would lose entries from %d to %d",
+		return fmt.Errorf("compaction: %w: snapshot at %d and log to %d would lose entries, saved are a snapshot at %d and a log to %d",
 			ErrInvalidChange, snapshot.Index, last, g.snapshotIndex, g.lastIndex)
 	}
 	return nil
 }
 
-// checkHardState refuses a term below the saved one, and another vote in the same term (Raft section 5.2: one vote a term).
+// checkHardState returns an error for a term below the saved one, or another vote in the same term (Raft section 5.2: a server
+// votes at most once per term).
 func checkHardState(saved, next replica.HardState) error {
 	if next.Term < saved.Term {
 		return fmt.Errorf("%w: term %d after term %d", ErrInvalidChange, next.Term, saved.Term)
 	}
 	if next.Term == saved.Term && saved.Vote != "" && next.Vote != saved.Vote {
-		return fmt.Errorf("%w: vote for %q in term %d after one for %q", ErrInvalidChange, next.Vote, next.Term, saved.Vote)
+		return fmt.Errorf("%w: vote for %q in term %d after a vote for %q", ErrInvalidChange, next.Vote, next.Term, saved.Vote)
 	}
 	return nil
 }
 
-// checkContiguous refuses entries that don't follow the last index without a gap, and returns the index of the last one.
+// checkContiguous returns the index of the last entry, or an error unless the entries directly follow the last index without gaps.
 func checkContiguous(last uint64, entries []replica.Entry) (uint64, error) {
 	for i := range entries {
 		if entries[i].Index != last+1 {
--- a/internal/tier/storage/compaction.go
+++ b/internal/tier/storage/compaction.go
@@ -6,7 +6,7 @@
 	"mastusher/internal/tier/replica"
 )
 
-// Compact replaces the log by a snapshot, whose chunks are written as they come, and the entries that remain after it: all steps
+// Compact replaces the log by a snapshot, whose chunks come from the source, and the remaining entries after it. It does all steps
 // of a Compaction in one call.
 func (g *Group) Compact(snapshot replica.Snapshot, chunks ChunkSource, remaining []replica.Entry, state replica.HardState) error {
 	if err := g.checkCompactable(&snapshot, remaining, state); err != nil {
@@ -20,16 +20,16 @@
 	return trace.Wrap(g.FinishCompaction(compaction, remaining, state))
 }
 
-// Compaction writes a snapshot to the slot that the log doesn't follow, while Save goes on appending to the log. The group's
-// goroutine begins and finishes it; Write may run on another one.
+// Compaction writes a snapshot to the inactive slot while Save continues to append to the log. The group's goroutine begins and
+// finishes the compaction; Write may run on another goroutine.
 type Compaction struct {
 	snapshot replica.Snapshot
 	writer   *slotWriter
-	failure  error // of Write
+	failure  error // returned by Write
 }
 
-// BeginCompaction begins to replace the log by a snapshot. A snapshot that was being received is dropped, and none may be received
-// until FinishCompaction or AbandonCompaction. Errors: a FailedError.
+// BeginCompaction begins to replace the log by a snapshot. A snapshot that is being received is dropped, and none may be received
+// until FinishCompaction or AbandonCompaction is called. An error is a FailedError.
 func (g *Group) BeginCompaction(snapshot replica.Snapshot) (*Compaction, error) {
 	if g.failure != nil {
 		return nil, trace.Wrap(g.failure)
@@ -42,8 +42,8 @@
 	return g.compaction, nil
 }
 
-// Write writes the chunks of the state as they come, and returns once they are durable. The slot counts for nothing yet. The error
-// is the disk's or that of the source; FinishCompaction returns it too.
+// Write writes the chunks from the source to the slot, and returns once they are durable. Recovery ignores the slot until
+// FinishCompaction. The error is the disk's or the source's; FinishCompaction returns it too.
 func (c *Compaction) Write(chunks ChunkSource) error {
 	c.failure = chunks(c.writer.writeChunk)
 	if c.failure == nil {
@@ -52,12 +52,12 @@
 	return c.failure
 }
 
-// FinishCompaction puts the slot that was written in place of the log up to its snapshot. What it has to write beside the slot's
-// last frame are the entries that remain after the snapshot: those must reach as far as what is saved, and the HardState must not
-// go back; otherwise the error is ErrInvalidChange, and the log stays. Any other error is a FailedError.
+// FinishCompaction writes the slot's last frame and a new log with the remaining entries, and removes the old log. The entries must
+// reach at least to the last saved one, and the HardState must not go back; otherwise the error is ErrInvalidChange and the old log
+// is kept. Any other error is a FailedError.
 //
-// Up to the sync of the new log the old slot and log hold everything; from then on the new ones do. A crash or a loss of power
-// in between leaves the one or the other.
+// Until the new log is synced, the old slot and log are complete; from then on, the new ones are. After a crash or power loss,
+// recovery finds the one or the other.
 func (g *Group) FinishCompaction(c *Compaction, remaining []replica.Entry, state replica.HardState) error {
 	g.compaction = nil
 	err := g.checkCompactable(&c.snapshot, remaining, state)
@@ -68,16 +68,16 @@
 		_ = c.writer.file.Close()
 		return trace.Wrap(err)
 	}
-	return trace.Wrap(g.switchTo(c.writer, &c.snapshot, remaining, state))
+	return trace.Wrap(g.switchToSlot(c.writer, &c.snapshot, remaining, state))
 }
 
-// AbandonCompaction leaves the log as it is. Write must have returned.
+// AbandonCompaction ends a compaction without changing the log. Write must have returned.
 func (g *Group) AbandonCompaction(c *Compaction) {
 	g.compaction = nil
 	_ = c.writer.file.Close()
 }
 
-// checkCompactable returns the error for which a compaction may not take place.
+// checkCompactable returns an error if the group has failed or the compaction is invalid.
 func (g *Group) checkCompactable(snapshot *replica.Snapshot, remaining []replica.Entry, state replica.HardState) error {
 	if g.failure != nil {
 		return g.failure
@@ -85,9 +85,9 @@
 	return g.checkCompaction(snapshot, remaining, state)
 }
 
-// switchTo completes a slot, creates the log of its generation, and then removes the old log. The order is what makes a
-// compaction safe: the new log must never be durable before its slot, nor the old one be gone before the new one is durable.
-func (g *Group) switchTo(writer *slotWriter, snapshot *replica.Snapshot, entries []replica.Entry, state replica.HardState) error {
+// switchToSlot completes a slot, creates the log of its generation, and then removes the old log. The order makes a compaction safe:
+// the new log must not be durable before its slot, and the old log must not be removed before the new one is durable.
+func (g *Group) switchToSlot(writer *slotWriter, snapshot *replica.Snapshot, entries []replica.Entry, state replica.HardState) error {
 	if err := g.finishSlot(writer, snapshot, state); err != nil {
 		return err
 	}
@@ -106,17 +106,17 @@
 	return nil
 }
 
-// createLog creates the log of a generation with its first entries, returns once it is durable, and lets Save append there.
+// createLog creates the log of a generation with its first entries, and returns once it is durable. Save then appends to it.
 func (g *Group) createLog(generation uint64, entries []replica.Entry) error {
 	buffer := appendEntries(beginFrame(g.buffer[:0], generation, 0), entries)
 	finishFrame(buffer)
-	g.recycle(buffer)
+	g.keepBuffer(buffer)
 	log, err := g.disk.Create(fileName(g.name, logSuffix(generation)))
 	if err != nil {
 		return g.fail("creation of a log", err)
 	}
 	if err := g.writeFirstFrame(log, buffer); err != nil {
-		_ = log.Truncate(0) // a later process must not take for durable what it reads there
+		_ = log.Truncate(0) // otherwise a later process might read the frame from the page cache and treat it as durable
 		_ = log.Close()
 		return err
 	}
--- a/internal/tier/storage/corruption_test.go
+++ b/internal/tier/storage/corruption_test.go
@@ -14,7 +14,7 @@
 	firstSlot = groupName + ".slot-a"
 )
 
-// savedMember returns a member with a log of three saves.
+// savedMember returns a member with a log of the first frame and two saves.
 func savedMember(t *testing.T) *testMember {
 	t.Helper()
 	m := newTestMember(unwrapped)
@@ -22,7 +22,7 @@
 	return m
 }
 
-// compactedMember returns a member with a slot and a log of the first frame and one save.
+// compactedMember returns a member with a slot, and a log of the first frame and one save.
 func compactedMember(t *testing.T) *testMember {
 	t.Helper()
 	m := savedMember(t)
@@ -31,28 +31,28 @@
 	return m
 }
 
-// wantCorrupt checks that the disk is refused.
-func wantCorrupt(t *testing.T, m *testMember, what string, where int64) {
+// wantCorrupt checks that opening the group returns a CorruptError.
+func wantCorrupt(t *testing.T, m *testMember, damage string, offset int64) {
 	t.Helper()
 	m.disk.Kill()
 	_, recovered, err := storage.Open(m.disk, groupName)
 	var corrupt *storage.CorruptError
 	if !errors.As(err, &corrupt) || !errors.Is(err, storage.ErrCorrupt) {
-		t.Fatalf("%s at %d: got %v and %+v, want a CorruptError", what, where, err, recovered)
+		t.Fatalf("%s at %d: got error %v and state %+v, want a CorruptError", damage, offset, err, recovered)
 	}
 }
 
-// Given a synced log, when any byte before its last frame is damaged, then the disk is refused.
+// Given a synced log, when any byte before its last frame is damaged, then Open returns a CorruptError.
 func TestOpen_LogDamagedBeforeLastFrame_IsCorrupt(t *testing.T) {
 	before := savedMember(t).disk.Size(firstLog)
-	last := func(t *testing.T) *testMember {
+	complete := func(t *testing.T) *testMember {
 		m := savedMember(t)
 		m.disk.Kill()
 		mustApply(t, m, []step{{Entries: 1, Bytes: 20}})
 		return m
 	}
 	for offset := range before {
-		m := last(t)
+		m := complete(t)
 		if err := m.disk.Corrupt(firstLog, offset); err != nil {
 			t.Fatal(err)
 		}
@@ -60,8 +60,8 @@
 	}
 }
 
-// Given a log, when its last frame is damaged at any byte or truncated at any length, then it counts as torn and is truncated, and
-// the next save goes where it was.
+// Given a log, when its last frame is damaged at any byte or truncated at any length, then Open removes this frame as a torn write,
+// and the next save is appended at its place.
 func TestOpen_TornLastFrame_IsTruncated(t *testing.T) {
 	earlier := savedMember(t)
 	start := earlier.disk.Size(firstLog)
@@ -73,14 +73,14 @@
 		return m
 	}
 	end := complete(t).disk.Size(firstLog)
-	spoil := map[string]func(disk *memorydisk.Disk, offset int64) error{
+	damages := map[string]func(disk *memorydisk.Disk, offset int64) error{
 		"damage":     func(disk *memorydisk.Disk, offset int64) error { return disk.Corrupt(firstLog, offset) },
 		"truncation": func(disk *memorydisk.Disk, offset int64) error { return truncateFile(disk, firstLog, offset) },
 	}
-	for name, spoilAt := range spoil {
+	for name, damageAt := range damages {
 		for offset := start; offset < end; offset++ {
 			m := complete(t)
-			if err := spoilAt(m.disk, offset); err != nil {
+			if err := damageAt(m.disk, offset); err != nil {
 				t.Fatal(err)
 			}
 			m.disk.Kill()
@@ -95,7 +95,7 @@
 	}
 }
 
-// truncateFile sets the length of a file durably.
+// truncateFile truncates a file and syncs it.
 func truncateFile(disk *memorydisk.Disk, name string, size int64) error {
 	file, err := disk.Open(name)
 	if err != nil {
@@ -107,10 +107,10 @@
 	return file.Sync()
 }
 
-// Given a compacted group, when any byte of its slot or of its log's first frame is damaged, then the disk is refused.
+// Given a compacted group, when any byte of its slot or of its log's first header is damaged, then Open returns a CorruptError.
 func TestOpen_SlotOrFirstFrameDamaged_IsCorrupt(t *testing.T) {
-	for name, frames := range map[string]int64{firstSlot: compactedMember(t).disk.Size(firstSlot), secondLog: 28} {
-		for offset := range frames {
+	for name, length := range map[string]int64{firstSlot: compactedMember(t).disk.Size(firstSlot), secondLog: 28} {
+		for offset := range length {
 			m := compactedMember(t)
 			if err := m.disk.Corrupt(name, offset); err != nil {
 				t.Fatal(err)
@@ -120,7 +120,7 @@
 	}
 }
 
-// Given a compacted group, when one of its files is missing, then the disk is corrupt and not empty.
+// Given a compacted group, when its slot or its log is missing, then Open returns a CorruptError and doesn't treat the disk as empty.
 func TestOpen_FileMissing_IsCorrupt(t *testing.T) {
 	for _, name := range []string{firstSlot, secondLog} {
 		m := compactedMember(t)
@@ -131,11 +131,11 @@
 	}
 }
 
-// Given intact frames with bad records, when the group is opened, then the disk is refused.
+// Given an intact frame with a bad record, when the group is opened, then Open returns a CorruptError.
 func TestOpen_BadRecord_IsCorrupt(t *testing.T) {
 	for name, payload := range map[string]string{
-		"no end":                     `{"record":"promise","epoch":1}`,
-		"no JSON":                    "promise\n",
+		"no line break":              `{"record":"promise","epoch":1}`,
+		"not JSON":                   "promise\n",
 		"unknown kind":               `{"record":"wish"}` + "\n",
 		"gap":                        `{"record":"entry","index":5,"epoch":1}` + "\n\n",
 		"size too large":             `{"record":"entry","index":1,"epoch":1,"size":9}` + "\n1\n",
@@ -156,7 +156,7 @@
 	}
 }
 
-// write makes a file of the content.
+// write creates a file with the content.
 func write(disk storage.Disk, name string, content []byte) error {
 	file, err := disk.Create(name)
 	if err != nil {
--- a/internal/tier/storage/crash_test.go
+++ b/internal/tier/storage/crash_test.go
@@ -12,8 +12,8 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// Given any steps of several processes that crash or lose power at any change to the disk, when the next one starts,
-// then it finds all that was acknowledged, and of the step in progress everything or nothing.
+// Given any steps of several processes that crash or lose power at any change to the disk, when the next process starts, then it
+// recovers all that was acknowledged, and the step in progress either completely or not at all.
 func TestOpen_AfterAnyCrashes_RecoversAllThatWasSaved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if err := runHistory(anyHistory.Draw(t, "history"), unwrapped); err != nil {
@@ -22,11 +22,11 @@
 	})
 }
 
-// powerLossSeeds is how many losses of power are tried at each change of a case.
+// powerLossSeeds is the number of seeds per crash point. Each seed but 0 is a different power loss.
 const powerLossSeeds = 16
 
-// crashAtEachChange crashes a process at each change that the last step makes, in each way, and recovers after it. Prelude is what
-// was done before.
+// crashAtEachChange applies the prelude, crashes the process at each change to the disk that the last step makes, with each effect,
+// and checks the recovery after each crash.
 func crashAtEachChange(t *testing.T, prelude []step, last step) {
 	t.Helper()
 	changes := countChanges(t, prelude, last)
@@ -41,7 +41,7 @@
 	}
 }
 
-// countChanges counts the changes that the last step makes.
+// countChanges counts the changes to the disk that the last step makes after the prelude.
 func countChanges(t *testing.T, prelude []step, last step) int {
 	t.Helper()
 	m := newTestMember(unwrapped)
@@ -53,6 +53,7 @@
 	return m.disk.Counts().Changes - before
 }
 
+// mustApply opens the member's group and applies steps to it.
 func mustApply(t *testing.T, m *testMember, prelude []step) *storage.Group {
 	t.Helper()
 	group, err := m.open()
@@ -67,7 +68,8 @@
 	return group
 }
 
-// crashAt crashes the process at a change of the last step. Seed 0 is a crash of the process alone, the others are losses of power.
+// crashAt crashes the process at a change of the last step and checks the recovery. Seed 0 is a crash of the process alone, other
+// seeds are power losses.
 func crashAt(prelude []step, last step, change int, effect memorydisk.Effect, seed int) error {
 	m := newTestMember(unwrapped)
 	group, err := m.open()
@@ -81,7 +83,7 @@
 	}
 	m.disk.CrashAt(change, effect)
 	if err := m.apply(group, last); err == nil {
-		return fmt.Errorf("the process has not crashed")
+		return fmt.Errorf("the last step succeeded, want a crash")
 	}
 	if seed == 0 {
 		m.disk.Kill()
@@ -96,41 +98,41 @@
 	save := step{TermIncrement: 1, Vote: "north", Entries: 3, Bytes: 200}
 	compact := step{Compact: true, Remaining: 2, Bytes: 400}
 	for name, prelude := range map[string][]step{
-		"the first one":          {save, save},
-		"the second one":         {save, save, compact, save},
-		"a later one":            {save, compact, save, compact, save, compact, save},
-		"two in direct sequence": {save, compact, save, compact},
-		"nothing saved":          {},
-		"an installed snapshot":  {save, {Install: true, Bytes: 500}, {Truncate: 1, Entries: 2, Bytes: 9}},
+		"first compaction":           {save, save},
+		"second compaction":          {save, save, compact, save},
+		"later compaction":           {save, compact, save, compact, save, compact, save},
+		"compaction directly before": {save, compact, save, compact},
+		"nothing saved":              {},
+		"installed snapshot before":  {save, {Install: true, Bytes: 500}, {Truncate: 1, Entries: 2, Bytes: 9}},
 	} {
 		t.Run(name, func(t *testing.T) { crashAtEachChange(t, prelude, compact) })
 	}
 }
 
-// Given a group that saves while a compaction writes its slot, when any of it crashes at any change, then nothing is lost.
+// Given a group that saves while a compaction writes its slot, when the process crashes at any change, then nothing is lost.
 func TestCompaction_SavesBesideIt_CrashAtAnyChange_LosesNothing(t *testing.T) {
 	save := step{TermIncrement: 1, Vote: "north", Entries: 3, Bytes: 200}
 	for name, prelude := range map[string][]step{
-		"the first one":         {save, save},
-		"a later one":           {save, {Compact: true, Remaining: 2, Bytes: 400}, save},
-		"after one of its kind": {save, {Compact: true, Beside: 3, Bytes: 40}, save},
-		"an installed snapshot": {save, {Install: true, Bytes: 500}, save},
+		"first compaction":          {save, save},
+		"later compaction":          {save, {Compact: true, Remaining: 2, Bytes: 400}, save},
+		"concurrent saves before":   {save, {Compact: true, ConcurrentSaves: 3, Bytes: 40}, save},
+		"installed snapshot before": {save, {Install: true, Bytes: 500}, save},
 	} {
-		for _, beside := range []int{1, 2, 3} {
-			t.Run(fmt.Sprint(name, ", saves beside it: ", beside), func(t *testing.T) {
-				crashAtEachChange(t, prelude, step{Compact: true, Remaining: 2, Bytes: 400, Beside: beside})
+		for _, saves := range []int{1, 2, 3} {
+			t.Run(fmt.Sprint(name, ", concurrent saves: ", saves), func(t *testing.T) {
+				crashAtEachChange(t, prelude, step{Compact: true, Remaining: 2, Bytes: 400, ConcurrentSaves: saves})
 			})
 		}
 	}
 }
 
-// Given a member that its group has replaced, when it forgets its state and that crashes at any change, then it has all of it or just
-// its hard state, and can go on from either.
+// Given a member that its group has replaced, when it crashes at any change of Forget, then it recovers either its complete state or
+// only its hard state, and can continue.
 func TestForget_CrashAtAnyChange_KeepsHardState(t *testing.T) {
 	save := step{TermIncrement: 1, Vote: "north", Entries: 3, Bytes: 200}
 	for name, prelude := range map[string][]step{
 		"entries only":    {save, save},
-		"a snapshot":      {save, {Compact: true, Remaining: 2, Bytes: 400}, save},
+		"one snapshot":    {save, {Compact: true, Remaining: 2, Bytes: 400}, save},
 		"two snapshots":   {save, {Compact: true, Bytes: 400}, save, {Compact: true, Bytes: 90}},
 		"forgotten twice": {save, {Forget: true}, {Install: true, Bytes: 500}, save},
 	} {
@@ -138,17 +140,17 @@
 	}
 }
 
-// Given a member that has forgotten its state, then its disk holds next to nothing, and it can be sent another one.
+// Given a member that has forgotten a large state, then its files are small, and it can install another snapshot.
 func TestForget_LargeState_FreesTheDisk(t *testing.T) {
 	m := newTestMember(unwrapped)
 	group := mustApply(t, m, []step{{TermIncrement: 1, Entries: 3, Bytes: 20}, {Compact: true, Bytes: 90_000}, {Entries: 1, Bytes: 50_000},
 		{Compact: true, Bytes: 90_000}, {Forget: true}})
 	if total := group.LogBytes() + group.SnapshotBytes(); total > 1000 {
-		t.Errorf("%d bytes are left", total)
+		t.Errorf("slot and log have %d bytes, want 1000 at most", total)
 	}
 	names, err := m.disk.List()
 	if err != nil || len(names) != 2 {
-		t.Errorf("files %v, %v, want a log and a slot", names, err)
+		t.Errorf("got files %v and error %v, want a log and a slot", names, err)
 	}
 	if err := m.apply(group, step{Install: true, Bytes: 300, Entries: 2}); err != nil {
 		t.Fatal(err)
@@ -158,7 +160,7 @@
 	}
 }
 
-// Given a compaction that is abandoned, then the log goes on, and a snapshot can be received again.
+// Given a compaction that is abandoned, then saves, a received snapshot and another compaction succeed.
 func TestCompaction_Abandoned_LogGoesOn(t *testing.T) {
 	m := newTestMember(unwrapped)
 	group := mustApply(t, m, []step{{TermIncrement: 1, Entries: 3, Bytes: 20}})
@@ -170,7 +172,7 @@
 		t.Fatal(err)
 	}
 	group.AbandonCompaction(compaction)
-	for _, next := range []step{{Entries: 2, Bytes: 9}, {Install: true, Bytes: 80}, {Compact: true, Beside: 1, Bytes: 7}} {
+	for _, next := range []step{{Entries: 2, Bytes: 9}, {Install: true, Bytes: 80}, {Compact: true, ConcurrentSaves: 1, Bytes: 7}} {
 		if err := m.apply(group, next); err != nil {
 			t.Fatal(err)
 		}
@@ -180,7 +182,7 @@
 	}
 }
 
-// Given a compaction that writes its slot, when a chunk of another member's snapshot would go there, then that is an error.
+// Given a running compaction, when a snapshot chunk is received, then Save fails, since the chunk needs the same slot.
 func TestSave_ChunkDuringCompaction_Fails(t *testing.T) {
 	m := newTestMember(unwrapped)
 	group := mustApply(t, m, []step{{TermIncrement: 1, Entries: 3, Bytes: 20}})
@@ -192,7 +194,7 @@
 	}
 }
 
-// Given a group, when a save crashes at any change, then it is there completely or not at all.
+// Given a group, when the process crashes at any change of a save, then the save is recovered completely or not at all.
 func TestSave_CrashAtAnyChange_IsAtomic(t *testing.T) {
 	save := step{TermIncrement: 1, Vote: "north", Entries: 3, Bytes: 200}
 	for name, last := range map[string]step{
@@ -206,8 +208,8 @@
 	}
 }
 
-// Given a disk in any state that a crashed process leaves, when recovery itself crashes at any change, then the next
-// recovery loses nothing either.
+// Given a compaction that crashed at any change, when the recovery after it crashes at any change too, then the next recovery loses
+// nothing.
 func TestOpen_CrashAtAnyChange_LosesNothing(t *testing.T) {
 	prelude := []step{{TermIncrement: 1, Entries: 3, Bytes: 90}, {Compact: true, Remaining: 1}, {Entries: 2, Bytes: 90}}
 	last := step{Compact: true, Remaining: 1, Bytes: 90}
@@ -222,6 +224,8 @@
 	}
 }
 
+// crashDuringRecovery crashes the process at a change of the last step, then crashes the recovery at one of its own changes, and
+// checks the next recovery.
 func crashDuringRecovery(t *testing.T, prelude []step, last step, change, recovery int, seed uint64) error {
 	m := newTestMember(unwrapped)
 	group := mustApply(t, m, prelude)
@@ -241,7 +245,7 @@
 	return m.recoverTwice()
 }
 
-// Given an empty disk, when its first start crashes at any change, then the next start finds an empty group.
+// Given an empty disk, when the first start crashes at any change, then the next start recovers an empty group.
 func TestOpen_FirstStartCrashesAtAnyChange_RecoversEmptyGroup(t *testing.T) {
 	for change := range 5 {
 		for seed := range uint64(powerLossSeeds) {
--- a/internal/tier/storage/entry_record.go
+++ b/internal/tier/storage/entry_record.go
@@ -8,7 +8,8 @@
 	"mastusher/internal/tier/replica"
 )
 
-// The text around the numbers of an entry's line. Most records are entries, so their lines are written and parsed by hand.
+// The text around the numbers in the line of an entry record. Most records are entries, so for speed their lines are written and
+// parsed without encoding/json.
 const (
 	entryIndexKey = `{"record":"entry","index":`
 	entryTermKey  = `,"epoch":`
@@ -17,7 +18,7 @@
 	entryEnd      = "}"
 )
 
-// appendEntries appends the records of entries, each with its data behind it.
+// appendEntries appends the records of entries, each line followed by the entry's data.
 func appendEntries(buffer []byte, entries []replica.Entry) []byte {
 	for i := range entries {
 		entry := &entries[i]
@@ -37,7 +38,7 @@
 	return buffer
 }
 
-// parseRecord parses a line.
+// parseRecord parses the line of a record.
 func parseRecord(text []byte) (record, error) {
 	if rec, ok := parseEntryRecord(text); ok {
 		return rec, nil
@@ -47,7 +48,7 @@
 	return rec, err
 }
 
-// parseEntryRecord parses a line that appendEntries has written. It leaves any other line to the JSON decoder.
+// parseEntryRecord parses a line that appendEntries has written, and returns false for any other line.
 func parseEntryRecord(text []byte) (record, bool) {
 	parser := entryParser{text: text}
 	index := parser.number(entryIndexKey)
@@ -60,20 +61,20 @@
 	return record{Kind: entryRecord, Index: index, Term: term, EntryKind: replica.EntryKind(kind), Size: int(size)}, true
 }
 
-// Bounds of the numbers in a line.
+// Bounds of the numbers in the line of an entry record.
 const (
 	maxEntryKind    = 1<<8 - 1
 	maxPayloadBytes = 1<<32 - 1
-	maxSafeDigits   = 18 // a number of as many digits cannot overflow
+	maxSafeDigits   = 18 // decimal digits that can't overflow a uint64
 )
 
-// entryParser parses a line from its start on.
+// entryParser parses the line of an entry record from left to right.
 type entryParser struct {
-	text   []byte
+	text   []byte // not parsed yet
 	failed bool
 }
 
-// number consumes a key and the number behind it.
+// number consumes a key and the number after it.
 func (p *entryParser) number(key string) uint64 {
 	rest, found := bytes.CutPrefix(p.text, []byte(key))
 	digits, value := 0, uint64(0)
--- a/internal/tier/storage/errors.go
+++ b/internal/tier/storage/errors.go
@@ -7,29 +7,29 @@
 )
 
 var (
-	// ErrCorrupt matches each CorruptError.
+	// ErrCorrupt matches any CorruptError.
 	ErrCorrupt = errors.New("storage is corrupt")
-	// ErrFailed matches each FailedError.
+	// ErrFailed matches any FailedError.
 	ErrFailed = errors.New("storage has failed")
-	// ErrInvalidChange refuses a change that would lose or contradict what is saved: a gap between entries, a truncation below
-	// the snapshot, a lower term, a second vote in one term. Save treats it as a failure of the group; Compact changes nothing.
+	// ErrInvalidChange means that a change would lose or contradict saved data: a gap between entries, a truncation within the
+	// snapshot, a lower term, or a second vote in one term. Save then fails the group; Compact leaves it unchanged and usable.
 	ErrInvalidChange = errors.New("invalid change")
-	// ErrChunkOrder refuses a snapshot chunk that isn't the one after the last, and the installation of an incomplete snapshot.
+	// ErrChunkOrder means that a received snapshot chunk isn't the next one, or that an incomplete snapshot is to be installed.
 	ErrChunkOrder = errors.New("snapshot chunk out of order")
-	// ErrSlotInUse refuses a snapshot that is received, or compacted, while a compaction writes the slot that it would need.
+	// ErrSlotInUse means that a received snapshot or another compaction needs the slot that a running compaction is writing.
 	ErrSlotInUse = errors.New("slot is being written by a compaction")
-	// ErrNoChunks refuses a snapshot without any state.
+	// ErrNoChunks means that a snapshot has no state.
 	ErrNoChunks = errors.New("snapshot has no chunks")
 )
 
-// errBadRecord says why a frame with the right checksum can't be replayed. Callers see it as the reason of a CorruptError.
+// errBadRecord means that a frame with a valid checksum can't be replayed. It becomes the reason of a CorruptError.
 var errBadRecord = errors.New("bad record")
 
-// CorruptError says that something that had been synced is damaged or missing. The disk counts as lost: what its member
-// promised is no longer known, so it must not take part under its former identity. It matches ErrCorrupt.
+// CorruptError means that synced data is damaged or missing. The disk must be considered lost: the member's votes and
+// acknowledgments are no longer known, so it must not rejoin under the same identity. It matches ErrCorrupt.
 type CorruptError struct {
 	File   string
-	Offset int64 // of the first byte known to be affected; 0 where the whole file is
+	Offset int64 // of the first byte known to be affected; 0 if the whole file is affected or missing
 	Reason string
 }
 
@@ -41,10 +41,10 @@
 // Is makes errors.Is(err, ErrCorrupt) hold.
 func (e *CorruptError) Is(target error) bool { return target == ErrCorrupt }
 
-// FailedError says that a group accepts no more changes in this process: an earlier operation failed, and how much of it is
-// durable is not known. Each later call returns the same error. It matches ErrFailed, and its cause.
+// FailedError means that a Group accepts no more changes: an operation failed, and how much of it is durable is unknown. Each later
+// change returns the same error. It matches ErrFailed and its cause.
 type FailedError struct {
-	Operation string // that failed first
+	Operation string // the operation that failed first
 	Cause     error
 }
 
@@ -59,7 +59,7 @@
 // Unwrap returns the cause.
 func (e *FailedError) Unwrap() error { return e.Cause }
 
-// IsDiskFull reports whether an error comes from a disk or a quota without space.
+// IsDiskFull reports whether an error was caused by a full disk or an exceeded quota.
 func IsDiskFull(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
--- a/internal/tier/storage/failure_test.go
+++ b/internal/tier/storage/failure_test.go
@@ -13,7 +13,7 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// wantFailed checks that an error is the group's failure.
+// wantFailed checks that an error is a FailedError.
 func wantFailed(t *testing.T, err error) {
 	t.Helper()
 	var failed *storage.FailedError
@@ -22,7 +22,7 @@
 	}
 }
 
-// Given a save, when there is something to save, then it takes one write and one sync; otherwise it takes nothing.
+// Given a Ready, when it is saved, then that takes one write and one sync, or none if the Ready has nothing to save.
 func TestSave_AnyReady_TakesOneWriteAndOneSync(t *testing.T) {
 	for name, test := range map[string]struct {
 		ready replica.Ready
@@ -44,13 +44,14 @@
 				t.Fatalf("before %+v, after %+v, want %d more writes and syncs", before, after, test.want)
 			}
 			if got, want := group.LogBytes()-bytes, after.BytesWritten-before.BytesWritten; got != want {
-				t.Fatalf("the log grew by %d bytes, and %d were written", got, want)
+				t.Fatalf("LogBytes grew by %d bytes, want the %d bytes that were written", got, want)
 			}
 		})
 	}
 }
 
-// Given a full disk, when a member saves, then the group has failed, also once there is space, and nothing saved is lost.
+// Given a full disk, when a member saves or compacts, then the group has failed even after space becomes free, and nothing saved is
+// lost.
 func TestGroup_DiskFull_AcceptsNothingMore(t *testing.T) {
 	for name, last := range map[string]step{"save": {Entries: 3, Bytes: 300}, "compaction": {Compact: true, Remaining: 2, Bytes: 300}} {
 		t.Run(name, func(t *testing.T) {
@@ -83,11 +84,11 @@
 	}
 }
 
-// failures is how many operations of a step are made to fail, one in each trial.
+// failures is the number of trials, in each of which one operation of a step fails.
 const failures = 8
 
-// Given a disk on which any one operation of a step fails, then the group has failed and asks nothing more of the disk, a
-// failed sync least of all. What the next process recovers is durable, even though the failed sync's writes never will.
+// Given a disk on which any one operation of a step fails, then the group has failed and makes no more changes to the disk, so that
+// it never repeats a failed sync. What the next process recovers is durable, although the writes before a failed sync are lost.
 func TestGroup_DiskOperationFails_AcceptsNothingMore(t *testing.T) {
 	for name, last := range map[string]step{"save": {Entries: 3, Bytes: 90}, "compaction": {Compact: true, Remaining: 2, Bytes: 90}} {
 		t.Run(name, func(t *testing.T) {
@@ -118,7 +119,7 @@
 	}
 }
 
-// failAt lets one operation that changes the disk fail.
+// failAt returns a fault function that fails the operation with the given number, counted from 0.
 func failAt(operation int) func(memorydisk.Operation, string) error {
 	return func(_ memorydisk.Operation, _ string) error {
 		operation--
@@ -129,7 +130,7 @@
 	}
 }
 
-// Given a disk on which any one operation of a recovery fails, then the error is that of the disk and not of damage.
+// Given a disk on which any one operation of a recovery fails, then the error is the disk's and not a CorruptError.
 func TestOpen_DiskOperationFails_IsNotCorrupt(t *testing.T) {
 	failed := 0
 	for failing := range 12 {
@@ -156,7 +157,7 @@
 	}
 }
 
-// Given a member, when it saves what does not follow what it has saved, then it is refused before anything is written.
+// Given a member, when a Ready is inconsistent with what it has saved, then Save fails before anything is written.
 func TestSave_InvalidChange_WritesNothing(t *testing.T) {
 	for name, ready := range map[string]replica.Ready{
 		"gap":                        {Entries: []replica.Entry{entryAt(9, 2, 1)}},
@@ -185,7 +186,8 @@
 	}
 }
 
-// Given a member, when a compaction would lose what it has saved, then it is refused and the member goes on.
+// Given a member, when a compaction would lose or contradict what it has saved, then Compact returns an error, and the member can
+// still save.
 func TestCompact_InvalidChange_ChangesNothing(t *testing.T) {
 	for name, test := range map[string]struct {
 		snapshot  *replica.Snapshot
@@ -216,7 +218,7 @@
 	}
 }
 
-// Given a closed group, when it is used, then it has failed.
+// Given a closed group, when it is closed again, then Close succeeds; when it saves, then Save returns a FailedError.
 func TestGroup_Closed_AcceptsNothing(t *testing.T) {
 	m := newTestMember(unwrapped)
 	group := mustApply(t, m, nil)
@@ -228,7 +230,7 @@
 	wantFailed(t, group.Save(&replica.Ready{}))
 }
 
-// Given a name that cannot begin a file's name, when a group is opened by it, then it is refused.
+// Given a name that can't be the prefix of a file name, when a group is opened with it, then Open returns trace.BadParameter.
 func TestOpen_BadGroupName_IsRefused(t *testing.T) {
 	for _, name := range []string{"", "a/b", ".hidden", "nul\x00"} {
 		if _, _, err := storage.Open(memorydisk.New(), name); !trace.IsBadParameter(err) {
@@ -237,7 +239,8 @@
 	}
 }
 
-// Given two groups whose names begin alike, and files of others, when they are used, then each has its own files.
+// Given two groups of which one name is a prefix of the other, and unrelated files with similar names, when the groups are used, then
+// each uses only its own files.
 func TestOpen_GroupsWithLikeNames_KeepTheirOwnFiles(t *testing.T) {
 	disk := memorydisk.New()
 	for _, name := range []string{"turns", "turns.log-1", "identity", "turns.slot-c", "turns.log-01"} {
--- a/internal/tier/storage/faulty_disk_test.go
+++ b/internal/tier/storage/faulty_disk_test.go
@@ -7,14 +7,14 @@
 	"mastusher/internal/tier/storage"
 )
 
-// mutant is a disk that omits or reorders what the package asks of it, as a mistake in the package would.
+// mutant is a disk that omits or reorders operations, which simulates a bug in package storage.
 type mutant struct {
 	storage.Disk
 	skipsDirSync     bool
-	skipsSyncOf      string // files with this in their names
-	skipsFirstSync   bool   // of files that were there, before anything is written to them
+	skipsSyncOf      string // skips the sync of files whose names contain this text
+	skipsFirstSync   bool   // skips the sync of existing files until they are written to
 	skipsTruncate    bool
-	removesLogsEarly bool // as soon as the next log is made
+	removesLogsEarly bool // removes the old logs before the next log is created
 }
 
 func (m *mutant) SyncDir() error {
@@ -54,7 +54,7 @@
 	return &mutantFile{File: file, skipsSync: skips, skipsUntilWrite: skipsUntilWrite, skipsTruncate: m.skipsTruncate}
 }
 
-// mutantFile is a file of a mutant.
+// mutantFile is a file on a mutant.
 type mutantFile struct {
 	storage.File
 	skipsSync       bool
@@ -81,7 +81,7 @@
 	return f.File.Truncate(size)
 }
 
-// tolerantDisk hides that an old log is gone already, as a package that removes it first would.
+// tolerantDisk ignores errors of Remove, since removesLogsEarly has removed the old log already.
 type tolerantDisk struct{ *mutant }
 
 func (d tolerantDisk) Remove(name string) error {
@@ -90,12 +90,12 @@
 }
 
 const (
-	mutantHistories  = 3000 // that a mutant has to survive to count as not caught
-	controlHistories = 2000 // of these, that the package as it is runs
+	mutantHistories  = 3000 // run until one fails; if none does, the mutant is not detected
+	controlHistories = 2000 // the first of the same histories, which must pass without a mutation
 )
 
-// catch runs histories until one shows that something is wrong, and returns what.
-func catch(count int, wrap func(storage.Disk) storage.Disk) error {
+// firstFailure runs generated histories until one fails, and returns its error, or nil if all pass.
+func firstFailure(count int, wrap func(storage.Disk) storage.Disk) error {
 	for seed := range count {
 		if err := runHistory(anyHistory.Example(seed), wrap); err != nil {
 			return err
@@ -104,37 +104,37 @@
 	return nil
 }
 
-// wrapping returns a function that makes a mutant like this one out of a disk.
+// wrapping returns a function that wraps a disk in a mutant with these settings.
 func (m mutant) wrapping() func(storage.Disk) storage.Disk {
 	return func(disk storage.Disk) storage.Disk {
-		made := m
-		made.Disk = disk
-		return tolerantDisk{&made}
+		mutated := m
+		mutated.Disk = disk
+		return tolerantDisk{&mutated}
 	}
 }
 
-// Given the package as it is, when the histories that catch the mutants are run, then none shows a mistake.
+// Given a disk without a mutation, when histories that detect the mutants are run, then all pass.
 func TestHistories_UnchangedPackage_ShowNoMistake(t *testing.T) {
-	if err := catch(controlHistories, mutant{}.wrapping()); err != nil {
+	if err := firstFailure(controlHistories, mutant{}.wrapping()); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Given the package with a mistake, when the histories of the crash tests are run, then at least one shows the mistake.
+// Given a disk with a mutation, when histories of the crash tests are run, then at least one fails.
 func TestHistories_MutantDisk_IsCaught(t *testing.T) {
 	mutants := map[string]mutant{
-		"directory not synced":                       {skipsDirSync: true},
-		"slot not synced":                            {skipsSyncOf: ".slot-"},
-		"log not synced":                             {skipsSyncOf: ".log-"},
-		"old log removed before the new one is made": {removesLogsEarly: true},
-		"log not synced by recovery":                 {skipsFirstSync: true},
-		"torn write not truncated":                   {skipsTruncate: true},
+		"directory not synced":                      {skipsDirSync: true},
+		"slot not synced":                           {skipsSyncOf: ".slot-"},
+		"log not synced":                            {skipsSyncOf: ".log-"},
+		"old log removed before the new one exists": {removesLogsEarly: true},
+		"log not synced by recovery":                {skipsFirstSync: true},
+		"torn write not truncated":                  {skipsTruncate: true},
 	}
 	for name, settings := range mutants {
 		t.Run(name, func(t *testing.T) {
-			err := catch(mutantHistories, settings.wrapping())
+			err := firstFailure(mutantHistories, settings.wrapping())
 			if err == nil {
-				t.Fatalf("%d histories did not catch it", mutantHistories)
+				t.Fatalf("none of %d histories detected the mutation", mutantHistories)
 			}
 			t.Log(err)
 		})
--- a/internal/tier/storage/filenames.go
+++ b/internal/tier/storage/filenames.go
@@ -9,16 +9,16 @@
 	"github.com/gravitational/trace"
 )
 
-// Suffixes of file names, behind the group's name and a dot.
+// Prefixes of the file name suffixes, which follow the group's name and a dot.
 const (
 	slotPrefix = "slot-"
 	logPrefix  = "log-"
 )
 
-// slotSuffixes are the suffixes of the two slots' names.
+// slotSuffixes are the suffixes of the two slots' file names.
 var slotSuffixes = [2]string{slotPrefix + "a", slotPrefix + "b"}
 
-// logSuffix returns the suffix of the name of a generation's log.
+// logSuffix returns the file name suffix of a generation's log.
 func logSuffix(generation uint64) string {
 	return logPrefix + strconv.FormatUint(generation, 10)
 }
@@ -26,24 +26,24 @@
 // fileName returns the name of a group's file.
 func fileName(group, suffix string) string { return group + "." + suffix }
 
-// checkGroupName refuses names that cannot begin a file's name.
+// checkGroupName returns an error for names that can't be used as the prefix of a file name.
 func checkGroupName(group string) error {
 	if group == "" || strings.ContainsAny(group, "/\x00") || strings.HasPrefix(group, ".") {
-		return trace.BadParameter("group name %q cannot begin a file's name", group)
+		return trace.BadParameter("group name %q is empty, begins with a dot or contains a slash or NUL", group)
 	}
 	return nil
 }
 
-// groupFiles are the files that a group has on its disk.
+// groupFiles lists the files of a group on its disk.
 type groupFiles struct {
-	slots [2]bool
-	logs  []uint64 // generations, the newest first
+	slots [2]bool  // whether each slot's file exists
+	logs  []uint64 // generations of the logs, newest first
 }
 
-// hasSlot reports whether there is a slot, whatever it holds.
+// hasSlot reports whether a slot's file exists, regardless of its content.
 func (f *groupFiles) hasSlot() bool { return f.slots[0] || f.slots[1] }
 
-// findGroupFiles finds a group's files among all names of a disk.
+// findGroupFiles selects a group's files from all names on a disk.
 func findGroupFiles(names []string, group string) groupFiles {
 	var found groupFiles
 	for _, name := range names {
@@ -62,7 +62,7 @@
 	return found
 }
 
-// parseLogSuffix returns the generation in the suffix of a log's name. Only what logSuffix writes is one.
+// parseLogSuffix returns the generation in a log's file name suffix. It accepts only the exact form that logSuffix returns.
 func parseLogSuffix(suffix string) (uint64, bool) {
 	number, isLog := strings.CutPrefix(suffix, logPrefix)
 	if !isLog {
@@ -90,7 +90,7 @@
 	return slices.Compact(groups), nil
 }
 
-// isGroupSuffix reports whether a name with this suffix is that of a group's file.
+// isGroupSuffix reports whether a suffix is that of a slot or log.
 func isGroupSuffix(suffix string) bool {
 	_, isLog := parseLogSuffix(suffix)
 	return isLog || slices.Contains(slotSuffixes[:], suffix)
--- a/internal/tier/storage/format_test.go
+++ b/internal/tier/storage/format_test.go
@@ -16,12 +16,12 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-var updateFormat = flag.Bool("update-format", false, "write testdata/format anew; only for a format that is meant to change")
+var updateFormat = flag.Bool("update-format", false, "rewrite testdata/format; only for an intended change of the format")
 
-// formatFixture is a group's files as one history of calls leaves them. They lie in testdata/format/<name>.
+// formatFixture describes the files in testdata/format/<name>, which a fixed sequence of calls writes.
 type formatFixture struct {
 	write  func(t *testing.T, disk *memorydisk.Disk)
-	want   replica.Recovered // without the snapshot's state
+	want   replica.Recovered // what Open returns, without the snapshot's state
 	chunks []string          // of the snapshot's state
 }
 
@@ -38,12 +38,12 @@
 	formatHardState   = replica.HardState{Term: 5, Vote: "2c\n\""}
 )
 
-// formatSnapshot is a snapshot whose state comes in so many chunks.
+// formatSnapshot returns the metadata of a snapshot with a number of chunks.
 func formatSnapshot(index uint64, chunks int) *replica.Snapshot {
 	return &replica.Snapshot{Index: index, Term: 4, Members: formatMembers, Chunks: chunks}
 }
 
-// formatChunks hands texts over as the chunks of a snapshot's state.
+// formatChunks returns a source of the given chunks.
 func formatChunks(chunks ...string) storage.ChunkSource {
 	return func(write func(chunk json.RawMessage) error) error {
 		for _, chunk := range chunks {
@@ -55,7 +55,7 @@
 	}
 }
 
-// formatLog saves entries of every kind, hard states and a truncation.
+// formatLog opens a group on an empty disk and saves entries of every kind, hard states and a truncation.
 func formatLog(t *testing.T, disk *memorydisk.Disk) *storage.Group {
 	t.Helper()
 	group, _, err := storage.Open(disk, groupName)
@@ -75,7 +75,7 @@
 	return group
 }
 
-// formatCompacted compacts that log once and saves one more entry.
+// formatCompacted writes the log of formatLog, compacts it and saves one more entry.
 func formatCompacted(t *testing.T, disk *memorydisk.Disk) *storage.Group {
 	t.Helper()
 	group := formatLog(t, disk)
@@ -89,12 +89,12 @@
 	return group
 }
 
-// formatCrashed saves or compacts with a process that crashes at a change of the disk.
+// formatCrashed calls act, which saves or compacts, in a process that crashes at a change to the disk.
 func formatCrashed(t *testing.T, disk *memorydisk.Disk, change int, effect memorydisk.Effect, act func() error) {
 	t.Helper()
 	disk.CrashAt(change, effect)
 	if err := act(); !errors.Is(err, memorydisk.ErrCrashed) {
-		t.Fatalf("got %v, want a process that has crashed", err)
+		t.Fatalf("got %v, want ErrCrashed", err)
 	}
 	disk.Kill()
 }
@@ -120,7 +120,7 @@
 		want:   replica.Recovered{HardState: formatHardState, Snapshot: formatSnapshot(5, 2)},
 		chunks: []string{`{"b"`, `:2}`},
 	},
-	"installed": { // a snapshot that another member sent, and an entry behind it
+	"installed": { // a snapshot from another member, and an entry after it
 		write: func(t *testing.T, disk *memorydisk.Disk) {
 			group := formatCompacted(t, disk)
 			for number, state := range []string{`[3,`, `4]`} {
@@ -138,7 +138,7 @@
 			Entries: []replica.Entry{{Index: 10, Term: 6, Kind: replica.NoOp}}},
 		chunks: []string{`[3,`, `4]`},
 	},
-	"received": { // a snapshot of which one chunk has come: it counts for nothing
+	"received": { // one chunk of an incomplete snapshot from another member, which recovery ignores
 		write: func(t *testing.T, disk *memorydisk.Disk) {
 			group := formatCompacted(t, disk)
 			if err := group.Save(&replica.Ready{ReceivedChunks: []replica.Chunk{{Data: json.RawMessage(`[3,`)}}}); err != nil {
@@ -149,7 +149,7 @@
 			Entries: []replica.Entry{formatEntries[2], formatReplacement, formatTail}},
 		chunks: []string{`{"a":`, `1`, `}`},
 	},
-	"slot-begun": { // a compaction that crashed within its slot's last frame
+	"slot-begun": { // a compaction that crashed while it wrote its slot's last frame
 		write: func(t *testing.T, disk *memorydisk.Disk) {
 			group := formatCompacted(t, disk)
 			formatCrashed(t, disk, 2, memorydisk.Torn, func() error {
@@ -160,7 +160,7 @@
 			Entries: []replica.Entry{formatEntries[2], formatReplacement, formatTail}},
 		chunks: []string{`{"a":`, `1`, `}`},
 	},
-	"log-begun": { // a compaction that crashed within the first frame of its log
+	"log-begun": { // a compaction that crashed while it wrote its log's first frame
 		write: func(t *testing.T, disk *memorydisk.Disk) {
 			group := formatCompacted(t, disk)
 			formatCrashed(t, disk, 6, memorydisk.Torn, func() error {
@@ -171,7 +171,7 @@
 			Entries: []replica.Entry{formatEntries[2], formatReplacement, formatTail}},
 		chunks: []string{`{"a":`, `1`, `}`},
 	},
-	"torn": { // a save that crashed within its frame
+	"torn": { // a save that crashed while it wrote its frame
 		write: func(t *testing.T, disk *memorydisk.Disk) {
 			group := formatCompacted(t, disk)
 			formatCrashed(t, disk, 0, memorydisk.Torn, func() error {
@@ -191,7 +191,7 @@
 	},
 }
 
-// filesOf returns what each file of a disk holds.
+// filesOf returns the content of each file on a disk, by name.
 func filesOf(t *testing.T, disk storage.Disk) map[string]string {
 	t.Helper()
 	names, err := disk.List()
@@ -205,12 +205,12 @@
 	return files
 }
 
-// storedFormat reads the files of a fixture.
+// storedFormat reads the files of a fixture from testdata.
 func storedFormat(t *testing.T, name string) map[string]string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join("testdata", "format", name, "*"))
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("got files %q and %v", paths, err)
+		t.Fatalf("got files %q and error %v, want at least one file", paths, err)
 	}
 	files := map[string]string{}
 	for _, path := range paths {
@@ -223,7 +223,7 @@
 	return files
 }
 
-// Given the calls that wrote the stored files, when they are made again, then the files have the same bytes.
+// Given the calls that wrote the files of a fixture, when they are repeated, then they write the same bytes.
 func TestStoredFormat_WritesTheBytesOfEarlierVersions(t *testing.T) {
 	for name, fixture := range formatFixtures {
 		t.Run(name, func(t *testing.T) {
@@ -240,7 +240,7 @@
 	}
 }
 
-// writeFormat stores the files of a fixture.
+// writeFormat writes the files of a fixture to testdata.
 func writeFormat(t *testing.T, name string, files map[string]string) {
 	t.Helper()
 	dir := filepath.Join("testdata", "format", name)
@@ -254,7 +254,7 @@
 	}
 }
 
-// writeSynced makes a file that outlasts a loss of power.
+// writeSynced creates a durable file.
 func writeSynced(t *testing.T, disk storage.Disk, name, data string) {
 	t.Helper()
 	if err := write(disk, name, []byte(data)); err != nil {
@@ -269,7 +269,8 @@
 	}
 }
 
-// Given files that an earlier version has written, when a group is opened, then each value in them is recovered, and twice the same.
+// Given files that an earlier version has written, when a group is opened, then it recovers the expected state, and the same state
+// again after a power loss.
 func TestStoredFormat_ReadsFilesOfEarlierVersions(t *testing.T) {
 	for name, fixture := range formatFixtures {
 		if name == "identity" {
@@ -309,6 +310,6 @@
 	}
 	id, created, err := storage.LoadOrCreateIdentity(disk, random(1))
 	if err != nil || created || id != strings.Repeat("a7", 16) {
-		t.Fatalf("got %q, %v and %v", id, created, err)
+		t.Fatalf("got identity %q, created %v and error %v, want the stored identity", id, created, err)
 	}
 }
--- a/internal/tier/storage/frame_reader.go
+++ b/internal/tier/storage/frame_reader.go
@@ -1,21 +1,21 @@
 package storage
 
-// frameReader reads the frames of a file in order, with at most one of them in memory.
+// frameReader reads the frames of a file in order, one at a time.
 type frameReader struct {
-	file   File
-	size   int64
-	offset int64  // of the next frame
-	buffer []byte // for reuse
-	reuses bool   // a payload is valid only until the next frame is read
+	file        File
+	size        int64
+	offset      int64  // of the next frame
+	buffer      []byte // holds the last frame if reuseBuffer is set
+	reuseBuffer bool   // whether a payload is valid only until the next frame is read
 }
 
-// newFrameReader starts at the beginning of a file. With reuse, the payload of a frame is overwritten by the next one.
+// newFrameReader returns a reader at the start of a file. With reuse, each frame's payload is overwritten by the next frame.
 func newFrameReader(file File, reuse bool) (*frameReader, error) {
 	size, err := file.Size()
-	return &frameReader{file: file, size: size, reuses: reuse}, err
+	return &frameReader{file: file, size: size, reuseBuffer: reuse}, err
 }
 
-// next returns the next frame, and false if it is not intact; the reader then stays in front of it. An error is the disk's.
+// next returns the next frame and whether it is intact. If it isn't, the reader's offset doesn't change. An error is the disk's.
 func (r *frameReader) next() (frame, bool, error) {
 	remaining := r.size - r.offset - int64(headerBytes)
 	if remaining < 0 {
@@ -40,9 +40,9 @@
 	return found, intact, nil
 }
 
-// allocate returns memory for so many bytes.
+// allocate returns a slice of the given length, from the buffer if it is reused.
 func (r *frameReader) allocate(bytes int) []byte {
-	if !r.reuses {
+	if !r.reuseBuffer {
 		return make([]byte, bytes)
 	}
 	if cap(r.buffer) < bytes {
@@ -51,7 +51,7 @@
 	return r.buffer[:bytes]
 }
 
-// rest returns everything behind the frames read so far.
+// rest returns the remaining bytes of the file after the frames read so far.
 func (r *frameReader) rest() ([]byte, error) {
 	data := make([]byte, r.size-r.offset)
 	if len(data) == 0 {
--- a/internal/tier/storage/group.go
+++ b/internal/tier/storage/group.go
@@ -8,11 +8,11 @@
 	"mastusher/internal/tier/replica"
 )
 
-// maxBufferBytes bounds the buffer that a group keeps from one save to the next.
+// maxBufferBytes bounds the capacity of a buffer that is kept for reuse.
 const maxBufferBytes = 1 << 20
 
-// Group is the durable state of one member of a replica group. It is not safe for concurrent use: the group's goroutine owns it.
-// After any failed operation each later call returns the same FailedError, and no further operation reaches the disk.
+// Group is the durable state of one member of a replica group. It is not safe for concurrent use: the member's goroutine owns it.
+// After a failed operation, every later change is refused with the same FailedError.
 type Group struct {
 	disk Disk
 	name string
@@ -24,34 +24,34 @@
 	sequence   uint64 // of the next frame
 
 	// The slots.
-	maxGeneration uint64      // ever found or begun; a new slot gets the next one, so that none is ever reused
-	slotNamed     [2]bool     // the slot's file name is durable
-	active        slotLayout  // of the slot that the log follows; without meaning in generation 0
-	incoming      *slotWriter // of a snapshot that is being received; nil: none
-	compaction    *Compaction // that writes the inactive slot; nil: none
+	maxGeneration   uint64      // highest generation found or begun; a new slot gets the next one, so that none is reused
+	slotNameDurable [2]bool     // whether each slot's file name is durable
+	active          slotLayout  // of the active slot; unused in generation 0
+	incoming        *slotWriter // of a snapshot that is being received; nil if none
+	compaction      *Compaction // running compaction, which writes the inactive slot; nil if none
 
-	// What is saved, against which changes are checked.
+	// Saved state, against which changes are checked.
 	hardState     replica.HardState
 	snapshotIndex uint64
 	lastIndex     uint64
 
-	buffer  []byte       // for reuse
-	failure *FailedError // nil: none
+	buffer  []byte       // reused by saves
+	failure *FailedError // nil if no operation has failed
 	closed  bool
 }
 
-// Save makes what one step has to save durable, by one write and one sync; it does nothing when there is nothing to save.
-// Received chunks of a snapshot are written without a sync, since nothing depends on them before the snapshot is installed;
-// installing it costs what a compaction does.
+// Save makes a Ready durable by one write and one sync, or does nothing if the Ready has nothing to save. Received snapshot chunks
+// are written without a sync, since nothing depends on them before the snapshot is installed. Installing a snapshot takes the same
+// writes and syncs as a compaction.
 //
-// Errors: a FailedError, whose cause is the disk's error, ErrInvalidChange or ErrChunkOrder.
+// An error is a FailedError, whose cause is the disk's error, ErrInvalidChange, ErrChunkOrder or ErrSlotInUse.
 func (g *Group) Save(ready *replica.Ready) error {
 	if g.failure != nil {
 		return trace.Wrap(g.failure)
 	}
 	snapshotIndex, lastIndex, err := g.checkReady(ready)
 	if err != nil {
-		return trace.Wrap(g.fail("check of what is to be saved", err))
+		return trace.Wrap(g.fail("check before a save", err))
 	}
 	if err = g.receive(ready.ReceivedChunks); err != nil {
 		return trace.Wrap(err)
@@ -66,7 +66,7 @@
 	if buffer, err = appendReady(buffer, ready); err != nil {
 		return trace.Wrap(g.fail("encoding", err))
 	}
-	g.recycle(buffer)
+	g.keepBuffer(buffer)
 	finishFrame(buffer)
 	if err := g.appendFrame(buffer); err != nil {
 		return trace.Wrap(err)
@@ -93,14 +93,14 @@
 	return nil
 }
 
-// truncateUnsynced takes back, as far as possible, a frame whose write or sync failed. Otherwise the next process might read it
-// from the page cache and take it for durable, while it never reaches the disk.
+// truncateUnsynced tries to remove a frame whose write or sync failed. Otherwise the next process might read the frame from the
+// page cache and treat it as durable, although it never reaches the disk.
 func (g *Group) truncateUnsynced() { _ = g.log.Truncate(g.logBytes) }
 
-// recycle keeps a buffer for the next save, unless it is large.
-func (g *Group) recycle(buffer []byte) { g.buffer = reusable(buffer) }
+// keepBuffer keeps a buffer for the next save, unless it is too large.
+func (g *Group) keepBuffer(buffer []byte) { g.buffer = reusable(buffer) }
 
-// reusable returns the buffer, or nil if it is too large to be kept.
+// reusable returns the buffer, or nil if it exceeds maxBufferBytes.
 func reusable(buffer []byte) []byte {
 	if cap(buffer) > maxBufferBytes {
 		return nil
@@ -108,7 +108,7 @@
 	return buffer
 }
 
-// fail puts the group out of use for good. Only the first failure counts.
+// fail returns a FailedError with the first failure, which all later changes return too.
 func (g *Group) fail(operation string, cause error) error {
 	if g.failure == nil {
 		g.failure = &FailedError{Operation: operation, Cause: cause}
@@ -119,8 +119,8 @@
 // LogBytes returns the length of the log.
 func (g *Group) LogBytes() int64 { return g.logBytes }
 
-// Close closes the log without a sync; everything that was acknowledged is durable already. Later calls return a FailedError,
-// apart from Close.
+// Close closes the log without a sync, since everything acknowledged is durable already. Later changes return a FailedError;
+// another Close returns nil.
 func (g *Group) Close() error {
 	if g.closed {
 		return nil
--- a/internal/tier/storage/has_snapshot.go
+++ b/internal/tier/storage/has_snapshot.go
@@ -2,9 +2,9 @@
 
 import "github.com/gravitational/trace"
 
-// HasSnapshot reports whether Open would recover a snapshot of a group, and with it the group's members. It reads no more than
-// the first frame of the newest log where that is intact. Otherwise, after an interrupted compaction or where the disk is
-// damaged, it opens the group, and returns the errors of Open.
+// HasSnapshot reports whether Open would recover a snapshot of a group, which includes the group's members. If the newest log has a
+// generation above 0 and its first frame is intact, HasSnapshot reads only that frame. Otherwise it opens the group and may return
+// the errors of Open.
 func HasSnapshot(disk Disk, group string) (bool, error) {
 	names, err := disk.List()
 	if err != nil {
--- a/internal/tier/storage/history_test.go
+++ b/internal/tier/storage/history_test.go
@@ -19,65 +19,66 @@
 
 const groupName = "turns-1"
 
-// step is one call of a member, relative to what it has saved.
+// step is one call to a Group. Its values are relative to the saved state. Without Compact or Forget it is a Save.
 type step struct {
-	Compact       bool
-	TermIncrement uint64 // by which the term rises
-	Vote          string
-	Install       bool
-	Truncate      int // entries at the end that are truncated
-	Entries       int // that are appended
-	Bytes         int // of each one's data
-	Remaining     int // entries that remain after a compaction
-	Beside        int // saves while the compaction writes its slot
-	Forget        bool
-
-	Received int // chunks of a snapshot that never becomes complete
+	Compact         bool
+	TermIncrement   uint64 // added to the term
+	Vote            string
+	Install         bool // installs a received snapshot
+	Truncate        int  // number of entries truncated from the end
+	Entries         int  // number of entries appended
+	Bytes           int  // length of each entry's data, or of the snapshot's state
+	Remaining       int  // number of entries that remain after a compaction
+	ConcurrentSaves int  // number of saves while a compaction writes its slot
+	Forget          bool
+
+	Received int // number of received chunks of a snapshot that stays incomplete
 }
 
-// processRun is what one process does, up to its crash at one of the changes that it makes to the disk.
+// processRun describes what one process does until it crashes at a change to the disk, or after its last step.
 type processRun struct {
 	Steps     []step
-	CrashAt   int
+	CrashAt   int // number of the change, from 0
 	Effect    memorydisk.Effect
-	PowerLoss bool // it ends by a loss of power, otherwise by a crash of the process alone
+	PowerLoss bool // whether power is lost too; otherwise only the process crashes
 	Seed      uint64
 }
 
-// anyStep draws a step.
+// anyStep generates a step.
 var anyStep = rapid.Custom(func(t *rapid.T) step {
 	return step{
-		Compact:       rapid.IntRange(0, 3).Draw(t, "compact") == 0,
-		TermIncrement: rapid.Uint64Range(0, 2).Draw(t, "raise"),
-		Vote:          rapid.SampledFrom([]string{"", "north", "south\"\n"}).Draw(t, "vote"),
-		Install:       rapid.IntRange(0, 7).Draw(t, "install") == 0,
-		Truncate:      rapid.IntRange(0, 2).Draw(t, "cut"),
-		Entries:       rapid.IntRange(0, 4).Draw(t, "entries"),
-		Bytes:         rapid.IntRange(0, 300).Draw(t, "bytes"),
-		Remaining:     rapid.IntRange(0, 5).Draw(t, "keep"),
-		Beside:        rapid.SampledFrom([]int{0, 0, 1, 4}).Draw(t, "beside"),
+		Compact:         rapid.IntRange(0, 3).Draw(t, "compact") == 0,
+		TermIncrement:   rapid.Uint64Range(0, 2).Draw(t, "term increment"),
+		Vote:            rapid.SampledFrom([]string{"", "north", "south\"\n"}).Draw(t, "vote"),
+		Install:         rapid.IntRange(0, 7).Draw(t, "install") == 0,
+		Truncate:        rapid.IntRange(0, 2).Draw(t, "truncate"),
+		Entries:         rapid.IntRange(0, 4).Draw(t, "entries"),
+		Bytes:           rapid.IntRange(0, 300).Draw(t, "bytes"),
+		Remaining:       rapid.IntRange(0, 5).Draw(t, "remaining"),
+		ConcurrentSaves: rapid.SampledFrom([]int{0, 0, 1, 4}).Draw(t, "concurrent saves"),
 
 		Received: rapid.SampledFrom([]int{0, 0, 1, 3}).Draw(t, "received"),
 	}
 })
 
-// anyProcessRun draws the run of a process.
+// anyProcessRun generates the run of one process.
 var anyProcessRun = rapid.Custom(func(t *rapid.T) processRun {
 	return processRun{
 		Steps:     rapid.SliceOfN(anyStep, 1, 10).Draw(t, "steps"),
-		CrashAt:   rapid.IntRange(0, 30).Draw(t, "stop at"),
+		CrashAt:   rapid.IntRange(0, 30).Draw(t, "crash at"),
 		Effect:    rapid.SampledFrom([]memorydisk.Effect{memorydisk.NotApplied, memorydisk.Torn, memorydisk.Applied}).Draw(t, "effect"),
-		PowerLoss: rapid.Bool().Draw(t, "power"),
+		PowerLoss: rapid.Bool().Draw(t, "power loss"),
 		Seed:      rapid.Uint64().Draw(t, "seed"),
 	}
 })
 
-// anyHistory draws the runs of several processes that use a disk one after the other.
+// anyHistory generates the runs of several processes that use the same disk one after the other.
 var anyHistory = rapid.SliceOfN(anyProcessRun, 1, 8)
 
-// savedState is what a member has saved, with the complete state of its snapshot.
+// savedState is what a member has saved, including the state of its snapshot.
 type savedState struct{ replica.Recovered }
 
+// base returns the index of the last entry that the snapshot covers.
 func (s savedState) base() uint64 {
 	if s.Snapshot == nil {
 		return 0
@@ -87,13 +88,13 @@
 
 func (s savedState) last() uint64 { return s.base() + uint64(len(s.Entries)) }
 
-// clone copies what with appends to.
+// clone returns a copy whose entries can be changed independently.
 func (s savedState) clone() savedState {
 	s.Entries = append([]replica.Entry(nil), s.Entries...)
 	return s
 }
 
-// with returns the state once ready is saved.
+// with returns the state after a save of ready.
 func (s savedState) with(ready *replica.Ready) savedState {
 	next := s.clone()
 	if ready.HardState != nil {
@@ -109,7 +110,7 @@
 	return next
 }
 
-// readyFor returns what a step saves.
+// readyFor returns the Ready that a step saves.
 func (s savedState) readyFor(one step) *replica.Ready {
 	ready := &replica.Ready{}
 	term := s.HardState.Term + one.TermIncrement
@@ -135,7 +136,7 @@
 	return ready
 }
 
-// compacted returns the state once a snapshot has replaced all entries but the last few.
+// compacted returns the state after a compaction that keeps the step's number of remaining entries.
 func (s savedState) compacted(one step) savedState {
 	index := s.last() - min(uint64(one.Remaining), uint64(len(s.Entries)))
 	next := s.clone()
@@ -145,6 +146,7 @@
 	return next
 }
 
+// entryAt returns an entry whose data depends on its index and term.
 func entryAt(index, term uint64, bytes int) replica.Entry {
 	entry := replica.Entry{Index: index, Term: term, Kind: replica.EntryKind(index % 3)}
 	if bytes > 0 {
@@ -153,12 +155,13 @@
 	return entry
 }
 
+// snapshotAt returns a snapshot with a state of about the given length.
 func snapshotAt(index, term uint64, bytes int) *replica.Snapshot {
 	return &replica.Snapshot{Index: index, Term: term, Members: []replica.Member{{ID: "north", Address: "10.0.0.1:1"}, {ID: "south", Learner: true}},
 		Chunks: chunkCount(bytes), State: entryAt(index, term, bytes+1).Data}
 }
 
-// chunkCount is the number of chunks in which a state of so many bytes comes.
+// chunkCount returns the number of chunks of a state of the given length.
 func chunkCount(bytes int) int { return 1 + bytes%4 }
 
 // chunksOf splits the state of a snapshot into its chunks.
@@ -172,7 +175,7 @@
 	return chunks
 }
 
-// written hands the chunks of a snapshot's state over, as a state machine does.
+// chunkSource returns a source of the chunks of a snapshot's state.
 func chunkSource(snapshot *replica.Snapshot) storage.ChunkSource {
 	return func(write func(chunk json.RawMessage) error) error {
 		for _, chunk := range chunksOf(snapshot) {
@@ -184,7 +187,8 @@
 	}
 }
 
-// withSnapshotState adds to what was recovered the state that lies in the slot, read in both ways.
+// withSnapshotState reads the state of the recovered snapshot by ReadChunks, compares it with that of ReadChunk, and returns recovered
+// with the state.
 func withSnapshotState(group *storage.Group, recovered replica.Recovered) (replica.Recovered, error) {
 	if recovered.Snapshot == nil {
 		return recovered, nil
@@ -195,19 +199,19 @@
 		complete.State = append(complete.State, chunk...)
 		single, err := group.ReadChunk(number)
 		if err == nil && !bytes.Equal(single, chunk) {
-			err = fmt.Errorf("chunk %d is %q by itself and %q in sequence", number, single, chunk)
+			err = fmt.Errorf("chunk %d is %q by ReadChunk and %q by ReadChunks", number, single, chunk)
 		}
 		number++
 		return err
 	})
 	if err == nil && number != complete.Chunks {
-		err = fmt.Errorf("%d chunks were read of %d", number, complete.Chunks)
+		err = fmt.Errorf("ReadChunks returned %d chunks, want %d", number, complete.Chunks)
 	}
 	recovered.Snapshot = &complete
 	return recovered, err
 }
 
-// equal compares without regard to empty or nil entries. It is quicker than cmp, which diff uses.
+// equal compares two states and treats nil and empty entries as equal. It is faster than cmp, which diff uses.
 func equal(a, b replica.Recovered) bool {
 	if len(a.Entries) == 0 && len(b.Entries) == 0 {
 		a.Entries, b.Entries = nil, nil
@@ -217,12 +221,12 @@
 
 func diff(want, got replica.Recovered) string { return cmp.Diff(want, got, cmpopts.EquateEmpty()) }
 
-// testMember is a member that uses a disk, and what its disk may hold after a crash.
+// testMember is a member with a disk, and the states that recovery may find on it.
 type testMember struct {
 	disk    *memorydisk.Disk
-	view    storage.Disk // the disk as the member's process sees it
+	view    storage.Disk // the disk that the member uses: disk itself, or a wrapper
 	saved   savedState
-	allowed []savedState // that recovery may find
+	allowed []savedState // states that recovery may find
 }
 
 func newTestMember(wrap func(storage.Disk) storage.Disk) *testMember {
@@ -230,7 +234,7 @@
 	return &testMember{disk: disk, view: wrap(disk), allowed: []savedState{{}}}
 }
 
-// open recovers the member and checks that it is in one of the allowed states.
+// open recovers the member and checks that the recovered state is an allowed one.
 func (m *testMember) open() (*storage.Group, error) {
 	hasSnapshot, hasErr := storage.HasSnapshot(m.view, groupName)
 	group, recovered, err := storage.Open(m.view, groupName)
@@ -238,7 +242,7 @@
 		return nil, err
 	}
 	if hasErr != nil || hasSnapshot != (recovered.Snapshot != nil) {
-		return nil, fmt.Errorf("HasSnapshot gives %v, error %w", hasSnapshot, hasErr)
+		return nil, fmt.Errorf("HasSnapshot returned %v and error %w, which contradicts Open", hasSnapshot, hasErr)
 	}
 	if recovered, err = withSnapshotState(group, recovered); err != nil {
 		return nil, err
@@ -250,13 +254,13 @@
 			return group, nil
 		}
 	}
-	return nil, fmt.Errorf("recovered what was never saved, or lost what was:\n%s", diff(m.allowed[0].Recovered, recovered))
+	return nil, fmt.Errorf("the recovered state is not an allowed one (-first allowed +recovered):\n%s", diff(m.allowed[0].Recovered, recovered))
 }
 
-// apply makes one step.
+// apply executes a step and updates the allowed states.
 func (m *testMember) apply(group *storage.Group, one step) error {
-	if one.Compact && one.Beside > 0 {
-		return m.compactBeside(group, one)
+	if one.Compact && one.ConcurrentSaves > 0 {
+		return m.compactDuringSaves(group, one)
 	}
 	next, err := savedState{}, error(nil)
 	if one.Forget {
@@ -279,15 +283,15 @@
 	return nil
 }
 
-// compactBeside makes a compaction during whose writes the member goes on saving.
-func (m *testMember) compactBeside(group *storage.Group, one step) error {
+// compactDuringSaves executes a compaction during which the member continues to save.
+func (m *testMember) compactDuringSaves(group *storage.Group, one step) error {
 	snapshot := m.saved.compacted(one).Snapshot
 	compaction, err := group.BeginCompaction(*snapshot)
 	if err != nil {
 		return err
 	}
-	for number := range one.Beside {
-		if number == one.Beside/2 {
+	for number := range one.ConcurrentSaves {
+		if number == one.ConcurrentSaves/2 {
 			if err := compaction.Write(chunkSource(snapshot)); err != nil {
 				return err
 			}
@@ -308,7 +312,7 @@
 	return nil
 }
 
-// runProcess runs one process.
+// runProcess opens the group and applies the steps.
 func (m *testMember) runProcess(steps []step) error {
 	group, err := m.open()
 	if err != nil {
@@ -322,7 +326,7 @@
 	return nil
 }
 
-// runHistory runs a history. The error says what was wrong.
+// runHistory executes a history and returns an error if a recovery found a state that is not allowed.
 func runHistory(history []processRun, wrap func(storage.Disk) storage.Disk) error {
 	m := newTestMember(wrap)
 	for i, one := range history {
@@ -339,7 +343,7 @@
 	return m.recoverTwice()
 }
 
-// recoverTwice checks that what is recovered is durable, whatever happens next.
+// recoverTwice recovers the member and checks that the recovered state is durable, by recovering it again after a power loss.
 func (m *testMember) recoverTwice() error {
 	if _, err := m.open(); err != nil {
 		return fmt.Errorf("first recovery: %w", err)
@@ -351,5 +355,5 @@
 	return nil
 }
 
-// unwrapped is no wrapping at all.
+// unwrapped returns the disk itself, for tests that need no wrapper.
 func unwrapped(disk storage.Disk) storage.Disk { return disk }
--- a/internal/tier/storage/identity.go
+++ b/internal/tier/storage/identity.go
@@ -17,10 +17,9 @@
 	identityBytes    = 16 // before hexadecimal encoding
 )
 
-// LoadOrCreateIdentity returns the identity of a machine, which lies on its disk, and makes one out of random bytes if there is
-// none. It returns once the identity is durable. Created reports that the disk had none; only the caller knows whether a disk
-// without an identity was to be expected. The error is a CorruptError where the file holds no identity, the disk's, or that of
-// random.
+// LoadOrCreateIdentity returns the machine's identity, which is stored on its disk, or creates it from random bytes if there is none.
+// It returns once the identity is durable. Created reports that the disk had no identity; the caller must know whether that is
+// expected. The error is a CorruptError if the file's content is no identity, or else that of the disk or of random.
 func LoadOrCreateIdentity(disk Disk, random io.Reader) (id string, created bool, err error) {
 	id, err = loadIdentity(disk)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -30,8 +29,8 @@
 	return id, false, trace.Wrap(err)
 }
 
-// loadIdentity reads the identity. Its name may come from a process that was killed before it synced the directory, so that is
-// synced here.
+// loadIdentity reads the identity. It syncs the directory, because an earlier process may have been killed between renaming the file
+// and syncing the directory.
 func loadIdentity(disk Disk) (string, error) {
 	file, err := disk.Open(IdentityFile)
 	if err != nil {
@@ -43,12 +42,12 @@
 		return "", err
 	}
 	if decoded, err := hex.DecodeString(string(data)); err != nil || len(decoded) != identityBytes {
-		return "", &CorruptError{File: IdentityFile, Reason: "it does not hold an identity"}
+		return "", &CorruptError{File: IdentityFile, Reason: "content is not an identity of 32 hexadecimal digits"}
 	}
 	return string(data), disk.SyncDir()
 }
 
-// createIdentity writes a new identity to a temporary file and renames it, so that its name never stands for half of it.
+// createIdentity writes a new identity to a temporary file and then renames the file, so that IdentityFile is never incomplete.
 func createIdentity(disk Disk, random io.Reader) (string, error) {
 	var bytes [identityBytes]byte
 	if _, err := io.ReadFull(random, bytes[:]); err != nil {
--- a/internal/tier/storage/memorydisk/disk.go
+++ b/internal/tier/storage/memorydisk/disk.go
@@ -1,11 +1,11 @@
-// Package memorydisk is a storage.Disk in memory, for tests and simulations. It crashes, loses power, fills up and fails as a
-// machine's disk does, and counts the operations on it. The same seeds and calls give the same outcome.
+// Package memorydisk implements a storage.Disk in memory, for tests and simulations. It simulates process crashes, power loss, a full
+// disk and failed operations, and counts operations. The same seeds and calls give the same outcome.
 //
-// The model: a write is in the page cache at once, where every later process sees it, and durable once its file was synced; a
-// name is durable once the directory was synced. A crash of the process (Kill, CrashAt) loses nothing that was written. A loss of
-// power (LosePower) leaves each unsynced write and name by itself applied, torn or lost, in any combination: more than any one
-// file system allows, so that code that survives it depends on no file system's ordering. A write whose sync has failed is lost
-// with the power for good, though reads still show it.
+// The model: a write is visible in the page cache at once, also to later processes, and durable once the file has been synced. A
+// name is durable once the directory has been synced. A process crash (Kill, CrashAt) loses nothing that was written. After a power
+// loss (LosePower), each unsynced write is independently applied, torn or lost, and each unsynced change of a name applied or lost.
+// That is more than any one file system allows, so code that tolerates it depends on no file system's ordering. A write whose sync
+// has failed is lost at the next power loss, even if a later sync succeeds, although reads show it until then.
 package memorydisk
 
 import (
@@ -18,13 +18,14 @@
 	"mastusher/internal/tier/storage"
 )
 
-// ErrCrashed is returned by each call after a crash of CrashAt, and by each call on a file that an earlier process opened.
+// ErrCrashed is returned by each call after a crash set by CrashAt, and by each call on a file that is closed or that an earlier
+// process opened.
 var ErrCrashed = errors.New("process has crashed")
 
 // Operation is a kind of operation on a disk.
 type Operation string
 
-// The kinds of operation. Those from Create on are changes, which CrashAt counts.
+// The kinds of operation. Create and the kinds after it are changes, which CrashAt counts.
 const (
 	Open     Operation = "open"
 	Read     Operation = "read"
@@ -38,41 +39,41 @@
 	Remove   Operation = "remove"
 )
 
-// isChange reports whether an operation of this kind changes something.
+// isChange reports whether this kind of operation changes the disk.
 func (o Operation) isChange() bool { return o != Open && o != Read && o != List }
 
-// Effect is how much of the operation at which a process crashes still happens.
+// Effect is how much of an operation is applied if the process crashes during it.
 type Effect uint8
 
 // The effects.
 const (
 	NotApplied Effect = iota
-	Torn              // the first half of a write; of any other operation nothing
-	Applied           // all of it, though its caller gets ErrCrashed
+	Torn              // only the first half of a write; nothing of any other operation
+	Applied           // the complete operation, although its caller gets ErrCrashed
 )
 
-// Counts are the operations on a disk so far. Those that failed or crashed count among Changes only.
+// Counts holds the numbers of operations on a disk so far.
 type Counts struct {
 	Writes       int
 	BytesWritten int64
 	Syncs        int // of files
 	DirSyncs     int
-	Changes      int // operations that change something, writes and syncs included
+	Changes      int // operations that change the disk, including writes and syncs, and those during which the process crashed
 }
 
-// Disk is a disk in memory. It is safe for concurrent use.
+// Disk is a storage.Disk in memory. It is safe for concurrent use.
 type Disk struct {
 	mutex        sync.Mutex
 	names        map[string]*inode
-	durableNames map[string]*inode // names as of the last sync of the directory
-	process      int               // number of the process that may use the disk
-	capacity     int64             // in bytes; 0: unlimited
-	used         int64
+	durableNames map[string]*inode // names at the last sync of the directory
+	process      int               // number of the current process; files opened by earlier ones are unusable
+	capacity     int64             // in bytes; 0 for no limit
+	used         int64             // total length of all files
 	counts       Counts
 	fault        func(kind Operation, name string) error
 
 	crashArmed  bool
-	crashAfter  int // changes until the crash
+	crashAfter  int // changes before the one that crashes
 	crashEffect Effect
 	crashed     bool
 }
@@ -84,45 +85,45 @@
 	return &Disk{names: map[string]*inode{}, durableNames: map[string]*inode{}}
 }
 
-// SetCapacity limits the length of all files together, in bytes; 0: unlimited. A write beyond it is short and returns ENOSPC.
+// SetCapacity limits the total length of all files, in bytes; 0 removes the limit. A write beyond it is short and returns ENOSPC.
 func (d *Disk) SetCapacity(bytes int64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.capacity = bytes
 }
 
-// InjectFaults sets a function that is called before each operation, with the disk locked; its error, if any, is the operation's.
-// A failed operation does nothing, except that the writes before a failed sync of a file are lost with the power, also if a
-// later sync succeeds. Nil removes it.
+// InjectFaults sets a function that is called before each operation, with the disk locked. If it returns an error, the operation
+// fails with that error and does nothing, except that a failed Sync marks the file's unsynced writes as lost: they vanish at the
+// next power loss even if a later Sync succeeds. A nil function removes the faults.
 func (d *Disk) InjectFaults(fault func(kind Operation, name string) error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.fault = fault
 }
 
-// CrashAt crashes the process at a change, counted from 0 at this call. That change has the effect; all calls from it on
-// return ErrCrashed until Kill or LosePower starts the next process.
+// CrashAt makes the process crash during a later change, counted from 0. The effect says how much of that change is applied. It and
+// all later calls return ErrCrashed until Kill or LosePower starts the next process.
 func (d *Disk) CrashAt(change int, effect Effect) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.crashArmed, d.crashAfter, d.crashEffect = true, change, effect
 }
 
-// Crashed reports whether the process has crashed at the change of CrashAt.
+// Crashed reports whether the process has crashed at the change set by CrashAt, and no new process has started.
 func (d *Disk) Crashed() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.crashed
 }
 
-// Counts returns the operations so far.
+// Counts returns the numbers of operations so far.
 func (d *Disk) Counts() Counts {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.counts
 }
 
-// begin starts an operation. The error is what its caller gets; the effect is how much of it still happens.
+// begin is called at the start of each operation. It returns how much of the operation to apply, and the error for its caller.
 func (d *Disk) begin(kind Operation, name string, process int) (Effect, error) {
 	if d.crashed || process != d.process {
 		return NotApplied, ErrCrashed
@@ -214,7 +215,7 @@
 	return err
 }
 
-// unlink removes a name and frees its file's space.
+// unlink removes a name, if it exists, and frees the space of its file.
 func (d *Disk) unlink(name string) {
 	if node := d.names[name]; node != nil {
 		d.used -= int64(len(node.content))
@@ -232,7 +233,7 @@
 	return d.sortedNames(), nil
 }
 
-// sortedNames returns all names in order.
+// sortedNames returns the names of all files, sorted.
 func (d *Disk) sortedNames() []string { return slices.Sorted(maps.Keys(d.names)) }
 
 // SyncDir implements storage.Disk.
--- a/internal/tier/storage/memorydisk/disk_test.go
+++ b/internal/tier/storage/memorydisk/disk_test.go
@@ -15,8 +15,8 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// seeds is how many losses of power are tried.
-const seeds = 300
+// powerLossSeeds is the number of simulated power losses per case.
+const powerLossSeeds = 300
 
 // must fails the test on an error.
 func must(t *testing.T, err error) {
@@ -26,7 +26,7 @@
 	}
 }
 
-// create makes a file that holds text.
+// create creates a file and writes text to it.
 func create(t *testing.T, disk *memorydisk.Disk, name, text string) storage.File {
 	t.Helper()
 	file, err := disk.Create(name)
@@ -41,7 +41,7 @@
 	must(t, err)
 }
 
-// contents returns what each file holds.
+// contents returns the content of each file, by name.
 func contents(t *testing.T, disk *memorydisk.Disk) map[string]string {
 	t.Helper()
 	names, err := disk.List()
@@ -57,11 +57,12 @@
 	return all
 }
 
-// outcomes returns all that losses of power leave of a disk.
+// outcomes returns the different contents of a prepared disk after power losses with different seeds. It also checks that a second
+// power loss changes nothing.
 func outcomes(t *testing.T, prepare func(disk *memorydisk.Disk)) []map[string]string {
 	t.Helper()
 	var found []map[string]string
-	for seed := range uint64(seeds) {
+	for seed := range uint64(powerLossSeeds) {
 		disk := memorydisk.New()
 		prepare(disk)
 		disk.LosePower(seed)
@@ -71,13 +72,13 @@
 		}
 		disk.LosePower(seed + 1)
 		if text := cmp.Diff(left, contents(t, disk)); text != "" {
-			t.Fatalf("seed %d: what was left once did not stay:\n%s", seed, text)
+			t.Fatalf("seed %d: a second power loss changed the files (-first +second):\n%s", seed, text)
 		}
 	}
 	return found
 }
 
-// Given synced files and names, when power is lost, then they stay.
+// Given synced files and names, when power is lost, then they are kept.
 func TestLosePower_SyncedContent_Stays(t *testing.T) {
 	found := outcomes(t, func(disk *memorydisk.Disk) {
 		file := create(t, disk, "a", "hello")
@@ -91,8 +92,7 @@
 	}
 }
 
-// Given writes and truncations since the last sync, when power is lost, then each is there, missing or torn, and what was synced
-// stays.
+// Given writes since the last sync, when power is lost, then each is applied, lost or torn, and the synced content is kept.
 func TestLosePower_UnsyncedWrites_AreThereMissingOrTorn(t *testing.T) {
 	long := strings.Repeat("x", 200)
 	found := outcomes(t, func(disk *memorydisk.Disk) {
@@ -106,7 +106,7 @@
 	for _, left := range found {
 		text := left["a"]
 		if !strings.HasPrefix(text, "synced") {
-			t.Fatalf("what was synced is gone: %q", text)
+			t.Fatalf("the synced content is lost: %q", text)
 		}
 		kinds["complete"] = kinds["complete"] || text == "synced"+long+"end"
 		kinds["none"] = kinds["none"] || text == "synced"
@@ -117,13 +117,13 @@
 	}
 	for _, kind := range []string{"complete", "none", "first only", "second only", "beginning", "sectors"} {
 		if !kinds[kind] {
-			t.Errorf("no loss of power left %s", kind)
+			t.Errorf("no power loss had the outcome %q", kind)
 		}
 	}
 }
 
-// Given names that were created, renamed and removed since the directory's last sync, when power is lost, then each is as it was
-// or as it became, by itself.
+// Given names that were created, renamed and removed since the directory's last sync, when power is lost, then each change is
+// independently applied or lost.
 func TestLosePower_UnsyncedNames_AreKeptOrLost(t *testing.T) {
 	found := outcomes(t, func(disk *memorydisk.Disk) {
 		must(t, create(t, disk, "removed", "1").Sync())
@@ -139,9 +139,10 @@
 	}
 }
 
-// Given a file that both its names outlived, when one of them is written, then the other does not change.
+// Given a renamed file whose old and new name both exist after a power loss, when one of them is written, then the content under the
+// other name does not change.
 func TestLosePower_BothNamesOfARenamedFile_AreSeparateFiles(t *testing.T) {
-	for seed := range uint64(seeds) {
+	for seed := range uint64(powerLossSeeds) {
 		disk := memorydisk.New()
 		must(t, create(t, disk, "from", "text").Sync())
 		must(t, disk.SyncDir())
@@ -156,10 +157,10 @@
 		}
 		return
 	}
-	t.Fatal("no loss of power kept both names")
+	t.Fatal("no power loss kept both names")
 }
 
-// Given a failed sync, when a later one succeeds and power is lost, then the writes before the failed one are gone.
+// Given a failed sync, when a later one succeeds and power is lost, then the writes before the failed sync are lost.
 func TestLosePower_AfterFailedSync_LosesItsWrites(t *testing.T) {
 	found := outcomes(t, func(disk *memorydisk.Disk) {
 		file := create(t, disk, "a", "1")
@@ -168,13 +169,13 @@
 		write(t, file, "2")
 		disk.InjectFaults(func(memorydisk.Operation, string) error { return syscall.EIO })
 		if err := file.Sync(); !errors.Is(err, syscall.EIO) {
-			t.Fatalf("got %v", err)
+			t.Fatalf("Sync returned %v, want EIO", err)
 		}
 		disk.InjectFaults(nil)
 		write(t, file, "3")
 		must(t, file.Sync())
 		if got := contents(t, disk)["a"]; got != "123" {
-			t.Fatalf("before the loss: got %q", got)
+			t.Fatalf("before the power loss, the file holds %q, want 123", got)
 		}
 	})
 	if text := cmp.Diff([]map[string]string{{"a": "1\x003"}}, found); text != "" {
@@ -182,20 +183,20 @@
 	}
 }
 
-// Given a killed process, then all that was written stays, and its files are closed.
+// Given a killed process, then all that it wrote is kept, and its open files are unusable.
 func TestKill_UnsyncedWrites_Stay(t *testing.T) {
 	disk := memorydisk.New()
 	file := create(t, disk, "a", "text")
 	disk.Kill()
 	if _, err := file.Write([]byte("late")); !errors.Is(err, memorydisk.ErrCrashed) {
-		t.Fatalf("got %v, want that the process has ended", err)
+		t.Fatalf("got %v, want ErrCrashed", err)
 	}
 	if text := cmp.Diff(map[string]string{"a": "text"}, contents(t, disk)); text != "" {
 		t.Fatal(text)
 	}
 }
 
-// Given a process that is stopped at a write, then the write has the effect that was asked for and nothing comes after it.
+// Given a process that crashes at a write, then the write has the given effect, and all later operations fail.
 func TestCrashAt_EachEffect_StopsTheProcess(t *testing.T) {
 	for effect, want := range map[memorydisk.Effect]string{memorydisk.NotApplied: "", memorydisk.Torn: "te", memorydisk.Applied: "text"} {
 		disk := memorydisk.New()
@@ -203,11 +204,11 @@
 		file, err := disk.Create("a")
 		must(t, err)
 		if _, err := file.Write([]byte("text")); !errors.Is(err, memorydisk.ErrCrashed) || !disk.Crashed() {
-			t.Fatalf("effect %d: got %v", effect, err)
+			t.Fatalf("effect %d: got %v, want ErrCrashed", effect, err)
 		}
 		for _, late := range []func() error{file.Sync, disk.SyncDir, func() error { return disk.Remove("a") }} {
 			if err := late(); !errors.Is(err, memorydisk.ErrCrashed) {
-				t.Fatalf("effect %d: got %v after the stop", effect, err)
+				t.Fatalf("effect %d: got %v after the crash, want ErrCrashed", effect, err)
 			}
 		}
 		disk.Kill()
@@ -217,24 +218,24 @@
 	}
 }
 
-// Given a bound on the space, then a write beyond it is short, and space that is freed can be used.
+// Given a disk with a capacity, then a write beyond it is short, and freed space can be used again.
 func TestSetCapacity_FullDisk_ShortWrite(t *testing.T) {
 	disk := memorydisk.New()
 	disk.SetCapacity(5)
 	file := create(t, disk, "a", "123")
 	if written, err := file.Write([]byte("456")); written != 2 || !storage.IsDiskFull(err) {
-		t.Fatalf("got %d and %v", written, err)
+		t.Fatalf("got %d bytes written and error %v, want 2 and a full disk", written, err)
 	}
 	must(t, file.Truncate(1))
 	create(t, disk, "b", "4567")
 	must(t, disk.Remove("b"))
 	write(t, file, "4567")
 	if got := disk.Size("a"); got != 5 {
-		t.Fatalf("got %d bytes", got)
+		t.Fatalf("the file has %d bytes, want 5", got)
 	}
 }
 
-// Given some operations, then they are counted.
+// Given some operations, then Counts returns their numbers.
 func TestCounts_SomeOperations_AreCounted(t *testing.T) {
 	disk := memorydisk.New()
 	file := create(t, disk, "a", "123")
@@ -247,16 +248,16 @@
 	}
 }
 
-// Given names that are not there, then there are errors that say so.
+// Given names that don't exist, then operations on them return fs.ErrNotExist.
 func TestDisk_FileMissing_IsNotExist(t *testing.T) {
 	disk := memorydisk.New()
 	_, err := disk.Open("a")
 	for _, err := range []error{err, disk.Remove("a"), disk.Rename("a", "b")} {
 		if !errors.Is(err, fs.ErrNotExist) {
-			t.Errorf("got %v, want that it does not exist", err)
+			t.Errorf("got %v, want fs.ErrNotExist", err)
 		}
 	}
 	if disk.Corrupt("a", 0) == nil || disk.Size("a") != 0 {
-		t.Error("a missing file was damaged or has a size")
+		t.Error("a missing file was corrupted without an error, or has a size")
 	}
 }
--- a/internal/tier/storage/memorydisk/faults.go
+++ b/internal/tier/storage/memorydisk/faults.go
@@ -7,25 +7,25 @@
 	"slices"
 )
 
-// dropAllOneIn: one loss of power in so many loses everything that was not synced.
+// dropAllOneIn is the inverse of the probability that a power loss loses everything that was not synced.
 const dropAllOneIn = 4
 
-// Kill crashes the process that uses the disk and starts the next: all that was written stays, and its files are closed.
+// Kill crashes the current process and starts the next one. All written data is kept; files opened before become unusable.
 func (d *Disk) Kill() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.restart()
 }
 
-// restart starts the next process, without a crash armed.
+// restart starts the next process and clears a crash set by CrashAt.
 func (d *Disk) restart() {
 	d.process++
 	d.crashArmed, d.crashed = false, false
 }
 
-// LosePower crashes the process and loses, chosen by the seed, some of what was not synced: each write since its file's last
-// sync is applied, lost or torn, and each name that was created, renamed or removed since the directory's last sync is as it
-// was or as it became, each by itself.
+// LosePower crashes the current process, loses some of the unsynced changes and starts the next process. The seed determines
+// independently for each write since its file's last sync whether it is applied, torn or lost, and for each name that was created,
+// renamed or removed since the directory's last sync whether the change is applied or lost.
 func (d *Disk) LosePower(seed uint64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -36,7 +36,7 @@
 	seen := map[*inode]bool{}
 	for _, name := range d.sortedNames() {
 		node := d.names[name]
-		if seen[node] { // a renamed file that kept both names
+		if seen[node] { // a rename whose removal of the old name was lost: both names refer to the file
 			node = &inode{durable: append([]byte(nil), node.durable...)}
 			d.names[name], d.durableNames[name] = node, node
 		}
@@ -47,7 +47,7 @@
 	d.restart()
 }
 
-// loseNames reverts some of the changes of names since the last sync of the directory.
+// loseNames reverts some of the changes of names since the directory's last sync, or all of them with dropAll.
 func (d *Disk) loseNames(random *rand.Rand, dropAll bool) {
 	all := maps.Clone(d.durableNames)
 	maps.Copy(all, d.names)
@@ -67,13 +67,13 @@
 	d.durableNames = maps.Clone(d.names)
 }
 
-// Corrupt inverts a byte, and makes the content of its file durable as it then is.
+// Corrupt inverts a byte of a file, and makes the resulting content durable.
 func (d *Disk) Corrupt(name string, offset int64) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	node := d.names[name]
 	if node == nil || offset < 0 || offset >= int64(len(node.content)) {
-		return fmt.Errorf("no byte %d in file %s", offset, name)
+		return fmt.Errorf("file %s does not exist or has no byte %d", name, offset)
 	}
 	node.sync()
 	node.content[offset] ^= 0xff
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// Size returns the length of a file; 0 where there is none.
+// Size returns the length of a file, or 0 if the file doesn't exist.
 func (d *Disk) Size(name string) int64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/tier/storage/memorydisk/file.go
+++ b/internal/tier/storage/memorydisk/file.go
@@ -8,7 +8,7 @@
 	"mastusher/internal/tier/storage"
 )
 
-// file is a file that a process has opened.
+// file is a file opened by one process.
 type file struct {
 	disk    *Disk
 	node    *inode
@@ -54,7 +54,7 @@
 	return append([]byte(nil), f.node.content...), nil
 }
 
-// Write implements storage.File. On a full disk it writes what there is space for.
+// Write implements storage.File. On a full disk it writes as much as there is space for.
 func (f *file) Write(data []byte) (int, error) {
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
--- a/internal/tier/storage/memorydisk/inode.go
+++ b/internal/tier/storage/memorydisk/inode.go
@@ -4,24 +4,24 @@
 	"math/rand/v2"
 )
 
-// sectorBytes is the length of the sectors of a torn write, each of which is applied or lost by itself.
+// sectorBytes is the length of the parts of a torn write that are independently applied or lost.
 const sectorBytes = 64
 
-// inode is the content of a file.
+// inode holds the content of a file, independent of its names.
 type inode struct {
-	content []byte   // in the page cache: what processes see
-	durable []byte   // as of the last sync that succeeded
-	pending []change // since then, in order
+	content []byte   // in the page cache, visible to processes
+	durable []byte   // kept after a power loss
+	pending []change // made since the last successful sync, in order
 }
 
-// change is a write at an offset, or a truncation to it when it has no data.
+// change is a write of data at an offset, or without data, a truncation to the offset.
 type change struct {
 	offset int64
 	data   []byte
-	lost   bool // a sync of it failed: no later one makes it durable
+	lost   bool // set by a failed sync, so that no later sync makes the change durable
 }
 
-// write appends data.
+// write appends data to the content.
 func (n *inode) write(data []byte) {
 	if len(data) == 0 {
 		return
@@ -31,13 +31,13 @@
 	n.pending = append(n.pending, added)
 }
 
-// truncate sets the length.
+// truncate sets the length of the content.
 func (n *inode) truncate(size int64) {
 	n.content = resize(n.content, size)
 	n.pending = append(n.pending, change{offset: size})
 }
 
-// sync makes the content durable, except for what a failed sync has lost.
+// sync makes all pending changes durable, except those lost by a failed sync.
 func (n *inode) sync() {
 	for _, pending := range n.pending {
 		if !pending.lost {
@@ -47,14 +47,14 @@
 	n.pending = nil
 }
 
-// markLost records that a sync failed.
+// markLost marks all pending changes as lost after a failed sync.
 func (n *inode) markLost() {
 	for i := range n.pending {
 		n.pending[i].lost = true
 	}
 }
 
-// losePower leaves what was durable, and of the later changes each applied, torn or lost.
+// losePower resets the content to the durable one, after each pending change has been applied, torn or lost at random.
 func (n *inode) losePower(random *rand.Rand, dropAll bool) {
 	for _, pending := range n.pending {
 		if dropAll || pending.lost {
@@ -71,7 +71,7 @@
 	n.content = append([]byte(nil), n.durable...)
 }
 
-// apply applies a change to content.
+// apply applies the change to content and returns the result.
 func (c *change) apply(content []byte) []byte {
 	if c.data == nil {
 		return resize(content, c.offset)
@@ -79,7 +79,7 @@
 	return writeAt(content, c.offset, c.data)
 }
 
-// applyTorn applies a part of a change: the beginning of a write, or some of its sectors. A truncation is never torn.
+// applyTorn applies a part of a write: its beginning, or some of its sectors. A truncation is not applied at all.
 func (c *change) applyTorn(content []byte, random *rand.Rand) []byte {
 	if c.data == nil {
 		return content
@@ -96,7 +96,7 @@
 	return content
 }
 
-// resize truncates content, or extends it by zeros.
+// resize truncates content to the size, or extends it with zeros.
 func resize(content []byte, size int64) []byte {
 	if size <= int64(len(content)) {
 		return content[:size]
@@ -104,7 +104,7 @@
 	return append(content, make([]byte, size-int64(len(content)))...)
 }
 
-// writeAt writes data at an offset; a gap before it holds zeros.
+// writeAt writes data into content at an offset, and fills a gap before the offset with zeros.
 func writeAt(content []byte, offset int64, data []byte) []byte {
 	if offset == int64(len(content)) {
 		return append(content, data...)
--- a/internal/tier/storage/mutants_test.go
+++ b/internal/tier/storage/mutants_test.go
@@ -6,7 +6,7 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// ignoringChecksums makes all frames pass whose length fits.
+// ignoringChecksums makes the checksum constant, so that every frame with a plausible length counts as intact.
 var ignoringChecksums = mutation.Change{
 	File: "frame.go",
 	Old:  "return crc32.Update(crc32.Update(0, castagnoli, header), castagnoli, payload)",
--- a/internal/tier/storage/osdisk.go
+++ b/internal/tier/storage/osdisk.go
@@ -10,10 +10,10 @@
 	"github.com/gravitational/trace"
 )
 
-// filePermissions are those of new files.
+// filePermissions are the permissions of new files.
 const filePermissions = 0o600
 
-// OSDisk is a directory of the operating system.
+// OSDisk is a Disk in a directory of the operating system.
 type OSDisk struct {
 	root string
 	dir  *os.File // kept open for SyncDir
@@ -28,7 +28,7 @@
 	return &OSDisk{root: root, dir: dir}, nil
 }
 
-// Close closes the directory. Open files stay open.
+// Close closes the directory. It doesn't close open files.
 func (o *OSDisk) Close() error { return o.dir.Close() }
 
 // Open implements Disk.
@@ -53,7 +53,7 @@
 	return &osFile{file: file, descriptor: int(file.Fd()), end: status.Size()}, nil
 }
 
-// path returns the path of a file.
+// path returns the path of the file with a name.
 func (o *OSDisk) path(name string) string { return filepath.Join(o.root, name) }
 
 // Rename implements Disk.
@@ -77,7 +77,7 @@
 // SyncDir implements Disk.
 func (o *OSDisk) SyncDir() error { return o.dir.Sync() }
 
-// osFile is an open file of the operating system.
+// osFile is a File of the operating system.
 type osFile struct {
 	file       *os.File
 	descriptor int
@@ -123,7 +123,7 @@
 	return status.Size(), nil
 }
 
-// Sync implements File. A call that was interrupted by a signal has had no result and is repeated; a failed one never is.
+// Sync implements File. It repeats a call that was interrupted by a signal, but never one that failed.
 func (f *osFile) Sync() error {
 	for {
 		err := syscall.Fdatasync(f.descriptor)
@@ -138,6 +138,6 @@
 
 // Close implements File.
 func (f *osFile) Close() error {
-	f.descriptor = -1 // the number may soon be another file's
+	f.descriptor = -1 // the operating system may reuse the number for another file
 	return f.file.Close()
 }
--- a/internal/tier/storage/osdisk_test.go
+++ b/internal/tier/storage/osdisk_test.go
@@ -22,17 +22,17 @@
 	return disk
 }
 
-// Given a group in a directory, when processes use it one after the other, then each finds what the one before has saved.
+// Given a group in a directory, when processes use it one after the other, then each recovers what the previous one has saved.
 func TestOSDisk_GroupOfSeveralProcesses_RecoversWhatWasSaved(t *testing.T) {
 	root := t.TempDir()
 	m := &testMember{view: openDir(t, root), allowed: []savedState{{}}}
-	for _, life := range [][]step{
+	for _, steps := range [][]step{
 		{{TermIncrement: 1, Vote: "north", Entries: 3, Bytes: 100}, {Truncate: 1, Entries: 2, Bytes: 10}},
 		{{Entries: 2, Bytes: 10}, {Compact: true, Remaining: 2, Bytes: 200}, {Entries: 1, Bytes: 10}},
 		{{Compact: true, Remaining: 1, Bytes: 200}, {Install: true, Entries: 1, Bytes: 20}, {Compact: true, Bytes: 10}},
 		{{TermIncrement: 1, Entries: 1}},
 	} {
-		if err := m.runProcess(life); err != nil {
+		if err := m.runProcess(steps); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -41,11 +41,12 @@
 	}
 	names, err := m.view.List()
 	if err != nil || strings.Join(names, " ") != "turns-1.log-4 turns-1.slot-a turns-1.slot-b" {
-		t.Fatalf("got files %q and %v", names, err)
+		t.Fatalf("got files %q and error %v, want log 4 and both slots", names, err)
 	}
 }
 
-// Given a log in a directory with a torn write, when a process opens it, then it truncates that and appends there.
+// Given a log in a directory that ends with a torn write, when a process opens the log, then it removes the torn write and appends in
+// its place.
 func TestOSDisk_TornLog_IsTruncatedAndAppendedTo(t *testing.T) {
 	root := t.TempDir()
 	m := &testMember{view: openDir(t, root), allowed: []savedState{{}}}
@@ -67,11 +68,11 @@
 	}
 }
 
-// Given a directory, when files are created, renamed, truncated and removed, then it behaves as the interface says.
+// Given a directory, when files are created, renamed, truncated and removed, then OSDisk behaves as the Disk interface requires.
 func TestOSDisk_Files_BehaveAsDiskSays(t *testing.T) {
 	disk := openDir(t, t.TempDir())
 	if _, err := disk.Open("missing"); !errors.Is(err, fs.ErrNotExist) {
-		t.Fatalf("got %v, want that it does not exist", err)
+		t.Fatalf("got %v, want fs.ErrNotExist", err)
 	}
 	file, err := disk.Create("draft")
 	if err != nil {
@@ -94,44 +95,44 @@
 	}
 	data, err := file.ReadAll()
 	if size, _ := file.Size(); err != nil || string(data) != "hello there" || size != 11 {
-		t.Fatalf("got %q of %d bytes and %v", data, size, err)
+		t.Fatalf("got content %q, size %d and error %v, want hello there", data, size, err)
 	}
 	if _, err = file.Write([]byte("!")); err != nil {
 		t.Fatal(err)
 	}
 	if data, err = file.ReadAll(); err != nil || string(data) != "hello there!" {
-		t.Fatalf("got %q and %v", data, err)
+		t.Fatalf("got content %q and error %v, want hello there!", data, err)
 	}
 	if err := file.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if err := file.Sync(); err == nil {
-		t.Fatal("a closed file was synced")
+		t.Fatal("Sync of a closed file succeeded")
 	}
 	if err := disk.Remove("final"); err != nil {
 		t.Fatal(err)
 	}
 	if names, err := disk.List(); err != nil || len(names) != 0 {
-		t.Fatalf("got files %q and %v", names, err)
+		t.Fatalf("got files %q and error %v, want no files", names, err)
 	}
 }
 
-// Given no directory, when it is opened, then there is an error.
+// Given a missing directory, when it is opened, then there is an error.
 func TestOSDisk_DirectoryMissing_IsAnError(t *testing.T) {
 	if _, err := storage.OpenOSDisk(filepath.Join(t.TempDir(), "missing")); err == nil {
 		t.Fatal("a missing directory was opened")
 	}
 }
 
-// Given a directory, when a machine starts twice, then it keeps its identity.
+// Given a disk in a directory, when a machine starts twice, then it keeps its identity.
 func TestOSDisk_Identity_IsTheSameAfterRestart(t *testing.T) {
 	disk := openDir(t, t.TempDir())
 	first, created, err := storage.LoadOrCreateIdentity(disk, random(7))
 	if err != nil || !created {
-		t.Fatalf("got %v and %v", created, err)
+		t.Fatalf("got created %v and error %v, want a new identity", created, err)
 	}
 	second, created, err := storage.LoadOrCreateIdentity(disk, random(8))
 	if err != nil || created || second != first {
-		t.Fatalf("got %q, %v and %v, want %q", second, created, err, first)
+		t.Fatalf("got identity %q, created %v and error %v, want %q again", second, created, err, first)
 	}
 }
--- a/internal/tier/storage/record.go
+++ b/internal/tier/storage/record.go
@@ -7,19 +7,19 @@
 	"mastusher/internal/tier/replica"
 )
 
-// recordKind says what a record holds. Its values are stored.
+// recordKind is the type of a record. Its values are stored on disk.
 type recordKind string
 
 // The kinds of record.
 const (
 	hardStateRecord recordKind = "promise"
-	snapshotRecord  recordKind = "snapshot" // metadata of the snapshot whose chunks the slot holds
-	truncateRecord  recordKind = "truncate" // voids the entries from its index on
+	snapshotRecord  recordKind = "snapshot" // metadata of the snapshot in the slot
+	truncateRecord  recordKind = "truncate" // removes the entries from its index on
 	entryRecord     recordKind = "entry"
 )
 
-// record is a line of JSON. Behind the line of an entry come Size bytes of its data as they are, and a line break unless the
-// payload ends there.
+// record is a line of JSON. The line of an entry is followed by Size bytes of the entry's unmodified data, and a line break, which
+// may be missing at the end of the payload.
 type record struct {
 	Kind      recordKind        `json:"record"`
 	Index     uint64            `json:"index,omitempty"`
@@ -53,14 +53,14 @@
 	return appendRecord(buffer, &rec)
 }
 
-// appendTruncate appends the record that voids all entries from an index on.
+// appendTruncate appends the record that removes all entries from an index on.
 func appendTruncate(buffer []byte, index uint64) []byte {
 	buffer = append(buffer, `{"record":"truncate","index":`...)
 	buffer = strconv.AppendUint(buffer, index, 10)
 	return append(buffer, "}\n"...)
 }
 
-// appendReady appends the records of what one step has to save, apart from snapshots. The order counts: recovery replays it.
+// appendReady appends the records of a Ready, except for its snapshot. Recovery replays them in this order, so it must not change.
 func appendReady(buffer []byte, ready *replica.Ready) ([]byte, error) {
 	var err error
 	if ready.HardState != nil {
--- a/internal/tier/storage/record_test.go
+++ b/internal/tier/storage/record_test.go
@@ -12,20 +12,20 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// Given any Ready, whatever its data and numbers hold, when it is saved, then it is recovered unchanged.
+// Given a Ready with arbitrary data and numbers, when it is saved, then it is recovered unchanged.
 func TestSave_AnyReady_IsRecoveredUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.OneOf(rapid.String(), rapid.SampledFrom([]string{"", "\n", "\x00\x1fG\x01", `{"record":"truncate","index":1}` + "\n"}))
 		term := rapid.OneOf(rapid.Uint64(), rapid.Just[uint64](math.MaxUint64))
 		ready := &replica.Ready{
-			HardState: &replica.HardState{Term: term.Draw(t, "promised"), Vote: strings.ToValidUTF8(text.Draw(t, "vote"), "")},
+			HardState: &replica.HardState{Term: term.Draw(t, "hard state term"), Vote: strings.ToValidUTF8(text.Draw(t, "vote"), "")},
 			Snapshot: &replica.Snapshot{Index: rapid.Uint64Max(math.MaxUint32).Draw(t, "index"), Term: term.Draw(t, "snapshot term"),
 				Members: []replica.Member{{ID: strings.ToValidUTF8(text.Draw(t, "member"), "")}}, State: []byte(text.Draw(t, "state")),
 				Chunks: rapid.IntRange(1, 4).Draw(t, "chunks")},
 		}
 		ready.ReceivedChunks = chunksOf(ready.Snapshot)
 		for i := range rapid.Uint64Max(5).Draw(t, "entries") {
-			ready.Entries = append(ready.Entries, replica.Entry{Index: ready.Snapshot.Index + i + 1, Term: term.Draw(t, "epoch"),
+			ready.Entries = append(ready.Entries, replica.Entry{Index: ready.Snapshot.Index + i + 1, Term: term.Draw(t, "entry term"),
 				Kind: replica.EntryKind(rapid.Uint8().Draw(t, "kind")), Data: []byte(text.Draw(t, "data"))})
 		}
 		disk := memorydisk.New()
--- a/internal/tier/storage/recovery.go
+++ b/internal/tier/storage/recovery.go
@@ -8,12 +8,12 @@
 	"mastusher/internal/tier/replica"
 )
 
-// Open recovers a group from its files, or creates them if there are none. The snapshot comes without its state, which
-// ReadChunks reads. Open returns once everything that it recovered is durable, including what an earlier process had written
-// and not synced: a member must not act on what a loss of power could still take back.
+// Open recovers a group from its files, or creates them if there are none. The recovered snapshot lacks its state, which ReadChunks
+// reads. Open returns once everything that it recovered is durable, including data that an earlier process had written but not
+// synced: a member must not act on data that a power loss could still destroy.
 //
-// Errors: trace.BadParameter for a name that can't begin a file's name; a CorruptError when something that had been synced is
-// damaged or missing; otherwise the disk's.
+// The error is trace.BadParameter if the group's name can't be the prefix of a file name, a CorruptError if synced data is damaged or
+// missing, or else the disk's.
 func Open(disk Disk, group string) (*Group, replica.Recovered, error) {
 	if err := checkGroupName(group); err != nil {
 		return nil, replica.Recovered{}, trace.Wrap(err)
@@ -31,23 +31,23 @@
 	return g, recovery.state.Recovered, nil
 }
 
-// recovery is the work of one Open.
+// recovery is the state of one call of Open.
 type recovery struct {
 	disk   Disk
 	name   string
 	files  groupFiles
 	slots  [2]slotReader
-	state  replayed
+	state  replayState
 	active slotLayout // of the slot that the log follows
-	log    File       // of the generation that is recovered
+	log    File       // the log that is being read, or was selected
 }
 
-// logContent is what a log was read to hold.
+// logContent is the content of a log.
 type logContent struct {
 	file   File
-	frames []frame
-	end    int64 // of the intact frames
-	torn   bool  // something follows them
+	frames []frame // intact frames from the start of the log
+	end    int64   // offset after these frames
+	torn   bool    // whether other bytes follow them
 }
 
 // run finds the newest log with an intact first frame and recovers it with its slot.
@@ -69,21 +69,21 @@
 	return r.create()
 }
 
-// create creates the first log, unless there had been something.
+// create creates the first log, or returns a CorruptError if existing files show that the group had saved something.
 func (r *recovery) create() (*Group, error) {
 	if r.files.hasSlot() {
-		return nil, &CorruptError{File: fileName(r.name, slotPrefix), Reason: "slots without a log"}
+		return nil, &CorruptError{File: fileName(r.name, slotPrefix), Reason: "a slot exists, but no log with an intact first frame"}
 	}
 	for _, generation := range r.files.logs {
 		if generation > 0 {
-			return nil, &CorruptError{File: fileName(r.name, logSuffix(generation)), Reason: "a later log without its slot"}
+			return nil, &CorruptError{File: fileName(r.name, logSuffix(generation)), Reason: "the log has a generation above 0, but no slot exists"}
 		}
 	}
 	g := &Group{disk: r.disk, name: r.name}
 	return g, g.createLog(0, nil)
 }
 
-// readSlotGenerations reads of which generation the slots are, by their first frames.
+// readSlotGenerations reads the generations of the slots from their first frames.
 func (r *recovery) readSlotGenerations() error {
 	for i := range slotSuffixes {
 		r.slots[i].slot = i
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// withSlot calls read with an open slot.
+// withSlot opens a slot's file, calls read with it and closes it.
 func (r *recovery) withSlot(slot int, read func(file File) error) error {
 	file, err := r.disk.Open(fileName(r.name, slotSuffixes[slot]))
 	if err != nil {
@@ -118,7 +118,7 @@
 	return read(file)
 }
 
-// readLog reads a log and finds where its intact frames end.
+// readLog reads a log and finds the end of its intact frames. It returns a CorruptError if an intact frame follows a damaged one.
 func (r *recovery) readLog(generation uint64) (logContent, error) {
 	name := fileName(r.name, logSuffix(generation))
 	file, err := r.disk.Open(name)
@@ -139,13 +139,13 @@
 		return logContent{}, err
 	}
 	if containsFrame(rest, generation) {
-		return logContent{}, &CorruptError{File: name, Offset: reader.offset, Reason: "a damaged frame, with an intact one behind it"}
+		return logContent{}, &CorruptError{File: name, Offset: reader.offset, Reason: "a damaged frame is followed by an intact one"}
 	}
 	return logContent{file: file, frames: frames, end: reader.offset, torn: len(rest) > 0}, nil
 }
 
-// readLogFrames reads frames up to the first one that is not intact or not next in the log of that generation, and leaves the
-// reader there.
+// readLogFrames reads frames up to the first one that is damaged, of another generation or out of sequence, and leaves the reader's
+// offset there.
 func readLogFrames(reader *frameReader, generation uint64) ([]frame, error) {
 	var frames []frame
 	for {
@@ -162,7 +162,8 @@
 	}
 }
 
-// recover replays a log onto its slot and makes the log ready to be written. It removes older and newer logs.
+// recover replays the slot of a generation and its log, makes them durable and returns a Group that appends to the log. It removes
+// the older and newer logs.
 func (r *recovery) recover(generation uint64, log *logContent, older, newer []uint64) (*Group, error) {
 	if err := r.replaySlotOf(generation); err != nil {
 		return nil, err
@@ -179,11 +180,11 @@
 		}
 	}
 	return &Group{disk: r.disk, name: r.name, log: log.file, logBytes: log.end, generation: generation,
-		sequence: uint64(len(log.frames)), maxGeneration: r.maxGeneration(), active: r.active, slotNamed: r.files.slots,
+		sequence: uint64(len(log.frames)), maxGeneration: r.maxGeneration(), active: r.active, slotNameDurable: r.files.slots,
 		hardState: r.state.HardState, snapshotIndex: r.state.snapshotIndex(), lastIndex: r.state.lastIndex()}, nil
 }
 
-// replaySlotOf replays the slot that a generation's log follows.
+// replaySlotOf replays the slot of a generation. Generation 0 has none.
 func (r *recovery) replaySlotOf(generation uint64) error {
 	if generation == 0 {
 		return nil
@@ -193,16 +194,16 @@
 			return r.withSlot(i, func(file File) error { return r.replaySlot(&r.slots[i], file) })
 		}
 	}
-	return &CorruptError{File: fileName(r.name, slotPrefix), Reason: "no slot is of the log's generation"}
+	return &CorruptError{File: fileName(r.name, slotPrefix), Reason: "no slot has the log's generation"}
 }
 
-// replaySlot replays a slot, which must be complete: its log was created only after it was synced.
+// replaySlot replays a slot. The slot must be complete, since its log was created only after the slot had been synced.
 func (r *recovery) replaySlot(slot *slotReader, file File) error {
 	layout, last, complete, err := slot.read(file)
 	if err != nil {
 		return err
 	}
-	damage := &CorruptError{File: fileName(r.name, slotSuffixes[slot.slot]), Reason: "an incomplete slot"}
+	damage := &CorruptError{File: fileName(r.name, slotSuffixes[slot.slot]), Reason: "incomplete slot"}
 	if !complete {
 		return damage
 	}
@@ -211,7 +212,7 @@
 		return damage
 	}
 	if r.state.Snapshot == nil || r.state.Snapshot.Chunks != len(layout.offsets) {
-		damage.Reason = fmt.Sprintf("%d chunks, not as many as its metadata states", len(layout.offsets))
+		damage.Reason = fmt.Sprintf("the slot's %d chunks are not the number in its metadata", len(layout.offsets))
 		return damage
 	}
 	r.active = layout
@@ -230,8 +231,8 @@
 	return nil
 }
 
-// makeDurable truncates a torn write and returns once the log and all names are durable. The slot of a log with an intact first
-// frame is durable already.
+// makeDurable truncates a torn write, and returns once the log and all file names are durable. The slot needs no sync, because it was
+// synced before the log's first frame was written.
 func (r *recovery) makeDurable(log *logContent) error {
 	if log.torn {
 		if err := log.file.Truncate(log.end); err != nil {
@@ -253,7 +254,7 @@
 	return highest
 }
 
-// close closes the log that was open when recovery failed.
+// close closes the open log, if any, after recovery has failed.
 func (r *recovery) close() {
 	if r.log != nil {
 		_ = r.log.Close()
--- a/internal/tier/storage/replay.go
+++ b/internal/tier/storage/replay.go
@@ -8,13 +8,13 @@
 	"mastusher/internal/tier/replica"
 )
 
-// replayed is what a member recovers, as far as records have been replayed.
-type replayed struct {
+// replayState is the recovered state after the records that have been replayed so far.
+type replayState struct {
 	replica.Recovered
 }
 
-// snapshotIndex returns the index up to which the snapshot stands for the entries.
-func (r *replayed) snapshotIndex() uint64 {
+// snapshotIndex returns the index of the last entry that the snapshot covers, or 0 without a snapshot.
+func (r *replayState) snapshotIndex() uint64 {
 	if r.Snapshot == nil {
 		return 0
 	}
@@ -22,15 +22,15 @@
 }
 
 // lastIndex returns the index of the last entry.
-func (r *replayed) lastIndex() uint64 { return r.snapshotIndex() + uint64(len(r.Entries)) }
+func (r *replayState) lastIndex() uint64 { return r.snapshotIndex() + uint64(len(r.Entries)) }
 
-// replay applies the records of a frame's payload in order. The entries' data are slices of the payload, not copies. An error
+// replay applies the records in a frame's payload in order. The data of the entries are slices of the payload, not copies. An error
 // matches errBadRecord.
-func (r *replayed) replay(payload []byte) error {
+func (r *replayState) replay(payload []byte) error {
 	for len(payload) > 0 {
 		end := bytes.IndexByte(payload, '\n')
 		if end < 0 {
-			return fmt.Errorf("%w: no line break behind it", errBadRecord)
+			return fmt.Errorf("%w: line does not end with a line break", errBadRecord)
 		}
 		rec, err := parseRecord(payload[:end])
 		if err != nil {
@@ -48,13 +48,13 @@
 	return nil
 }
 
-// splitData returns the data that belongs to a record, and what follows it in the payload.
+// splitData returns a record's data and the rest of the payload after it. Only entries have data.
 func splitData(rec *record, payload []byte) (data json.RawMessage, rest []byte, err error) {
 	if rec.Kind != entryRecord {
 		return nil, payload, nil
 	}
 	if rec.Size < 0 || rec.Size > len(payload) {
-		return nil, nil, fmt.Errorf("%w: %d bytes of data, %d are left", errBadRecord, rec.Size, len(payload))
+		return nil, nil, fmt.Errorf("%w: size %d, but the payload has %d bytes left", errBadRecord, rec.Size, len(payload))
 	}
 	if rec.Size > 0 {
 		data = payload[:rec.Size:rec.Size]
@@ -64,13 +64,13 @@
 		return data, nil, nil
 	}
 	if rest[0] != '\n' {
-		return nil, nil, fmt.Errorf("%w: no line break behind %d bytes of data", errBadRecord, rec.Size)
+		return nil, nil, fmt.Errorf("%w: no line break after %d bytes of data", errBadRecord, rec.Size)
 	}
 	return data, rest[1:], nil
 }
 
 // apply applies one record.
-func (r *replayed) apply(rec *record, data json.RawMessage) error {
+func (r *replayState) apply(rec *record, data json.RawMessage) error {
 	switch rec.Kind {
 	case hardStateRecord:
 		r.HardState = replica.HardState{Term: rec.Term, Vote: rec.Vote}
@@ -81,7 +81,7 @@
 		return r.truncate(rec.Index)
 	case entryRecord:
 		if rec.Index != r.lastIndex()+1 {
-			return fmt.Errorf("%w: entry %d follows entry %d", errBadRecord, rec.Index, r.lastIndex())
+			return fmt.Errorf("%w: entry %d after entry %d", errBadRecord, rec.Index, r.lastIndex())
 		}
 		entry := replica.Entry{Index: rec.Index, Term: rec.Term, Kind: rec.EntryKind, Data: data}
 		r.Entries = append(r.Entries, entry)
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// truncate drops the entries from an index on.
-func (r *replayed) truncate(index uint64) error {
+// truncate removes the entries from an index on.
+func (r *replayState) truncate(index uint64) error {
 	if index <= r.snapshotIndex() {
 		return fmt.Errorf("%w: truncation at %d, within the snapshot up to %d", errBadRecord, index, r.snapshotIndex())
 	}
--- a/internal/tier/storage/slot.go
+++ b/internal/tier/storage/slot.go
@@ -6,28 +6,29 @@
 	"mastusher/internal/tier/replica"
 )
 
-// lastFrame is set in the sequence number of a slot's last frame, so that a missing end is recognised. That frame holds the
-// HardState and the snapshot's metadata; each of those before it holds a chunk of the state.
-const lastFrame = 1 << 63
+// lastFrameFlag is set in the sequence number of a slot's last frame, by which a truncated slot is detected. The last frame holds
+// the HardState and the snapshot's metadata; each earlier frame holds a chunk of the state.
+const lastFrameFlag = 1 << 63
 
-// slotLayout is where the chunks of a complete slot lie.
+// slotLayout describes where the chunks of a slot are.
 type slotLayout struct {
 	slot       int // index into slotSuffixes
 	generation uint64
 	offsets    []int64 // of the chunks' frames
-	bytes      int64
+	bytes      int64   // length of the slot
 }
 
-// slotWriter writes a slot chunk by chunk. The slot counts for nothing until a log of its generation is durable; see switchTo.
-// It shares nothing with its group, so that chunks may be written beside the group's goroutine.
+// slotWriter writes a slot chunk by chunk. Recovery ignores the slot until a log of its generation is durable; see switchToSlot.
+// A slotWriter shares no data with its group, so that another goroutine may write chunks.
 type slotWriter struct {
 	name   string // of the group
 	file   File
 	layout slotLayout
-	buffer []byte // for reuse
+	buffer []byte // reused by each frame
 }
 
-// beginSlot creates the inactive slot anew, as one of a new generation. A snapshot that was being received there is dropped.
+// beginSlot truncates or creates the inactive slot for a new generation. It drops a snapshot that is being received, which used the
+// same slot.
 func (g *Group) beginSlot() (*slotWriter, error) {
 	g.dropIncoming()
 	if g.compaction != nil {
@@ -42,7 +43,7 @@
 	return &slotWriter{name: g.name, file: file, layout: slotLayout{slot: slot, generation: g.maxGeneration}}, nil
 }
 
-// inactiveSlot returns the slot that the log does not follow.
+// inactiveSlot returns the index of the slot that the log doesn't follow.
 func (g *Group) inactiveSlot() int {
 	if g.generation == 0 {
 		return 0
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// finishSlot writes the last frame and returns once the slot is durable. It closes the file in any case.
+// finishSlot writes the last frame and returns once the slot and its file name are durable. It closes the file even after an error.
 func (g *Group) finishSlot(w *slotWriter, snapshot *replica.Snapshot, state replica.HardState) error {
 	defer w.file.Close()
 	layout := &w.layout
@@ -83,7 +84,7 @@
 	}
 	metadata := *snapshot
 	metadata.Chunks = len(layout.offsets)
-	buffer := beginFrame(w.buffer[:0], layout.generation, lastFrame|uint64(len(layout.offsets)))
+	buffer := beginFrame(w.buffer[:0], layout.generation, lastFrameFlag|uint64(len(layout.offsets)))
 	buffer, err := appendHardState(buffer, state)
 	if err != nil {
 		return g.fail("encoding", err)
@@ -97,24 +98,24 @@
 	if err := w.file.Sync(); err != nil {
 		return g.fail("sync of a slot", err)
 	}
-	if g.slotNamed[layout.slot] {
+	if g.slotNameDurable[layout.slot] {
 		return nil
 	}
 	if err := g.disk.SyncDir(); err != nil {
 		return g.fail("sync of the directory", err)
 	}
-	g.slotNamed[layout.slot] = true
+	g.slotNameDurable[layout.slot] = true
 	return nil
 }
 
 // slotReader reads a slot during recovery.
 type slotReader struct {
-	slot       int
-	generation uint64 // of its first frame; 0: there is no intact one
+	slot       int    // index into slotSuffixes
+	generation uint64 // of the first frame; 0 if that is damaged or missing
 }
 
-// read reads a slot to its end and returns where its chunks lie, and the last frame's payload. It is false when the slot is not
-// complete, or holds more than one snapshot.
+// read reads a slot and returns its layout, the last frame's payload and whether the slot is complete: all frames are intact and in
+// sequence, and nothing follows the last one.
 func (r *slotReader) read(file File) (slotLayout, []byte, bool, error) {
 	reader, err := newFrameReader(file, true)
 	if err != nil {
@@ -127,7 +128,7 @@
 		if err != nil || !intact || found.generation != r.generation {
 			return layout, nil, false, err
 		}
-		if found.sequence == lastFrame|uint64(len(layout.offsets)) {
+		if found.sequence == lastFrameFlag|uint64(len(layout.offsets)) {
 			layout.bytes = reader.offset
 			return layout, found.payload, reader.offset == reader.size, nil
 		}
--- a/internal/tier/storage/snapshot.go
+++ b/internal/tier/storage/snapshot.go
@@ -9,12 +9,12 @@
 	"mastusher/internal/tier/replica"
 )
 
-// ChunkSource hands the chunks of a snapshot's state over in order. A chunk is valid until write returns. An error of write ends
-// it and must be returned.
+// ChunkSource calls write with each chunk of a snapshot's state, in order. A chunk is valid until write returns. If write returns an
+// error, the source must stop and return that error.
 type ChunkSource func(write func(chunk json.RawMessage) error) error
 
-// receive writes chunks of a snapshot that another member sends. They count for nothing until the snapshot is installed; chunk 0
-// starts over.
+// receive writes chunks of a snapshot from another member to the inactive slot. Recovery ignores them until the snapshot is
+// installed. Chunk 0 begins a new snapshot and drops an incomplete one.
 func (g *Group) receive(chunks []replica.Chunk) error {
 	for i := range chunks {
 		chunk := &chunks[i]
@@ -26,7 +26,7 @@
 			g.incoming = writer
 		}
 		if g.incoming == nil || chunk.Number != len(g.incoming.layout.offsets) {
-			return g.fail("check of what is to be saved", fmt.Errorf("%w: chunk %d", ErrChunkOrder, chunk.Number))
+			return g.fail("check before a save", fmt.Errorf("%w: chunk %d is not the next one", ErrChunkOrder, chunk.Number))
 		}
 		if err := g.incoming.writeChunk(chunk.Data); err != nil {
 			return g.fail("write to a slot", err)
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// dropIncoming abandons a snapshot that was being received.
+// dropIncoming drops the snapshot that is being received, if any.
 func (g *Group) dropIncoming() {
 	if g.incoming != nil {
 		_ = g.incoming.file.Close()
@@ -43,7 +43,7 @@
 	}
 }
 
-// install replaces all that was saved before by a received snapshot and the entries behind it.
+// install replaces the saved snapshot and entries by a received snapshot and the entries after it.
 func (g *Group) install(ready *replica.Ready) error {
 	writer := g.incoming
 	g.incoming = nil
@@ -51,23 +51,23 @@
 		if writer != nil {
 			_ = writer.file.Close()
 		}
-		return g.fail("check of what is to be saved", fmt.Errorf("%w: installation of an incomplete snapshot", ErrChunkOrder))
+		return g.fail("check before a save", fmt.Errorf("%w: snapshot to install is incomplete, or comes with a truncation", ErrChunkOrder))
 	}
 	state := g.hardState
 	if ready.HardState != nil {
 		state = *ready.HardState
 	}
-	return g.switchTo(writer, ready.Snapshot, ready.Entries, state)
+	return g.switchToSlot(writer, ready.Snapshot, ready.Entries, state)
 }
 
-// SnapshotBytes returns the length of the active slot; 0: there is none.
+// SnapshotBytes returns the length of the active slot, or 0 if there is none.
 func (g *Group) SnapshotBytes() int64 { return g.active.bytes }
 
-// SnapshotChunks returns the number of chunks of the saved snapshot; 0: there is none.
+// SnapshotChunks returns the number of chunks of the saved snapshot, or 0 if there is none.
 func (g *Group) SnapshotChunks() int { return len(g.active.offsets) }
 
-// ReadChunks hands over the state of the saved snapshot, chunk by chunk. A chunk is valid until write returns. The error is the
-// disk's, a CorruptError, or that of write as it is.
+// ReadChunks calls write with each chunk of the saved snapshot's state, in order. A chunk is valid until write returns. The error is
+// the disk's, a CorruptError, or the unwrapped error of write.
 func (g *Group) ReadChunks(write func(chunk json.RawMessage) error) error {
 	if len(g.active.offsets) == 0 {
 		return nil
@@ -89,11 +89,11 @@
 	return nil
 }
 
-// ReadChunk returns one chunk of the saved snapshot's state, in memory of its own. Numbers count from 0. The error is
-// trace.BadParameter where there is no such chunk, the disk's, or a CorruptError.
+// ReadChunk returns one chunk of the saved snapshot's state, which the caller may keep. Chunks are numbered from 0. The error is
+// trace.BadParameter if there is no such chunk, the disk's, or a CorruptError.
 func (g *Group) ReadChunk(number int) (json.RawMessage, error) {
 	if number < 0 || number >= len(g.active.offsets) {
-		return nil, trace.BadParameter("no chunk %d among %d", number, len(g.active.offsets))
+		return nil, trace.BadParameter("chunk %d does not exist, the snapshot has %d chunks", number, len(g.active.offsets))
 	}
 	file, reader, err := g.openActiveSlot(false)
 	if err != nil {
@@ -104,7 +104,7 @@
 	return chunk, trace.Wrap(err)
 }
 
-// openActiveSlot opens the slot that the log follows. The caller closes the file.
+// openActiveSlot opens the active slot. With reuse, each payload read is overwritten by the next. The caller closes the file.
 func (g *Group) openActiveSlot(reuse bool) (File, *frameReader, error) {
 	file, err := g.disk.Open(fileName(g.name, slotSuffixes[g.active.slot]))
 	if err != nil {
@@ -118,7 +118,7 @@
 	return file, reader, nil
 }
 
-// readChunk reads the frame of a chunk.
+// readChunk reads the frame of a chunk and returns its payload.
 func (g *Group) readChunk(reader *frameReader, number int) (json.RawMessage, error) {
 	reader.offset = g.active.offsets[number]
 	found, intact, err := reader.next()
--- a/internal/tier/storage/snapshot_test.go
+++ b/internal/tier/storage/snapshot_test.go
@@ -10,8 +10,8 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// Given a snapshot that comes in chunks, when they are saved, then each takes one write and none a sync, and entries that are
-// saved meanwhile go to the log as ever. Only the last step syncs the slot and begins a new log.
+// Given a snapshot that is received in chunks, when the chunks are saved, then each takes one write and no sync, and entries can
+// still be saved to the log in between. Only the installation syncs the slot and begins a new log.
 func TestSave_ReceivedChunks_TakeOneWriteAndNoSync(t *testing.T) {
 	m := newTestMember(unwrapped)
 	group := mustApply(t, m, []step{{TermIncrement: 1, Entries: 3, Bytes: 9}, {Compact: true, Remaining: 1}, {Entries: 1}})
@@ -24,7 +24,7 @@
 		}
 		after := m.disk.Counts()
 		if after.Writes-before.Writes != 1 || after.Syncs != before.Syncs || after.DirSyncs != before.DirSyncs {
-			t.Fatalf("chunk %d: before %+v, after %+v", chunk.Number, before, after)
+			t.Fatalf("chunk %d: counts before %+v, after %+v, want one more write and no more syncs", chunk.Number, before, after)
 		}
 		if err := m.apply(group, step{Entries: 1, Bytes: 5}); err != nil {
 			t.Fatal(err)
@@ -41,8 +41,8 @@
 	}
 }
 
-// Given a member with a slot, when a snapshot is being received and its process crashes at any change, in any way, then it is
-// either as before or has the complete snapshot.
+// Given a member with a slot, when its process crashes at any change while it receives and installs a snapshot, then it recovers
+// either the former state or the complete snapshot.
 func TestInstall_CrashAtAnyChange_IsAtomic(t *testing.T) {
 	prelude := []step{{TermIncrement: 1, Entries: 3, Bytes: 9}, {Compact: true, Remaining: 1}, {Entries: 1}}
 	receive := func(group *storage.Group) error {
@@ -71,7 +71,7 @@
 				group := mustApply(t, m, prelude)
 				m.disk.CrashAt(change, effect)
 				if err := receive(group); err == nil {
-					t.Fatal("the process has not crashed")
+					t.Fatal("the installation succeeded, want a crash")
 				}
 				m.allowed = []savedState{m.saved, m.saved.with(&replica.Ready{Snapshot: snapshotAt(9, 1, 3)})}
 				if seed == 0 {
@@ -87,8 +87,8 @@
 	}
 }
 
-// Given a member that receives a snapshot, when it compacts or another snapshot begins, then the first one is abandoned, and
-// chunks of it are refused.
+// Given a member that is receiving a snapshot, when it compacts or another snapshot begins, then the first snapshot is dropped, and
+// its further chunks fail the group.
 func TestInstall_SnapshotAbandoned_Fails(t *testing.T) {
 	for name, begin := range map[string]func(m *testMember, group *storage.Group) error{
 		"compaction": func(m *testMember, group *storage.Group) error {
@@ -118,17 +118,17 @@
 	}
 }
 
-// Given a member that has received a chunk of a snapshot, when another one than the next comes, or it is to be installed before it is
-// complete, then that is refused and what was saved stays.
+// Given a member that has received a chunk of a snapshot, when the following chunk isn't the next one, or the incomplete snapshot is
+// to be installed, then Save fails and the saved state is kept.
 func TestSave_ChunkOutOfOrder_Fails(t *testing.T) {
 	snapshot := snapshotAt(9, 1, 3)
 	chunks := chunksOf(snapshot)
 	for name, ready := range map[string]replica.Ready{
-		"a gap":                   {ReceivedChunks: chunks[2:3]},
-		"the same twice":          {ReceivedChunks: []replica.Chunk{{Number: 1, Data: chunks[1].Data}, {Number: 1, Data: chunks[1].Data}}},
-		"installed early":         {ReceivedChunks: chunks[1:2], Snapshot: snapshot},
-		"installed shorter":       {ReceivedChunks: chunks[1:4], Snapshot: snapshotAt(9, 1, 2)},
-		"installed and truncated": {ReceivedChunks: chunks[1:4], Snapshot: snapshot, TruncateFrom: 10},
+		"gap":                      {ReceivedChunks: chunks[2:3]},
+		"repeated chunk":           {ReceivedChunks: []replica.Chunk{{Number: 1, Data: chunks[1].Data}, {Number: 1, Data: chunks[1].Data}}},
+		"installed early":          {ReceivedChunks: chunks[1:2], Snapshot: snapshot},
+		"fewer chunks in metadata": {ReceivedChunks: chunks[1:4], Snapshot: snapshotAt(9, 1, 2)},
+		"installed and truncated":  {ReceivedChunks: chunks[1:4], Snapshot: snapshot, TruncateFrom: 10},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := newTestMember(unwrapped)
@@ -139,7 +139,7 @@
 			err := group.Save(&ready)
 			wantFailed(t, err)
 			if !errors.Is(err, storage.ErrChunkOrder) {
-				t.Errorf("got %v, want a chunk out of order as its cause", err)
+				t.Errorf("got %v, want ErrChunkOrder as its cause", err)
 			}
 			m.disk.Kill()
 			if err := m.recoverTwice(); err != nil {
@@ -149,17 +149,17 @@
 	}
 }
 
-// Given a slot of several frames, when it is truncated at any length, or frames of it are missing, repeated or of another
-// generation, then the disk is refused.
+// Given a slot of several frames, when it is truncated at any length, frames are missing, repeated or out of order, or bytes follow
+// the last frame, then Open returns a CorruptError.
 func TestOpen_IncompleteSlot_IsCorrupt(t *testing.T) {
-	made := func() *testMember {
+	newMember := func() *testMember {
 		member := newTestMember(unwrapped)
 		mustApply(t, member, []step{{TermIncrement: 1, Entries: 2, Bytes: 20}, {Compact: true, Remaining: 1, Bytes: 3}, {Entries: 1, Bytes: 20}})
 		return member
 	}
-	complete := content(t, made().disk, firstSlot)
+	complete := content(t, newMember().disk, firstSlot)
 	for size := range int64(len(complete)) {
-		member := made()
+		member := newMember()
 		if err := truncateFile(member.disk, firstSlot, size); err != nil {
 			t.Fatal(err)
 		}
@@ -167,7 +167,7 @@
 	}
 	frames := framesOf(complete)
 	if len(frames) != 5 {
-		t.Fatalf("%d frames, want 4 chunks and the last one", len(frames))
+		t.Fatalf("the slot has %d frames, want 4 chunks and the last frame", len(frames))
 	}
 	join := func(numbers ...int) []byte {
 		var joined []byte
@@ -176,24 +176,24 @@
 		}
 		return joined
 	}
-	for name, spoilt := range map[string][]byte{
-		"a chunk missing":     join(0, 1, 3, 4),
-		"first chunk missing": join(1, 2, 3, 4),
-		"end missing":         join(0, 1, 2, 3),
-		"a chunk twice":       join(0, 1, 1, 2, 3, 4),
-		"order":               join(0, 2, 1, 3, 4),
-		"end in the middle":   join(0, 1, 4, 2, 3),
-		"more behind it":      append(join(0, 1, 2, 3, 4), 0),
+	for name, damaged := range map[string][]byte{
+		"chunk missing":            join(0, 1, 3, 4),
+		"first chunk missing":      join(1, 2, 3, 4),
+		"last frame missing":       join(0, 1, 2, 3),
+		"chunk repeated":           join(0, 1, 1, 2, 3, 4),
+		"chunks out of order":      join(0, 2, 1, 3, 4),
+		"last frame in the middle": join(0, 1, 4, 2, 3),
+		"byte after last frame":    append(join(0, 1, 2, 3, 4), 0),
 	} {
-		member := made()
-		if err := write(member.disk, firstSlot, spoilt); err != nil {
+		member := newMember()
+		if err := write(member.disk, firstSlot, damaged); err != nil {
 			t.Fatal(err)
 		}
 		wantCorrupt(t, member, name, 0)
 	}
 }
 
-// framesOf cuts a file's content into its frames.
+// framesOf splits a file's content into its frames.
 func framesOf(content []byte) [][]byte {
 	const lengthAt, headerBytes = 20, 28
 	var frames [][]byte
@@ -205,6 +205,7 @@
 	return frames
 }
 
+// content returns the content of a file.
 func content(t *testing.T, disk storage.Disk, name string) []byte {
 	t.Helper()
 	file, err := disk.Open(name)
@@ -218,7 +219,7 @@
 	return data
 }
 
-// Given a slot that is damaged while its member runs, when its chunks are read, then that is found.
+// Given a slot that is damaged while its member is running, when its chunks are read, then damage in any chunk is a CorruptError.
 func TestReadChunks_SlotDamaged_IsCorrupt(t *testing.T) {
 	m := newTestMember(unwrapped)
 	group := mustApply(t, m, []step{{TermIncrement: 1, Entries: 2, Bytes: 20}, {Compact: true, Remaining: 1, Bytes: 3}})
@@ -231,7 +232,7 @@
 		read := 0
 		err := group.ReadChunks(func(json.RawMessage) error { read++; return nil })
 		if isChunk := offset < chunksEnd; isChunk != errors.As(err, &corrupt) {
-			t.Fatalf("byte %d, %d chunks read: got %v", offset, read, err)
+			t.Fatalf("byte %d, %d chunks read: got error %v, want a CorruptError only for damage in a chunk", offset, read, err)
 		}
 		if err := m.disk.Corrupt(firstSlot, offset); err != nil {
 			t.Fatal(err)
@@ -239,21 +240,21 @@
 	}
 }
 
-// endBytes is the length of a slot's last frame.
+// endBytes returns the length of a slot's last frame.
 func endBytes(t *testing.T, disk storage.Disk) int64 {
 	frames := framesOf(content(t, disk, firstSlot))
 	return int64(len(frames[len(frames)-1]))
 }
 
-// Given a snapshot, when its source gives no chunk or fails, then the group has failed and its disk as it was.
+// Given a compaction, when its source has no chunks or fails, then the group has failed and the saved state is kept.
 func TestCompact_NoChunks_Fails(t *testing.T) {
-	errSource := errors.New("no more")
+	errSource := errors.New("the chunk source failed")
 	for name, test := range map[string]struct {
 		chunks storage.ChunkSource
 		cause  error
 	}{
-		"none": {func(func(json.RawMessage) error) error { return nil }, storage.ErrNoChunks},
-		"failing": {func(write func(json.RawMessage) error) error {
+		"no chunks": {func(func(json.RawMessage) error) error { return nil }, storage.ErrNoChunks},
+		"source fails": {func(write func(json.RawMessage) error) error {
 			if err := write(json.RawMessage(`1`)); err != nil {
 				return err
 			}
