--- a/internal/tier/group/queue.go
+++ b/internal/tier/group/queue.go
@@ -81,7 +81,7 @@
 	return true
 }
 
-// takeInput returns what has been queued since the last iteration.
+// takeInput returns the input queued since the last iteration, and releases its bytes from the budget.
 func (g *Group) takeInput() replica.Input {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/tier/group/snapshot_limiter_test.go
+++ b/internal/tier/group/snapshot_limiter_test.go
@@ -79,7 +79,7 @@
 		run(1, chunk(1, 5, 0, 2, `"begin"`))
 		run(0, chunk(1, 9, 0, 3, `"begin"`))
 	}
-	// then the second member refuses the chunk but knows its leader,
+	// then the second member refuses the chunk but still reports its leader,
 	if status := groups[1].Status(); status.Leader != member("b").ID || status.LastIndex != 0 {
 		t.Errorf("the status of the waiting member is %+v, want leader id-b and last index 0", status)
 	}
--- a/internal/tier/group/state_machine.go
+++ b/internal/tier/group/state_machine.go
@@ -24,7 +24,7 @@
 	Replay(index uint64, command json.RawMessage)
 }
 
-// StateSizer is a StateMachine that knows the size of its state.
+// StateSizer is a StateMachine that can report the size of its state in memory.
 type StateSizer interface {
 	// StateBytes is called by the member's goroutine only.
 	StateBytes() int64
--- a/internal/tier/storage/disk.go
+++ b/internal/tier/storage/disk.go
@@ -30,7 +30,7 @@
 	// Size returns the length.
 	Size() (int64, error)
 	// Sync returns once the content is durable. After an error, the data written since the last successful Sync must be considered
-	// lost: a repeated Sync may succeed without writing it.
+	// lost, and Sync must not be repeated: it might succeed without writing that data.
 	Sync() error
 	// Close closes the file without a sync.
 	Close() error
--- a/internal/tier/storage/failure_test.go
+++ b/internal/tier/storage/failure_test.go
@@ -88,7 +88,8 @@
 const failures = 8
 
 // Given a disk on which any one operation of a step fails, then the group has failed and makes no more changes to the disk, so that
-// it never repeats a failed sync. What the next process recovers is durable, although the writes before a failed sync are lost.
+// it never repeats a failed sync. The state that the next process recovers is durable, although the writes before a failed sync are
+// lost.
 func TestGroup_DiskOperationFails_AcceptsNothingMore(t *testing.T) {
 	for name, last := range map[string]step{"save": {Entries: 3, Bytes: 90}, "compaction": {Compact: true, Remaining: 2, Bytes: 90}} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/tier/storage/memorydisk/faults.go
+++ b/internal/tier/storage/memorydisk/faults.go
@@ -73,7 +73,7 @@
 	defer d.mutex.Unlock()
 	node := d.names[name]
 	if node == nil || offset < 0 || offset >= int64(len(node.content)) {
-		return fmt.Errorf("file %s does not exist or has no byte %d", name, offset)
+		return fmt.Errorf("byte %d does not exist in file %s", offset, name)
 	}
 	node.sync()
 	node.content[offset] ^= 0xff
