--- a/internal/relay/engine/attempt.go
+++ b/internal/relay/engine/attempt.go
@@ -16,74 +16,75 @@
 	ID, Key string
 	Class   int      // index into the settings' classes
 	Body    []byte   // must not be changed
-	Headers []string // that go out with it, names and values alternating, fixed when it was accepted
+	Headers []string // sent with it, names and values alternating; fixed when the message was accepted
 
 	ref     uint64
 	attempt int // number of the message's attempt, from 0
 }
 
-// Attempt is a call to an endpoint that carries one message or several. The core builds it and doesn't change its exported fields once the
-// shell's Call has it.
+// Attempt is a call to an endpoint that carries one or more messages. The core does not change its exported fields after it has passed it
+// to Shell.Call.
 type Attempt struct {
 	To            Destination
 	Items         []Item
-	Timeout       time.Duration // how long the relay waits for it in all, from the decision on
-	WriteBefore   time.Time     // nothing of it may be written from then on; zero: no bound
-	PolicyVersion uint64        // version of the policy that the call carries; 0: it carries none
+	Timeout       time.Duration // of the whole call, from the decision on
+	WriteBefore   time.Time     // its first byte must be written before that; zero if there is no bound
+	PolicyVersion uint64        // version of the policy that the call carries; 0 if it carries none
 
 	number      uint64
-	scheduledAt time.Time     // when it was decided
-	startAfter  time.Time     // it waits until then, since others to its partner go first; zero: it does not
-	sampleBytes int           // bytes of the answer that an inspector wants to see; below 0: it wants none of it
-	sampled     *AnswerSample // what it is shown; nil: nothing. Belongs to the attempt's goroutine
-
-	cancel   func()       // of the shell's Call
-	begin    func() bool  // writes to the journal that it begins; false: it must not. Called by the attempt's goroutine
-	progress atomic.Int32 // attemptPending, attemptStarted or attemptRecalled; the front's goroutine and the core's race for it
+	scheduledAt time.Time     // when the module decided on it
+	startAfter  time.Time     // earliest start, to respect the partner's rate limit; zero if it need not wait
+	sampleBytes int           // bytes of the answer's body that the inspector wants; below 0 if it does not want the answer
+	sampled     *AnswerSample // the answer as the inspector sees it, or nil; set by the attempt's goroutine
+
+	cancel   func()       // returned by Shell.Call
+	begin    func() bool  // journals the start; false if the attempt must not start. Called by the attempt's goroutine
+	progress atomic.Int32 // attemptPending, attemptStarted or attemptRecalled; changed once, by the front's goroutine or the core's
 }
 
-// The values of Attempt.progress. It leaves attemptPending once only.
+// The values of Attempt.progress. It changes only once, from attemptPending to one of the others.
 const (
 	attemptPending  int32 = iota // nothing of it has been written
 	attemptStarted               // its first byte may have been written
-	attemptRecalled              // it was called back before that
+	attemptRecalled              // recalled before its first byte: nothing may be written
 )
 
-// NewAttempt returns an attempt to show to an inspector that wants sample bytes of its answer, for tools and tests.
+// NewAttempt returns an attempt for tools and tests of inspectors; sample is the number of bytes of the answer that the inspector wants.
 func NewAttempt(to Destination, sample int, items ...Item) *Attempt {
 	return &Attempt{To: to, Items: items, sampleBytes: sample}
 }
 
-// MayWrite is asked by the attempt's goroutine right before the first byte goes out. True allows that byte, once, and has the journal
-// hold by then that the attempt began; false, because the attempt was recalled or its time is over, forbids to write anything.
+// MayWrite must be called by the attempt's goroutine right before the first byte is written. It returns true at most once, after the start
+// of the attempt has been journalled. If it returns false, since the attempt was recalled, its time is over or the journal failed, nothing
+// may be written.
 func (a *Attempt) MayWrite() bool { return a.MayWriteAt(time.Now()) }
 
-// MayWriteAt is MayWrite at the time now, for callers with a clock of their own. An attempt is in the journal from here on and not before:
-// what a kill finds waiting for its connection is retried after the restart, whatever its class.
+// MayWriteAt is MayWrite at the time now, for callers with a clock of their own. An attempt is journalled here and not earlier, so that a
+// message whose connection was still being opened when the process was killed is retried after the restart, whatever its class.
 func (a *Attempt) MayWriteAt(now time.Time) bool {
 	inTime := a.WriteBefore.IsZero() || now.Before(a.WriteBefore)
 	return inTime && a.progress.CompareAndSwap(attemptPending, attemptStarted) && (a.begin == nil || a.begin())
 }
 
-// recall ends the attempt if nothing of it has been written; otherwise it does nothing.
+// recall cancels the attempt unless its first byte may have been written.
 func (a *Attempt) recall() {
 	if a.progress.CompareAndSwap(attemptPending, attemptRecalled) {
 		a.cancel()
 	}
 }
 
-// Outcome is how an attempt ended for one of its items.
+// Outcome is the result of an attempt for one of its items.
 type Outcome struct {
 	Result     control.Result
-	RetryAfter time.Duration // with control.Throttled: before which the destination takes nothing
+	RetryAfter time.Duration // with control.Throttled: how long the destination accepts nothing
 	Final      bool          // the message has ended, without a notice
 	Reported   bool          // the destination has reported Share and Limit
-	Share      float64       // of Limit that is unused, 0 to 1
+	Share      float64       // unused share of Limit, 0 to 1
 	Limit      float64       // the destination's rate limit
 }
 
-// joins reports whether m fits into the call of attempt: as in the module, sends of one turn to one destination share a call. A call must
-// also fit into one body, in Base64, and has one set of headers.
+// joins reports whether m can share the call of attempt. The call is bounded by the destination kind's number of messages and by the size
+// of a body, in Base64, and all of its messages must have the same headers.
 func (c *Core) joins(attempt *Attempt, m *message) bool {
 	perCall := 1
 	if kind := slices.Index(c.settings.KindNames, attempt.To.Kind); kind >= 0 && kind < len(c.settings.Kinds) {
@@ -96,7 +97,7 @@
 	return len(attempt.Items) < perCall && size <= c.limits.BodySize && slices.Equal(attempt.Items[0].Headers, m.entry.Headers)
 }
 
-// call has the shell make an attempt. Its outcomes come back by the queue.
+// call has the shell make an attempt, whose outcomes are posted to the queue.
 func (c *Core) call(attempt *Attempt) {
 	c.bindToMandate(attempt)
 	front := attempt.To.front
@@ -114,7 +115,7 @@
 	attempt.begin = func() bool { return c.journal.Begin(entries) }
 	c.recordBegin(attempt)
 	attempt.cancel = c.shell.Call(front.Front, attempt, attempt.scheduledAt.Add(attempt.Timeout), func(outcomes []Outcome) {
-		if attempt.sampled != nil { // an answer that came complete
+		if attempt.sampled != nil { // the answer was complete
 			c.inspector.OnAnswer(front.name, attempt, outcomes)
 		}
 		c.queue <- attemptEnded{attempt, outcomes}
@@ -127,7 +128,7 @@
 	c.recordAction(capture.Action{Kind: capture.IdleClosed, Target: d.number})
 }
 
-// attemptEnded is what the shell reports of an attempt: an outcome for each of its items.
+// attemptEnded is the event that an attempt has ended, with an outcome for each of its items.
 type attemptEnded struct {
 	attempt  *Attempt
 	outcomes []Outcome
@@ -149,14 +150,14 @@
 		core.moduleEvents = append(core.moduleEvents, control.Event{Kind: control.Resolved, ID: item.ref, Attempt: item.attempt,
 			Endpoint: attempt.To.number, Result: o.Result, Final: o.Final, RetryAfter: o.RetryAfter,
 			Reported: o.Reported, Remaining: o.Share, Limit: o.Limit})
-		core.takeOutcome(m, o, now)
+		core.applyOutcome(m, o, now)
 	}
 }
 
-// takeOutcome journals the outcome of a message's attempt; m is nil where the message has ended meanwhile.
-func (c *Core) takeOutcome(m *message, o Outcome, now time.Time) {
+// applyOutcome journals the outcome of a message's attempt; m is nil where the message has ended meanwhile.
+func (c *Core) applyOutcome(m *message, o Outcome, now time.Time) {
 	switch {
-	case m == nil || m.entry.NoticePending: // ended before
+	case m == nil || m.entry.NoticePending: // a late outcome: the message has already ended
 	case o.Result == control.Delivered && m.front.Front.NotifiesDeliveries():
 		c.addOutstanding(m, journal.Notice{Delivered: true})
 		c.journal.EndWithNotice(m.entry, m.entry.Notice)
--- a/internal/relay/engine/attempt_test.go
+++ b/internal/relay/engine/attempt_test.go
@@ -10,8 +10,8 @@
 	"mastusher/internal/relay/journal"
 )
 
-// TestAttempt_SendsOfOneTurn_ShareCall: sends of one turn to one destination share a call, as in the simulator, and each item fares as
-// its own answer says.
+// TestAttempt_SendsOfOneTurn_ShareCall: sends of one turn to one destination share a call, as in the simulator, and each item has its own
+// outcome.
 func TestAttempt_SendsOfOneTurn_ShareCall(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	relay.front.notifiesDeliveries = true
@@ -26,27 +26,27 @@
 		t.Fatalf("%d messages in the call, want the 3 that its kind carries", len(step.Items))
 	}
 	if relay.core.joins(&Attempt{To: step.To}, &message{entry: &journal.Entry{Body: make([]byte, 60<<10)}}) {
-		t.Error("a message joins a call that in Base64 would outgrow a body")
+		t.Error("a message joins a call whose body in Base64 would become too large")
 	}
 	relay.front.accepts <- true
 	relay.answer(Outcome{Result: control.Delivered}, Outcome{Result: control.NotProcessed, Final: true},
 		Outcome{Result: control.Throttled, RetryAfter: 10 * time.Second})
 	if got := <-relay.front.notices; len(got) != 1 || got[0].ID != step.Items[0].ID || !got[0].Delivered {
-		t.Errorf("notices %+v, want one of the delivery", got)
+		t.Errorf("notices %+v, want one for the delivery", got)
 	}
 	if relay.core.messagesByID["platform "+step.Items[1].ID] != nil || relay.core.messagesByID["platform "+step.Items[2].ID] == nil {
 		t.Error("want the finished message forgotten and the throttled one pending")
 	}
 }
 
-// TestAttempt_RecalledBeforeFirstByte_WritesNothing guards against a call whose connection comes up only after its destination has asked to wait, or
-// drains: nothing of it may be written any more.
+// TestAttempt_RecalledBeforeFirstByte_WritesNothing: a call's connection is established only after its destination has throttled the relay
+// or started to drain. Nothing of the call may be written any more.
 func TestAttempt_RecalledBeforeFirstByte_WritesNothing(t *testing.T) {
 	for name, happens := range map[string]func(relay *harness, out, on *Attempt){
-		"it is throttled": func(relay *harness, out, _ *Attempt) {
+		"destination throttles": func(relay *harness, out, _ *Attempt) {
 			relay.turnAfter(0, attemptEnded{out, []Outcome{{Result: control.Throttled, RetryAfter: time.Second}}})
 		},
-		"it drains": func(relay *harness, _, _ *Attempt) {
+		"destination drains": func(relay *harness, _, _ *Attempt) {
 			relay.turnAfter(0, listChanged{relay.core.frontsInOrder[0], relay.core.frontsInOrder[0].listReportedBy,
 				EndpointList{Destinations: []Destination{
 					{Name: "s-1", Zone: "a", Kind: "news-groups", Partner: 7, State: control.Draining}}}})
@@ -61,19 +61,19 @@
 				steps = append(steps, <-relay.front.attempts)
 			}
 			if !steps[0].MayWrite() {
-				t.Fatal("the first call may not be written")
+				t.Fatal("MayWrite of the first call is false")
 			}
 			if happens(relay, steps[0], steps[1]); steps[1].MayWrite() || steps[0].progress.Load() != attemptStarted {
-				t.Error("want the second call alone recalled")
+				t.Error("want only the second call recalled")
 			}
 		})
 	}
 	if late := (&Attempt{WriteBefore: time.Now()}); late.MayWrite() {
-		t.Error("a call may be written after its window")
+		t.Error("MayWrite is true after WriteBefore")
 	}
 }
 
-// TestAttempt_DifferentHeaders_ShareNoCall: a call has one set of headers, so messages that differ in theirs do not share one.
+// TestAttempt_DifferentHeaders_ShareNoCall: a call has one set of headers, so messages with different headers do not share a call.
 func TestAttempt_DifferentHeaders_ShareNoCall(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	var in []event
@@ -88,11 +88,11 @@
 		case s := <-relay.front.attempts:
 			for _, it := range s.Items {
 				if d := cmp.Diff(s.Items[0].Headers, it.Headers); d != "" {
-					t.Errorf("in one call: %s", d)
+					t.Errorf("messages of one call have different headers: %s", d)
 				}
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatal("a call is missing")
+			t.Fatal("no further call within 20 s, though attempts are in flight")
 		}
 	}
 }
--- a/internal/relay/engine/bench_test.go
+++ b/internal/relay/engine/bench_test.go
@@ -12,7 +12,7 @@
 	"mastusher/internal/relay/journal"
 )
 
-// instantShell is a shell whose calls are delivered at once.
+// instantShell is a shell whose calls deliver their messages at once.
 type instantShell struct{ inertShell }
 
 func (instantShell) Call(_ Front, s *Attempt, _ time.Time, done func([]Outcome)) func() {
@@ -20,7 +20,7 @@
 	return func() {}
 }
 
-// BenchmarkTurn is a message's complete way through the core, in two turns, with and without a capture.
+// BenchmarkTurn measures a message's complete processing by the core, in two turns, with and without a capture.
 func BenchmarkTurn(b *testing.B) {
 	for _, recorded := range []bool{false, true} {
 		b.Run(fmt.Sprint("recorded=", recorded), func(b *testing.B) {
--- a/internal/relay/engine/core.go
+++ b/internal/relay/engine/core.go
@@ -14,91 +14,92 @@
 	"mastusher/internal/relay/wire"
 )
 
-// clockStart is the module's time when the process starts: late enough for all that happened to a message before that, since the module
-// knows no time before 0.
+// clockStart is the module's time when the process starts. Module times can't be negative: the offset leaves room for what happened to
+// resumed messages before the start.
 const clockStart = 24 * time.Hour
 
 // Core is the relay's core; see the package comment.
 //
-// Its fields belong to the goroutine that runs Run (or calls Step: simulations), but for queue, ready, mandate and drained. Submit, SubmitAt,
-// Withdraw, Ready, Govern, GrantQuota, Observe, Record, DiscoveryMoved, Drain, Drained and Stop may be called from any goroutine: they post
-// an event to the queue, and block while it is full, or read an atomic value. All others must be called before Run, or by its goroutine.
+// Only the goroutine that calls Run (in simulations: Step) may access its fields, except queue, ready, publishedMandate and drained.
+// Submit, SubmitAt, Withdraw, Ready, Govern, GrantQuota, Observe, Record, DiscoveryMoved, Drain, Drained and Stop may be called from any
+// goroutine: they either post an event to the queue, and block while it is full, or read an atomic value. All other methods must be called
+// before Run, or by its goroutine.
 type Core struct {
 	settings       *wire.Settings
 	limits         *config.Limits
 	log            *slog.Logger
 	policy         *control.Sender
-	recorder       recorder         // nil: nothing is recorded
-	moduleSettings control.Settings // the ones that the module has; see ModuleSettings
+	recorder       recorder         // nil if nothing is recorded
+	moduleSettings control.Settings // as passed to the module; see ModuleSettings
 	seed           uint64
 	journal        Journal
 	shell          Shell
-	inspector      Inspector // nil: none
+	inspector      Inspector // may be nil
 	queue          chan event
 
 	startedAt          time.Time // when the process started
 	fronts             map[string]*frontState
 	frontsInOrder      []*frontState
 	messages           map[uint64]*message
-	messagesByID       map[string]*message // by front and id
+	messagesByID       map[string]*message // by front name and message id
 	destinations       map[uint32]*Destination
-	destinationNumbers map[string]uint32 // numbers of destinations, by front and name
+	destinationNumbers map[string]uint32 // by front name and destination name
 	lastDestination    uint32
 	lastRef            uint64
-	forgetAfter        time.Duration // after which nothing of a removed destination can be unfinished
+	forgetAfter        time.Duration // how long after its removal a destination may still have unfinished attempts
 	lastAttempt        uint64
 	inFlight           map[uint64]*Attempt // by number
 	submitted          uint64              // messages submitted so far
-	outstanding        int                 // notices of all fronts that no client has accepted yet
+	outstanding        int                 // notices that no client has accepted yet, of all fronts
 
 	moduleEvents     []control.Event  // for the module's next step
 	moduleActions    []control.Action // of the module's last step
 	arrivals         []*message       // accepted or refused by the module in the current turn, not answered yet
 	notifications    []func()         // called once the current turn is journalled
-	endings          endings
-	wakeAt           time.Time         // when the module asked to be called; zero: it did not
-	watchAt          time.Time         // when watches are to be started; zero: none is due
-	drainAt          time.Time         // when Drain took hold; zero: it did not
-	lastHousekeeping time.Time         // when housekeep last did its work
+	ended            endedMessages
+	wakeAt           time.Time         // when the module asked for a Woken event; zero if it did not
+	watchAt          time.Time         // when watches are to be started; zero if none is due
+	drainAt          time.Time         // when draining started; zero if it has not
+	lastHousekeeping time.Time         // when housekeep last ran
 	turnInput        capture.Input     // the record of the current turn
-	recordedArrivals []capture.Arrival // that its events point to
-	actionRefs       []uint64          // buffer for the action that is being recorded
-	keepActions      bool              // actions are kept in full, for a replay
-	ready            atomic.Bool       // Restore has returned and Drain was not called
+	recordedArrivals []capture.Arrival // backing array of the arrivals in turnInput.Events
+	actionRefs       []uint64          // reused buffer for the action being recorded
+	keepActions      bool              // keep actions in full, not only their checksum; set in a replay
+	ready            atomic.Bool       // Restore has returned and Drain has not been called
 	drained          chan struct{}     // see Drained
 	closed           bool              // drained is closed
-	stopped          bool              // this turn is the last
+	stopped          bool              // Run returns after this turn
 
-	counters      counters                     // nil: nobody has called Observe yet
-	governor      *capture.Mandate             // what the fleet lets this relay do; nil: it belongs to none
-	awaitingLease []*Attempt                   // that wait until the relay may act, oldest first
-	mandate       atomic.Pointer[frontMandate] // governor for the fronts' goroutines, set before the governor is
+	counters         counters                     // nil until Observe is called
+	mandate          *capture.Mandate             // what the fleet permits this relay to do; nil if it belongs to none
+	awaitingLease    []*Attempt                   // attempts that wait until the relay may act, oldest first
+	publishedMandate atomic.Pointer[frontMandate] // governor for the fronts' goroutines, set before the governor is
 }
 
-// frontState is what the core keeps for a front. It belongs to the core's goroutine.
+// frontState is the core's state of one front. Only the core's goroutine may access it.
 type frontState struct {
 	name           string
 	number         int
 	Front          Front
 	listed         map[string]uint32 // numbers of its destinations, by name
-	listIndex      int64             // of the newest endpoint list
+	listIndex      int64             // index of the newest endpoint list
 	lastWatch      int               // number of the watch that was started last
-	listReportedBy int               // the watch that reported the newest list; 0: it was known at the start
-	stopWatch      func()            // ends that watch; nil: it has ended
-	outstanding    []Notice          // those to be sent, oldest first
-	sending        []Notice          // those of the call in flight
-	cancelNotify   func()            // ends the call with those; nil: none is in flight
-	movedMeanwhile bool              // discovery has moved while it was in flight
-	retryAt        time.Time         // before which no notices are sent
-	backoff        time.Duration     // before the next attempt to notify
+	listReportedBy int               // number of the watch that reported the newest list; 0 if that is the list known at the start
+	stopWatch      func()            // ends the watch; nil if none is running
+	outstanding    []Notice          // notices to be sent, oldest first
+	sending        []Notice          // notices of the Notify call in flight
+	cancelNotify   func()            // cancels the Notify call; nil if none is in flight
+	movedMeanwhile bool              // discovery has moved during the Notify call in flight
+	retryAt        time.Time         // no notices are sent before that
+	backoff        time.Duration     // delay before the next Notify call after a failed one
 }
 
-// event is what the other goroutines post to the core's queue; the core's goroutine applies it in its next turn.
+// event is posted to the core's queue by any goroutine, and applied by the core's goroutine in its next turn.
 type event interface{ apply(c *Core, now time.Time) }
 
-// ModuleSettings returns the settings of a configuration as the module gets them: with each class' window of deduplication shortened by
-// Limits.WindowMargin. The module counts a window from one decision to the next; a partner counts it between arrivals, and a repeat on a new
-// connection arrives later than it was decided.
+// ModuleSettings returns the decision module's settings: those of the configuration with each class' deduplication window shortened by
+// Limits.WindowMargin. The module measures the window between its decisions, a partner between arrivals; a retry on a new connection
+// arrives some time after it was decided.
 func ModuleSettings(cfg *config.Config) control.Settings {
 	settings := cfg.Settings.Settings
 	settings.Classes = slices.Clone(settings.Classes)
@@ -108,8 +109,8 @@
 	return settings
 }
 
-// New returns a core on a journal, whose messages Restore resumes; now is the start of its clock. Fronts must be added before Restore and
-// Run. It fails where the decision module rejects the settings.
+// New returns a core that uses journal, whose messages Restore resumes; now is the start of the core's clock. Fronts must be added before
+// Restore and Run. It fails if the decision module rejects the settings.
 func New(cfg *config.Config, journal Journal, logger *slog.Logger, now time.Time) (*Core, error) {
 	settings := ModuleSettings(cfg)
 	policy, err := control.New(settings, cfg.Seed)
@@ -130,8 +131,8 @@
 	}, nil
 }
 
-// AddFront adds a wire under a name that stays the same across restarts, with its complete endpoint list as last known. It must be called
-// before Restore; the order of the calls must be the same in a replay.
+// AddFront adds a front under a name that must stay the same across restarts, with its last known complete endpoint list. It must be called
+// before Restore. A replay must add the fronts in the same order.
 func (c *Core) AddFront(name string, front Front, known EndpointList) {
 	f := &frontState{name: name, number: len(c.frontsInOrder), Front: front, listed: map[string]uint32{}}
 	c.fronts[name] = f
@@ -140,14 +141,14 @@
 	listChanged{f, 0, known}.apply(c, c.startedAt)
 }
 
-// SetInspector sets who sees messages, answers and ends; it must be called before the fronts submit messages.
+// SetInspector sets the inspector; it must be called before the fronts submit messages.
 func (c *Core) SetInspector(inspector Inspector) { c.inspector = inspector }
 
 // SetShell replaces the shell, which makes calls on goroutines by default; it must be called before Restore.
 func (c *Core) SetShell(shell Shell) { c.shell = shell }
 
-// Restore resumes the messages of the journal, in the order in which they were accepted, and takes the first turn, in which the module
-// learns what happened before the restart. New messages are accepted once it returns; it must be called once, before Run.
+// Restore resumes the messages of the journal, in the order in which they were accepted, and takes the first turn, which tells the module
+// what happened before the restart. New messages are accepted once it returns. It must be called once, before Run.
 func (c *Core) Restore(now time.Time) {
 	for _, e := range c.journal.Entries() {
 		c.restoreEntry(e, now)
@@ -155,11 +156,12 @@
 	if !c.settings.MustSubscribe {
 		c.watchAt = now
 	}
-	c.Turn(now, c.drainQueue(nil)) // a capture that is on from the start has this turn too
+	c.Turn(now, c.drainQueue(nil)) // a capture that is enabled from the start includes this turn
 	c.ready.Store(true)
 }
 
-// restoreEntry resumes one message. One that can no longer be sent has ended; one of a front that is off stays in the journal.
+// restoreEntry resumes one message. If its class no longer exists, the message is given up; if its front is disabled, it stays in the
+// journal.
 func (c *Core) restoreEntry(e *journal.Entry, now time.Time) {
 	f := c.fronts[e.Front]
 	if f == nil {
@@ -171,21 +173,21 @@
 		c.addOutstanding(m, e.Notice)
 		return
 	}
-	if e.InFlight { // it was out when the process ended: it may have run
+	if e.InFlight { // in flight when the process ended: it may have run
 		c.journal.EndAttempt(e, false)
 	}
-	if e.Class < 0 || e.Class >= len(c.settings.Classes) { // of other settings: nothing says how it may be sent
+	if e.Class < 0 || e.Class >= len(c.settings.Classes) { // accepted under other settings: how it may be sent is unknown
 		c.log.Warn("giving up message of a class that the settings no longer have", "id", e.ID, "class", e.Class)
 		c.addOutstanding(m, journal.Notice{})
 		c.journal.EndWithNotice(e, e.Notice)
 		return
 	}
 	c.clampTimes(e, now)
-	c.moduleEvents = append(c.moduleEvents, c.arrival(m))
+	c.moduleEvents = append(c.moduleEvents, c.arrivedEvent(m))
 }
 
-// clampTimes bounds the journal's times where the clock has been set back since: no message has more time than its class gives, and a window
-// that began in what is now the future is over.
+// clampTimes corrects times in the journal that a clock set back since has moved into the future: a deadline is no later than the class
+// permits, and a deduplication window that seems to start in the future counts as over.
 func (c *Core) clampTimes(e *journal.Entry, now time.Time) {
 	class := &c.settings.Classes[e.Class]
 	if latest := now.Add(class.Deadline); e.Deadline.After(latest) {
@@ -196,8 +198,8 @@
 	}
 }
 
-// Ready reports whether new messages are accepted: the core is restored and does not drain, and has a lease where it belongs to a fleet.
-func (c *Core) Ready() bool { return c.ready.Load() && c.leased() }
+// Ready reports whether new messages are accepted: the core is restored, is not draining and, in a fleet, has a lease.
+func (c *Core) Ready() bool { return c.ready.Load() && c.hasLease() }
 
-// clock returns t on the module's clock, which never reads 0: there a 0 means "none".
-func (c *Core) clock(t time.Time) time.Duration { return max(clockStart+t.Sub(c.startedAt), 1) }
+// moduleTime returns t on the module's clock, on which 0 means "none": it never returns 0.
+func (c *Core) moduleTime(t time.Time) time.Duration { return max(clockStart+t.Sub(c.startedAt), 1) }
--- a/internal/relay/engine/counters.go
+++ b/internal/relay/engine/counters.go
@@ -2,21 +2,21 @@
 
 import "strconv"
 
-// counters are what a core has counted since its start, by class, tenant and partner. There is nothing in them that a journal holds:
-// what was accepted before a restart was counted then, its end is counted when it has it.
+// counters count messages since the process started, by class, tenant and partner. A restart resets them: a message that was accepted
+// before it is not counted as accepted again, but its end is counted when it comes.
 type counters map[string]uint64
 
-// MaxCountedPartners bounds the partners that are counted by number: those from it on are counted together, as "others".
+// MaxCountedPartners bounds the partners that are counted individually: partner numbers from it on are counted together, as "others".
 const MaxCountedPartners = 10
 
-// What is counted beside ends, by its name in counters.
+// Names in counters of what is counted besides ends.
 const (
-	countTaken   = "taken"
-	countRefused = "refused"
-	countRepeats = "repeats"
+	countAccepted = "taken"
+	countRefused  = "refused"
+	countRepeats  = "repeats"
 )
 
-// The ends of a message, by their names in counters and in End.Result.
+// Names of a message's ends in counters and in End.Result.
 const (
 	endDelivered  = "delivered"
 	endHandedBack = "handed_back"
@@ -24,10 +24,10 @@
 	endWithdrawn  = "withdrawn"
 )
 
-// CounterNames are the names of all that is counted.
-var CounterNames = []string{countTaken, countRefused, countRepeats, endDelivered, endHandedBack, endGivenUp, endWithdrawn}
+// CounterNames lists the names of all counters, without their class, tenant or partner.
+var CounterNames = []string{countAccepted, countRefused, countRepeats, endDelivered, endHandedBack, endGivenUp, endWithdrawn}
 
-// count counts one message for its class, tenant and partner; an index that the settings don't have is not counted.
+// count increments the counter what for the message's class, tenant and partner; a class or tenant index outside the settings is skipped.
 func (c *Core) count(class, tenant, partner int, what string) {
 	if c.counters == nil {
 		return
--- a/internal/relay/engine/destinations.go
+++ b/internal/relay/engine/destinations.go
@@ -10,8 +10,8 @@
 	"mastusher/internal/relay/capture"
 )
 
-// watch starts a watch for each front that has none.
-func (c *Core) watch() {
+// startWatches starts a startWatches for each front that has none.
+func (c *Core) startWatches() {
 	c.watchAt = time.Time{}
 	for _, f := range c.frontsInOrder {
 		if f.stopWatch != nil {
@@ -25,7 +25,8 @@
 	}
 }
 
-// listChanged is what a watch reports of the endpoint list; watch is that watch's number, 0 that of none.
+// listChanged is the event that a front's endpoint list has changed; watch is the number of the watch that reported it, 0 for the list
+// known at the start.
 type listChanged struct {
 	front *frontState
 	watch int
@@ -33,17 +34,17 @@
 }
 
 func (l listChanged) apply(core *Core, now time.Time) {
-	// What a watch reports after a later watch has reported is older, also where it is a complete list; until then it counts, since the
-	// relay must follow what it has heard. A change of an older version adds nothing to what is known.
+	// A report is outdated, even a complete list, once a later watch has reported; until then reports of the earlier watch are applied. A
+	// change with an older index than the list is already contained in it.
 	if l.watch < l.front.listReportedBy || !l.Complete && l.Index < l.front.listIndex {
 		return
 	}
 	l.front.listIndex, l.front.listReportedBy = l.Index, l.watch
 	listed := control.Event{Kind: control.Listed, Complete: l.Complete}
 	if l.Complete {
-		core.forgetList(l.front, now)
-		for _, f := range core.frontsInOrder { // a complete list is one front's; the others' stand
-			for _, number := range slices.Sorted(maps.Values(f.listed)) { // the module learns them in this order
+		core.unlistAll(l.front, now)
+		for _, f := range core.frontsInOrder { // the module gets one list for all fronts: those of the other fronts are unchanged
+			for _, number := range slices.Sorted(maps.Values(f.listed)) { // in a deterministic order
 				listed.Endpoints = append(listed.Endpoints, core.moduleEndpoint(number, core.destinations[number]))
 			}
 		}
@@ -55,8 +56,8 @@
 	core.moduleEvents = append(core.moduleEvents, listed)
 }
 
-// forgetList removes all of a front's destinations from its list; the caller adds those of the new list again.
-func (c *Core) forgetList(f *frontState, now time.Time) {
+// unlistAll removes all destinations from a front's list; the caller adds those of the new list.
+func (c *Core) unlistAll(f *frontState, now time.Time) {
 	for _, number := range f.listed {
 		if d := c.destinations[number]; d.removedAt.IsZero() {
 			d.removedAt = now
@@ -71,23 +72,23 @@
 	if d.State == control.Removed {
 		d.removedAt = now
 	}
-	if d.State != control.Ready { // it gets nothing new, and another endpoint may take over its address
+	if d.State != control.Ready { // no new calls go there, and another endpoint may take over its address
 		c.closeIdle(d)
 	}
 	c.destinations[d.number], f.listed[d.Name] = d, d.number
 }
 
-// moduleEndpoint is a destination as the module has it.
+// moduleEndpoint converts a destination to the module's endpoint.
 func (c *Core) moduleEndpoint(number uint32, d *Destination) control.Endpoint {
 	state := d.State
 	if state == control.Ready && c.isShut(d.Partner) {
-		state = control.Draining // it gets nothing new
+		state = control.Draining // no new calls go there
 	}
 	return control.Endpoint{ID: number, Zone: slices.Index(c.settings.Zones, d.Zone), Kind: slices.Index(c.settings.KindNames, d.Kind),
-		Destination: d.front.number<<20 + d.Partner, State: state, Weight: c.settings.Weight(d.Weight), MaxRate: c.governor.RateLimitTo(d.Partner)}
+		Destination: d.front.number<<20 + d.Partner, State: state, Weight: c.settings.Weight(d.Weight), MaxRate: c.mandate.RateLimitTo(d.Partner)}
 }
 
-// watchEnded is a watch that is lost.
+// watchEnded is the event that a watch was lost.
 type watchEnded struct {
 	front *frontState
 	watch int
@@ -96,52 +97,52 @@
 
 func (w watchEnded) apply(core *Core, now time.Time) {
 	if w.watch != w.front.lastWatch || w.front.stopWatch == nil {
-		return // the core ended it itself, for another one
+		return // the core itself has stopped or replaced that watch
 	}
 	w.front.stopWatch()
 	w.front.stopWatch = nil
 	core.log.Info("endpoint list watch lost", "front", w.front.name, "err", w.err)
-	hadReported := w.front.listReportedBy == w.watch // it had come up: discovery may be there
+	hadReported := w.front.listReportedBy == w.watch // the watch had been established: discovery may be reachable
 	switch {
 	case hadReported && errors.Is(w.err, ErrWatchTimeout):
-		// Discovery is reachable and all relays' watches have fallen silent together: what they miss soon counts as known, so each relay
-		// reopens its own by itself, spread over WatchSpread.
+		// Discovery is probably reachable and the watches of all relays have timed out together. The changes that they miss soon count as
+		// known to the relays, so each relay reopens its watch without waiting for the module, at its own time within WatchSpread.
 		core.watchAt = now.Add(core.limits.WatchSpread * time.Duration(core.settings.Index) / time.Duration(max(core.settings.Peers, 1)))
 	case core.settings.MustSubscribe:
 		core.moduleEvents = append(core.moduleEvents, control.Event{Kind: control.ListFailed}) // the module says when to retry
 	case hadReported:
-		core.watchAt = now // what discovery has counts as known at once
+		core.watchAt = now // the relay must know discovery's changes at once
 	default:
 		core.watchAt = now.Add(core.limits.WatchRetry)
 	}
 }
 
-// DiscoveryMoved reports that a front's discovery has another address now: its watch and its notices go there at once. It may be called from
-// any goroutine; an unknown front is ignored.
-func (c *Core) DiscoveryMoved(front string) { c.queue <- moved{front} }
+// DiscoveryMoved reports that the address of a front's discovery has changed: its watch is restarted and its notices are resent there at
+// once. It may be called from any goroutine; an unknown front is ignored.
+func (c *Core) DiscoveryMoved(front string) { c.queue <- discoveryMoved{front} }
 
-// moved is a front whose discovery has another address now.
-type moved struct{ front string }
+// discoveryMoved is the event that the address of a front's discovery has changed.
+type discoveryMoved struct{ front string }
 
-func (v moved) apply(c *Core, now time.Time) {
+func (v discoveryMoved) apply(c *Core, now time.Time) {
 	f := c.fronts[v.front]
 	if f == nil {
 		return
 	}
 	if f.stopWatch != nil {
 		f.stopWatch()
-		f.stopWatch = nil // watchEnded ignores its end
+		f.stopWatch = nil // watchEnded ignores the end of the stopped watch
 	}
 	c.watchAt = now
 	c.recordNote(now, "discovery of "+v.front+" has moved")
 	if f.cancelNotify != nil {
-		f.cancelNotify() // its notices come back as not accepted
+		f.cancelNotify() // its notices are reported as not accepted, and sent again
 		f.movedMeanwhile = true
 	}
 	f.retryAt, f.backoff = now, 0
 }
 
-// destinationNumber returns the module's id of a destination, a new one if it has none.
+// destinationNumber returns the module's id of a destination, and assigns one if it has none.
 func (c *Core) destinationNumber(f *frontState, name string) uint32 {
 	key := f.name + " " + name
 	number, ok := c.destinationNumbers[key]
@@ -156,7 +157,7 @@
 	return number
 }
 
-// serves reports whether the front's endpoint list has a destination of that partner, or had one less than forgetAfter ago.
+// serves reports whether the front has a destination of that partner, listed or removed less than forgetAfter ago.
 func (c *Core) serves(f *frontState, partner int) bool {
 	for _, d := range c.destinations {
 		if d.front == f && d.Partner == partner {
--- a/internal/relay/engine/doc.go
+++ b/internal/relay/engine/doc.go
@@ -1,13 +1,14 @@
-// Package engine is the relay's core. It owns the decision module (package control), the accepted messages, their attempts and the outstanding
-// notices, and it is the only part that changes them. It knows no wire.
+// Package engine is the relay's core. It owns the decision module (package control), the accepted messages, their attempts and the
+// outstanding notices, and it is the only part that changes them. It does not depend on any wire protocol.
 //
-// Fronts (package platform, package activitypub) submit messages and make the core's calls; they reach it through one queue only. One
-// goroutine, that of Run, takes the queued events in turns of Limits.Round: each event is applied, the module decides, the journal is
-// written, and only then are clients answered and attempts started. So an answer or a first byte that a kill can no longer take back is
-// always in the journal.
+// Fronts (package platform, package activitypub) implement the wire protocols. They submit messages to the core through its event queue
+// and make its calls. One goroutine, that of Run, processes the queued events in turns of Limits.Round: it applies each event, lets the
+// module decide, writes the journal, and only then answers clients and starts attempts. So whatever a client or a destination has been
+// sent is in the journal, even if the process is killed right afterwards.
 //
-// A turn reads no clock and walks no map in an order that matters, and its calls are made by a Shell, its records kept by a Journal: both can
-// be replaced. CoreReplay drives a complete core with a capture (package capture) in their place and compares all that it does.
+// A turn is deterministic: it reads no clock, and the iteration order of maps does not affect it. A Shell makes its calls and a Journal
+// keeps its records; both can be replaced. CoreReplay replaces them with a capture (package capture), and compares everything that the
+// core does with what was recorded.
 //
-// Where relays form a fleet, Govern gives the core what the fleet lets it do (a Mandate), and GrantQuota what it may spend.
+// In a fleet of relays, Govern sets what the fleet permits this relay to do (a Mandate), and GrantQuota its share of the common limits.
 package engine
--- a/internal/relay/engine/ended_test.go
+++ b/internal/relay/engine/ended_test.go
@@ -17,8 +17,8 @@
 	r.answer(outcome)
 }
 
-// TestSubmit_IDEndedWithNotice_RepeatsThatEnd: a duplicate of a message that has ended with a notice is answered with that end, before the notice was
-// accepted and after: its client may never have heard that the message was accepted, and would wait for another end.
+// TestSubmit_IDEndedWithNotice_RepeatsThatEnd: a duplicate of a message that has ended with a notice is answered with that end, before and
+// after the notice is accepted. Its client may not know that the message was accepted, and would wait for another notice.
 func TestSubmit_IDEndedWithNotice_RepeatsThatEnd(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	relay.core.limits.EndedRetention, relay.core.limits.MaxEnded = 5*time.Second, 9
@@ -31,13 +31,13 @@
 		b, second := relay.arrival("m", 0, 8, 10*time.Second)
 		relay.turnAfter(5*time.Millisecond, b)
 		if got := <-second; got.Verdict != Failed || len(relay.front.attempts) != 0 {
-			t.Errorf("given up, notice taken %v: the same id is answered %+v", taken, got)
+			t.Errorf("given up, notice accepted %v: the duplicate is answered %+v, want Failed and no call", taken, got)
 		}
 	}
 }
 
-// TestSubmit_IDEndedLately_IsNoNewMessage: a duplicate right after its message has ended is no new message, whatever the end was; after a while it
-// is one.
+// TestSubmit_IDEndedLately_IsNoNewMessage: shortly after a message has ended, whatever the end, a submission under its id is a duplicate;
+// after EndedRetention it is a new message.
 func TestSubmit_IDEndedLately_IsNoNewMessage(t *testing.T) {
 	for _, outcome := range []Outcome{{Result: control.Delivered}, {Result: control.NotProcessed, Final: true}} {
 		relay := newHarness(t, t.TempDir(), time.Now())
@@ -54,10 +54,10 @@
 		}
 		relay.core.remember(&message{front: relay.core.frontsInOrder[0], entry: &journal.Entry{ID: "other"}}, Accepted, relay.now.Add(6*time.Second))
 		if resubmit(time.Second) {
-			t.Error("ids are remembered forever")
+			t.Error("the id is still remembered after EndedRetention")
 		}
-		if n := len(relay.core.endings.oldestFirst); n != 1 || len(relay.core.endings.verdicts) != 1 {
-			t.Errorf("%d ids are remembered", n)
+		if n := len(relay.core.ended.oldestFirst); n != 1 || len(relay.core.ended.verdicts) != 1 {
+			t.Errorf("%d ids are remembered, want 1", n)
 		}
 	}
 }
--- a/internal/relay/engine/front.go
+++ b/internal/relay/engine/front.go
@@ -8,47 +8,48 @@
 	"mastusher/control"
 )
 
-// Front is one wire: it submits clients' messages and makes the core's calls. Call, Notify and Watch may block, and each call of them has a
-// goroutine of its own; CloseIdle and NotifiesDeliveries are called by the core's goroutine and must not block.
+// Front implements a wire protocol: it submits clients' messages and makes the core's calls. Call, Notify and Watch may block, and each
+// call of one of them runs on a goroutine of its own; CloseIdle and NotifiesDeliveries are called by the core's goroutine and must not
+// block.
 type Front interface {
-	// Call makes an attempt and returns an outcome for each item, in their order. It must write nothing unless MayWrite, asked right before
-	// the first byte, returns true, and must not return while a copy of the call is still in flight. It ends with ctx.
+	// Call makes an attempt and returns an outcome for each item, in their order. It must call attempt.MayWrite right before the first
+	// byte, and write nothing if that returns false. It must not return while a copy of the call is still in flight. It ends with ctx.
 	Call(ctx context.Context, attempt *Attempt) []Outcome
-	// Notify sends notices of ended messages and returns for each, in their order, whether the client has accepted it. It ends with ctx.
+	// Notify sends notices of ended messages and returns for each, in their order, whether it was accepted. It ends with ctx.
 	Notify(ctx context.Context, notices []Notice) []bool
-	// CloseIdle closes the idle connections to a destination; with nil, those of all destinations that have been idle for too long.
+	// CloseIdle closes the idle connections to a destination; with nil, those to any destination that have been idle for too long.
 	CloseIdle(to *Destination)
-	// Watch reports what has changed in the endpoint list since the index after. It returns ErrWatchTimeout or another error when the
+	// Watch calls changed with each change of the endpoint list after the index after. It returns ErrWatchTimeout or another error when the
 	// watch is lost or ctx ends; a front without an endpoint list returns nil at once.
 	Watch(ctx context.Context, after int64, changed func(EndpointList)) error
-	// NotifiesDeliveries is true if clients are also sent a notice of each message that was delivered. It never changes.
+	// NotifiesDeliveries reports whether clients are also sent a notice of each delivered message. It never changes.
 	NotifiesDeliveries() bool
 }
 
-// ErrWatchTimeout is returned by Watch when a watch came up and then was silent for too long: its connection is dead, but discovery may
+// ErrWatchTimeout is returned by Watch when an established watch has been silent for too long: its connection is dead, but discovery may
 // well be reachable.
 //
-// Its text is written to captures, and a replay recognizes it by that: it must not change.
+// Its text must not change: it is written to captures, and a replay recognizes the error by it.
 var ErrWatchTimeout = errors.New("the watch has fallen silent")
 
 // Destination is one endpoint of a partner.
 type Destination struct {
-	Name    string // unique in its front, the same across restarts
-	Address string // host and port, or whatever the front calls by
-	Zone    string // one of the settings' zones; another counts as unknown
-	Kind    string // one of the settings' kinds of endpoints; another counts as unknown
+	Name    string // unique in its front, and the same across restarts
+	Address string // host and port, or another address that the front can call
+	Zone    string // one of the settings' zones; any other counts as unknown
+	Kind    string // one of the settings' kinds of endpoints; any other counts as unknown
 	Partner int    // number of the partner system that it belongs to
 	State   control.State
-	Weight  float64 // as the list has it; wire.Settings.Weight says how it counts
+	Weight  float64 // as in the endpoint list; see wire.Settings.Weight
 
 	front     *frontState
-	number    uint32    // the module's id of it; never given to another
-	removedAt time.Time // when it left the list; zero: it is listed
+	number    uint32    // the module's id of the destination; never reused
+	removedAt time.Time // when it left the list; zero if it is listed
 }
 
-// EndpointList is a list of destinations: the complete one of a front, or what has changed.
+// EndpointList is the complete endpoint list of a front, or a change of it.
 type EndpointList struct {
-	Index        int64 // version of the list, growing with each change
-	Complete     bool  // destinations that it does not name have left the list
+	Index        int64 // version of the list; increases with each change
+	Complete     bool  // destinations that are not in Destinations have left the list
 	Destinations []Destination
 }
--- a/internal/relay/engine/governor.go
+++ b/internal/relay/engine/governor.go
@@ -10,52 +10,52 @@
 	"mastusher/internal/relay/journal"
 )
 
-// haltTimeout is how long a message that is submitted while a change of policy takes hold waits for that: all relays stop under the old one
-// before any starts under the new one, which takes some milliseconds where all of them answer.
+// haltTimeout is how long a submitted message waits while the relay is halted for a change of policy. All relays stop under the old policy
+// before any continues under the new one, which takes some milliseconds if all of them answer.
 const haltTimeout = 100 * time.Millisecond
 
-// Mandate is what the fleet lets this relay do; see capture.Mandate.
+// Mandate is what the fleet permits this relay to do; see capture.Mandate.
 type Mandate struct {
 	capture.Mandate
-	Until time.Time // end of the lease: the relay may act only before it; zero: it has no lease
+	Until time.Time // end of the lease, after which the relay may not act; zero if it has no lease
 }
 
-// frontMandate is a Mandate as the fronts' goroutines see it.
+// frontMandate is the part of a Mandate that the fronts' goroutines need.
 type frontMandate struct {
 	until   time.Time
 	version uint64
 	halted  bool
-	changed chan struct{} // closed when another replaces it
+	changed chan struct{} // closed when another mandate replaces this one
 }
 
-// Govern puts a mandate in force from the next turn on. done, unless nil, is called by the core's goroutine after that turn and must not
-// block: nothing that the mandate forbids is started from then on. A relay of a fleet calls it before Restore with an empty mandate, since
-// a core without one acts freely. Calls must not overlap.
+// Govern puts a mandate in force from the next turn on. done, unless nil, is called by the core's goroutine after that turn, when nothing
+// that the mandate forbids is started any more; it must not block. A relay of a fleet must call Govern with an empty mandate before
+// Restore, since a core without a mandate is not restricted. Calls must not overlap.
 func (c *Core) Govern(mandate Mandate, done func()) {
 	next := &frontMandate{until: mandate.Until, version: mandate.Version, halted: mandate.Halted != 0, changed: make(chan struct{})}
-	if before := c.mandate.Swap(next); before != nil {
+	if before := c.publishedMandate.Swap(next); before != nil {
 		close(before.changed)
 	}
 	c.queue <- governed{mandate, done}
 }
 
-// governed is a mandate that takes hold; done is called after the turn in which it does.
+// governed is the event that puts a mandate in force; done is called after the turn in which that happens.
 type governed struct {
 	Mandate
 	done func()
 }
 
 func (g governed) apply(core *Core, now time.Time) {
-	before := core.governor
+	before := core.mandate
 	if before == nil {
 		before = &capture.Mandate{}
 	}
 	mandate := g.Mandate.Mandate
 	mandate.Until = 0
 	if !g.Mandate.Until.IsZero() {
-		mandate.Until = core.clock(g.Mandate.Until)
+		mandate.Until = core.moduleTime(g.Mandate.Until)
 	}
-	core.governor = &mandate
+	core.mandate = &mandate
 	if mandate.Version != before.Version {
 		core.recordNote(now, "another policy is in force")
 	}
@@ -66,7 +66,7 @@
 		core.reportLimited(before)
 	}
 	if mandate.Halted != 0 && mandate.Halted != before.Halted {
-		for _, number := range core.inFlightNumbers() { // what has written nothing begins nothing under the policy before
+		for _, number := range core.inFlightNumbers() { // attempts that have written nothing must not start under the old policy
 			core.inFlight[number].recall()
 		}
 	}
@@ -75,12 +75,12 @@
 	}
 }
 
-// reportLimited reports to the module the destinations of partners that an operator has shut or limited, or does so no longer.
+// reportLimited reports to the module the destinations of partners whose shutdown or rate limit has changed since the former mandate.
 func (c *Core) reportLimited(before *capture.Mandate) {
 	listed := control.Event{Kind: control.Listed}
 	for _, number := range slices.Sorted(maps.Keys(c.destinations)) {
 		d := c.destinations[number]
-		if before.Shuts(d.Partner) != c.isShut(d.Partner) || before.RateLimitTo(d.Partner) != c.governor.RateLimitTo(d.Partner) {
+		if before.Shuts(d.Partner) != c.isShut(d.Partner) || before.RateLimitTo(d.Partner) != c.mandate.RateLimitTo(d.Partner) {
 			listed.Endpoints = append(listed.Endpoints, c.moduleEndpoint(number, d))
 		}
 	}
@@ -89,42 +89,42 @@
 	}
 	c.moduleEvents = append(c.moduleEvents, listed)
 	for _, f := range c.frontsInOrder {
-		if f.stopWatch == nil && c.settings.MustSubscribe { // any list ends the module's wait for the watch
+		if f.stopWatch == nil && c.settings.MustSubscribe { // any list tells the module that a watch is open: correct that
 			c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.ListFailed})
 			break
 		}
 	}
 }
 
-// isShut reports whether operators have shut a partner.
-func (c *Core) isShut(partner int) bool { return c.governor.Shuts(partner) }
+// isShut reports whether an operator has shut a partner.
+func (c *Core) isShut(partner int) bool { return c.mandate.Shuts(partner) }
 
 // mayAct reports whether the relay may accept messages and start attempts.
 func (c *Core) mayAct(now time.Time) bool {
-	return c.governor == nil || c.governor.Halted == 0 && c.governor.Until != 0 && c.clock(now) < c.governor.Until
+	return c.mandate == nil || c.mandate.Halted == 0 && c.mandate.Until != 0 && c.moduleTime(now) < c.mandate.Until
 }
 
-// maxAttempts is how many attempts a message may have: the smaller of what was in force when it was accepted and now; 0: as
-// many as the settings permit.
+// maxAttempts returns how many attempts a message may have: the smaller of the policy's limits when it was accepted and now; 0 if only the
+// settings limit them.
 func (c *Core) maxAttempts(e *journal.Entry) int {
 	limit := e.MaxAttempts
-	if c.governor != nil && e.Class < len(c.governor.Attempts) {
-		if now := c.governor.Attempts[e.Class]; now > 0 && (limit == 0 || now < limit) {
+	if c.mandate != nil && e.Class < len(c.mandate.Attempts) {
+		if now := c.mandate.Attempts[e.Class]; now > 0 && (limit == 0 || now < limit) {
 			limit = now
 		}
 	}
 	return limit
 }
 
-// stampPolicy writes into the entry of an accepted message under which policy it was accepted.
+// stampPolicy stores in an accepted message's entry the policy version and the attempt limit under which it was accepted.
 func (c *Core) stampPolicy(e *journal.Entry) {
-	if c.governor != nil {
-		e.PolicyVersion = c.governor.Version
+	if c.mandate != nil {
+		e.PolicyVersion = c.mandate.Version
 		e.MaxAttempts = c.maxAttempts(e)
 	}
 }
 
-// rejectExhausted reports to the module that a send is rejected where the policy allows the message no more attempts: false, it may be sent.
+// rejectExhausted reports a send to the module as rejected, and returns true, if the policy permits the message no more attempts.
 func (c *Core) rejectExhausted(m *message, a control.Action) bool {
 	if limit := c.maxAttempts(m.entry); limit == 0 || m.entry.Attempts < limit {
 		return false
@@ -134,23 +134,23 @@
 	return true
 }
 
-// bindToMandate gives an attempt the version that it carries, and has it write nothing once the lease is over.
+// bindToMandate sets the policy version that an attempt carries, and lets it start only before the lease ends.
 func (c *Core) bindToMandate(attempt *Attempt) {
-	if c.governor == nil {
+	if c.mandate == nil {
 		return
 	}
-	if c.governor.Stamp {
-		attempt.PolicyVersion = c.governor.Version
+	if c.mandate.Stamp {
+		attempt.PolicyVersion = c.mandate.Version
 	}
-	if end := c.timeOf(c.governor.Until); attempt.WriteBefore.IsZero() || end.Before(attempt.WriteBefore) {
+	if end := c.fromModuleTime(c.mandate.Until); attempt.WriteBefore.IsZero() || end.Before(attempt.WriteBefore) {
 		attempt.WriteBefore = end
 	}
 }
 
-// admitted reports, on a front's goroutine, whether the fleet lets this relay accept a message. While a change of policy takes hold it
-// waits for that, for haltTimeout at most.
+// admitted reports whether the fleet permits this relay to accept messages. While the relay is halted for a change of policy it waits for
+// the end of the halt, for haltTimeout at most. It is called by the fronts' goroutines.
 func (c *Core) admitted() bool {
-	mandate := c.mandate.Load()
+	mandate := c.publishedMandate.Load()
 	if mandate == nil {
 		return true
 	}
@@ -160,7 +160,7 @@
 		for mandate.halted {
 			select {
 			case <-mandate.changed:
-				mandate = c.mandate.Load()
+				mandate = c.publishedMandate.Load()
 			case <-timeout.C:
 				return false
 			}
@@ -169,9 +169,9 @@
 	return time.Now().Before(mandate.until)
 }
 
-// leased reports whether this relay belongs to no fleet, or has a lease: a change that is about to take hold is no reason to send
-// clients elsewhere. It may be called from any goroutine.
-func (c *Core) leased() bool {
-	mandate := c.mandate.Load()
+// hasLease reports whether this relay has a lease, or belongs to no fleet. A halt for a change of policy is not considered: clients should
+// not leave for it. It may be called from any goroutine.
+func (c *Core) hasLease() bool {
+	mandate := c.publishedMandate.Load()
 	return mandate == nil || time.Now().Before(mandate.until)
 }
--- a/internal/relay/engine/governor_test.go
+++ b/internal/relay/engine/governor_test.go
@@ -9,8 +9,8 @@
 	"mastusher/internal/relay/capture"
 )
 
-// govern hands the core its mandate, with so much of its lease left (0: it has none), and takes the turn; *done is true once the mandate
-// has taken hold.
+// govern puts a mandate in force, with a lease that ends after left (0: no lease), and takes the turn; *done is true once the mandate is in
+// force.
 func (r *harness) govern(s capture.Mandate, left time.Duration) (done *bool) {
 	done = new(bool)
 	until := time.Time{}
@@ -22,7 +22,7 @@
 	return done
 }
 
-// verdict submits a message and returns the reply's verdict; false: the turn has not answered it.
+// verdict submits a message and returns the reply's verdict; false if the turn has not answered the message.
 func (r *harness) verdict(id string, class, partner int) (Verdict, bool) {
 	a, reply := r.arrival(id, class, partner, 9*time.Second)
 	r.turnAfter(5*time.Millisecond, a)
@@ -34,7 +34,7 @@
 	}
 }
 
-// answerCalls answers the calls that go out, until none has for so long.
+// answerCalls answers calls until none has been made for the time idle.
 func (r *harness) answerCalls(idle time.Duration, respond func(*Attempt) []Outcome) {
 	for {
 		select {
@@ -46,18 +46,18 @@
 	}
 }
 
-// wantNoCall fails the test if a call has gone out.
+// wantNoCall fails the test if a call is made.
 func (r *harness) wantNoCall(why string) {
 	r.t.Helper()
 	select {
 	case s := <-r.front.attempts:
-		r.t.Fatalf("%s: a call to %s went out", why, s.To.Name)
+		r.t.Fatalf("%s: unexpected call to %s", why, s.To.Name)
 	case <-time.After(20 * time.Millisecond):
 	}
 }
 
-// TestMandate_WithAndWithoutLease_BoundsArrivalsAndAttempts: without a lease nothing is accepted; under one messages are, and
-// calls carry their version and are bound by it.
+// TestMandate_WithAndWithoutLease_BoundsArrivalsAndAttempts: messages are accepted only under a lease. Calls carry the mandate's version
+// and must start before the lease ends.
 func TestMandate_WithAndWithoutLease_BoundsArrivalsAndAttempts(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	relay.govern(capture.Mandate{}, 0)
@@ -70,15 +70,15 @@
 	}
 	attempt := <-relay.front.attempts
 	if attempt.PolicyVersion != 3 || attempt.WriteBefore.IsZero() || attempt.WriteBefore.After(relay.now.Add(time.Second)) {
-		t.Errorf("the call tells version %d and may be written until %v", attempt.PolicyVersion, attempt.WriteBefore)
+		t.Errorf("the call carries version %d, want 3, or WriteBefore, %v, is not within the lease", attempt.PolicyVersion, attempt.WriteBefore)
 	}
 	if e := relay.core.messages[attempt.Items[0].ref].entry; e.PolicyVersion != 3 {
-		t.Errorf("the journal has version %d", e.PolicyVersion)
+		t.Errorf("the journal has version %d, want 3", e.PolicyVersion)
 	}
 	relay.answer(Outcome{})
 	relay.turnAfter(2 * time.Second)
 	if verdict, _ := relay.verdict("c", 0, 7); verdict != Busy {
-		t.Errorf("after its lease: %v", verdict)
+		t.Errorf("after the lease: %v", verdict)
 	}
 	relay.govern(capture.Mandate{Version: 3, Closed: true}, time.Second)
 	if verdict, _ := relay.verdict("d", 0, 7); verdict != Busy {
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestMandate_Halted_AttemptsWaitAndUnwrittenAreRecalled: what the module decides while the relay is halted waits, and begins once it may
-// act; what has written nothing yet is called back.
+// TestMandate_Halted_AttemptsWaitAndUnwrittenAreRecalled: a halt recalls attempts that have written nothing. Attempts that the module
+// decides on during the halt start after it.
 func TestMandate_Halted_AttemptsWaitAndUnwrittenAreRecalled(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	relay.govern(capture.Mandate{Version: 1, Stamp: true}, 5*time.Second)
@@ -103,24 +103,24 @@
 	first := <-relay.front.attempts // connecting, nothing is written
 	stopped := relay.govern(capture.Mandate{Version: 1, Stamp: true, Halted: 2}, 5*time.Second)
 	if !*stopped {
-		t.Error("it does not say that it has stopped")
+		t.Error("Govern's callback was not called after the relay was halted")
 	}
 	if first.MayWriteAt(relay.now) {
-		t.Error("a call that had written nothing goes out after the relay has stopped")
+		t.Error("a call that had written nothing may be written after the relay was halted")
 	}
-	relay.answer(Outcome{Result: control.NotProcessed}) // the module sends it again at once
+	relay.answer(Outcome{Result: control.NotProcessed}) // the module sends the message again at once
 	relay.turnAfter(20 * time.Millisecond)
 	relay.turnAfter(20 * time.Millisecond)
 	relay.wantNoCall("halted")
 	relay.govern(capture.Mandate{Version: 2, Stamp: true}, 5*time.Second)
 	next := <-relay.front.attempts
 	if next.PolicyVersion != 2 || next.Items[0].ID != "a" || !next.MayWriteAt(relay.now) {
-		t.Errorf("it goes on with %+v", next)
+		t.Errorf("after the halt the call is %+v, want message a under version 2", next)
 	}
 }
 
-// TestSubmit_WhileHalted_WaitsForNewPolicy: a message that is submitted right before the relay halts for a change waits for that, and is accepted
-// under the new version; one that comes later too.
+// TestSubmit_WhileHalted_WaitsForNewPolicy: messages that are submitted right before or during a halt for a change of policy wait for its
+// end, and are accepted under the new version.
 func TestSubmit_WhileHalted_WaitsForNewPolicy(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	relay.govern(capture.Mandate{Version: 1}, time.Hour)
@@ -130,7 +130,7 @@
 			Body: []byte("b")})
 	}
 	go hand("a")
-	first := <-relay.core.queue // it has passed the check, and its turn comes when the relay is halted
+	first := <-relay.core.queue // message a has passed Submit's check; its turn is taken when the relay is halted
 	relay.core.Govern(Mandate{capture.Mandate{Version: 1, Halted: 2}, relay.now.Add(time.Hour)}, nil)
 	relay.turnAfter(time.Millisecond, <-relay.core.queue, first)
 	go hand("b")
@@ -141,18 +141,18 @@
 			relay.turnAfter(time.Millisecond, ev)
 		case v := <-got:
 			if answers++; v.Verdict != Accepted {
-				t.Errorf("it is answered %v", v.Verdict)
+				t.Errorf("a message is answered %v, want Accepted", v.Verdict)
 			}
 		}
 	}
 	for _, id := range []string{"a", "b"} {
 		if m := relay.core.messagesByID["platform "+id]; m == nil || m.entry.PolicyVersion != 2 {
-			t.Errorf("%s is not taken on under version 2: %+v", id, m)
+			t.Errorf("%s is not accepted under version 2: %+v", id, m)
 		}
 	}
 }
 
-// TestLease_AttemptWaitsPastTimeout_NeverBegan: what waits past its time-out never began.
+// TestLease_AttemptWaitsPastTimeout_NeverBegan: an attempt that waits for a lease past its time-out ends as never started.
 func TestLease_AttemptWaitsPastTimeout_NeverBegan(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	relay.govern(capture.Mandate{Version: 1}, 50*time.Millisecond)
@@ -168,10 +168,10 @@
 	_ = first
 	m := relay.core.messagesByID["platform a"]
 	if m == nil || !m.entry.NoticePending || !m.entry.Notice.HandedBack && m.entry.MayHaveRun {
-		t.Fatalf("a message that can't be sent has no end: %+v", m)
+		t.Fatalf("a message that can't be sent has not ended: %+v", m)
 	}
 	if m.entry.MayHaveRun {
-		t.Error("a call that never began may have run")
+		t.Error("MayHaveRun is set though the call never started")
 	}
 }
 
@@ -187,8 +187,8 @@
 	return func() {}
 }
 
-// TestMandate_AttemptsAllowed_NarrowerCountsAcrossRestart: of the numbers of attempts allowed when a message was accepted and now,
-// the smaller counts, and outlasts a restart.
+// TestMandate_AttemptsAllowed_NarrowerCountsAcrossRestart: a message may have the smaller of the numbers of attempts permitted when it was
+// accepted and now, also after a restart.
 func TestMandate_AttemptsAllowed_NarrowerCountsAcrossRestart(t *testing.T) {
 	for _, test := range []struct{ accepted, afterRestart, want int }{{1, 0, 1}, {0, 1, 1}, {2, 1, 1}, {1, 2, 1}} {
 		dir := t.TempDir()
@@ -196,8 +196,8 @@
 		relay.govern(capture.Mandate{Version: 1, Attempts: []int{0, test.accepted}}, time.Hour)
 		a, _ := relay.arrival("a", 1, 8, 20*time.Second)
 		relay.turnAfter(5*time.Millisecond, a)
-		if !(<-relay.front.attempts).MayWrite() { // its bytes are out when the process ends
-			t.Fatal("the first attempt may not begin")
+		if !(<-relay.front.attempts).MayWrite() { // the call is being written when the process ends
+			t.Fatal("MayWrite of the first attempt is false")
 		}
 		shell := &failingShell{}
 		relay = newHarness(t, dir, relay.now.Add(time.Second), func(core *Core) {
@@ -208,17 +208,17 @@
 		for range 400 {
 			relay.turnAfter(20*time.Millisecond, relay.core.drainQueue(nil)...)
 		}
-		if calls := 1 + shell.calls; calls != test.want { // one was out when the process ended
-			t.Errorf("accepted with %d, after the restart %d: %d calls, want %d", test.accepted, test.afterRestart, calls, test.want)
+		if calls := 1 + shell.calls; calls != test.want { // one was in flight when the process ended
+			t.Errorf("accepted with %d attempts, after the restart %d: %d calls, want %d", test.accepted, test.afterRestart, calls, test.want)
 		}
 	}
 }
 
-// TestLease_PartnerLimitedByHand_WaitingAttemptsArePaced: what was decided, while the relay had no lease, for a partner that an operator
-// has limited is not sent all at once when it has one again.
+// TestLease_PartnerLimitedByHand_WaitingAttemptsArePaced: attempts that were decided on while the relay had no lease, to a partner whose
+// rate an operator has limited, do not start all at once under the next lease.
 func TestLease_PartnerLimitedByHand_WaitingAttemptsArePaced(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
-	rateLimits := []capture.PartnerRateLimit{{Partner: 8, Limit: 4}} // a call in 250 ms: the settings name one relay
+	rateLimits := []capture.PartnerRateLimit{{Partner: 8, Limit: 4}} // one call per 250 ms, since the settings have one relay
 	relay.govern(capture.Mandate{Version: 1, Most: rateLimits}, 200*time.Millisecond)
 	calls, items := 0, 0
 	drain := func() {
@@ -227,14 +227,14 @@
 			return make([]Outcome, len(attempt.Items))
 		})
 	}
-	for i := range 4 { // the settings let it hold three beside one that is out
+	for i := range 4 { // the settings permit four pending messages; the first is in flight
 		a, _ := relay.arrival(string(rune('a'+i)), 1, 8, 15*time.Second)
 		relay.turnAfter(time.Millisecond, a)
 		if i == 0 {
 			drain()
 		}
 	}
-	for range 100 { // the lease is over, and the module goes on deciding
+	for range 100 { // the lease ends, and the module continues to decide
 		relay.turnAfter(20 * time.Millisecond)
 	}
 	drain()
@@ -243,19 +243,19 @@
 	relay.turnAfter(time.Millisecond)
 	drain()
 	if burst := calls - before; burst > 1 {
-		t.Errorf("%d calls at once when it has a lease again", burst)
+		t.Errorf("%d calls at once under the new lease, want at most 1", burst)
 	}
 	for range 300 {
 		relay.turnAfter(20 * time.Millisecond)
 		drain()
 	}
 	if items != 4 {
-		t.Errorf("%d of 4 messages went out", items)
+		t.Errorf("%d messages were sent, want 4", items)
 	}
 }
 
-// TestQuota_Halted_ModuleDecidesNoBurst: given a partner whose limit relays share, when the relay is halted for a while and rests meanwhile, then it
-// has no more to send at once than a relay that goes on, and all that it has accepted is sent afterwards.
+// TestQuota_Halted_ModuleDecidesNoBurst: a relay that was halted, and was granted WithoutLease meanwhile, to a partner whose limit relays
+// share, does not send a burst after the halt, and still sends every message that it has accepted.
 func TestQuota_Halted_ModuleDecidesNoBurst(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	endpoint := relay.core.fronts["platform"].listed["s-2"]
@@ -275,7 +275,7 @@
 	relay.govern(capture.Mandate{Version: 1}, time.Hour)
 	grant(limits)
 	taken := 0
-	for i := range 4 { // the settings let it hold three beside one that is out
+	for i := range 4 { // the settings permit four pending messages; the first is in flight
 		if v, _ := relay.verdict(string(rune('a'+i)), 1, 8); v == Accepted {
 			taken++
 		}
@@ -286,7 +286,7 @@
 	drain()
 	sent := out
 	if sent == 0 || sent > 2 {
-		t.Fatalf("%d calls before it is halted, want one or two", sent)
+		t.Fatalf("%d calls before the halt, want one or two", sent)
 	}
 	relay.govern(capture.Mandate{Version: 1, Halted: 2}, time.Hour)
 	grant(WithoutLease(limits))
@@ -294,20 +294,20 @@
 		relay.turnAfter(20 * time.Millisecond)
 	}
 	if n := len(relay.core.awaitingLease); n > 1 {
-		t.Errorf("%d calls wait for the end of the halt", n)
+		t.Errorf("%d calls wait for the end of the halt, want at most 1", n)
 	}
 	grant(limits)
 	relay.govern(capture.Mandate{Version: 2}, time.Hour)
 	relay.turnAfter(time.Millisecond)
 	drain()
 	if burst := out - sent; burst > 1 {
-		t.Errorf("%d calls at once when it goes on", burst)
+		t.Errorf("%d calls at once after the halt, want at most 1", burst)
 	}
 	for range 60 {
 		relay.turnAfter(20 * time.Millisecond)
 		drain()
 	}
 	if out != taken || taken < sent+2 {
-		t.Errorf("%d of %d messages went out", out, taken)
+		t.Errorf("%d messages were sent, want all %d accepted, and at least two after the halt", out, taken)
 	}
 }
--- a/internal/relay/engine/harness_test.go
+++ b/internal/relay/engine/harness_test.go
@@ -13,7 +13,7 @@
 )
 
 // settings are the configuration of a test's relay: two classes, one that is deduplicated by key and one that is safe to repeat, and
-// two kinds of destinations, which take 3 messages and 1 a call.
+// two kinds of destinations, which accept 3 messages per call and 1.
 const settings = `{"state": "-", "listen": "-", "settings": {
   "allowed": {"cancel": true, "max_attempts": 3, "max_open": 4, "max_retry_after": 3000000, "retry_after": true},
   "family_info": {"kind_apart": [true, true], "per_call": [3, 1], "workers": 8}, "peers_total": 1, "round": 5000,
@@ -22,15 +22,15 @@
     {"name": "score-state", "effect": "pure", "aim": 2000000, "deadline": 24000000, "worth": 3}],
   "localities": ["a"], "machine_types": ["news-groups", "club-sites"], "registry_mode": "subscribe"}}`
 
-// fakeFront is a wire whose responses the test gives.
+// fakeFront is a front whose responses the test supplies.
 type fakeFront struct {
-	attempts           chan *Attempt  // those that were called
-	answers            chan []Outcome // of the calls, in the order in which they arrive
-	notices            chan []Notice  // those that were sent
-	accepts            chan bool      // whether the notices of the next call are accepted
+	attempts           chan *Attempt  // the calls made
+	answers            chan []Outcome // answers to the calls, in the order of the calls
+	notices            chan []Notice  // the notices sent
+	accepts            chan bool      // whether the notices of the next Notify call are accepted
 	notifiesDeliveries bool
 	watches            chan int64               // the list index after which each watch was started
-	respond            func(*Attempt) []Outcome // used in place of answers, if it is set
+	respond            func(*Attempt) []Outcome // used in place of answers, unless nil
 }
 
 func (f *fakeFront) Call(_ context.Context, attempt *Attempt) []Outcome {
@@ -56,7 +56,7 @@
 
 func (f *fakeFront) NotifiesDeliveries() bool { return f.notifiesDeliveries }
 
-// harness is a core whose turns and clock the test drives. It has no goroutine of its own but those of its calls.
+// harness is a core whose turns and clock the test drives. Only its calls run on goroutines of their own.
 type harness struct {
 	t     *testing.T
 	core  *Core
@@ -91,20 +91,20 @@
 	return r
 }
 
-// arrival returns the arrival of a message whose deadline is so far away, and the channel of its reply.
+// arrival returns the arrival of a message whose deadline is left from now, and the channel of its reply.
 func (r *harness) arrival(id string, class, partner int, left time.Duration) (arrival, chan Reply) {
 	reply := make(chan Reply, 1)
 	return arrival{front: "platform", msg: Message{ID: id, Key: "k", Class: class, Partner: partner, Deadline: r.now.Add(left),
 		Body: []byte("body")}, submittedAt: r.now, reply: reply}, reply
 }
 
-// turnAfter lets d pass and takes the turn.
+// turnAfter advances the clock by d and takes a turn.
 func (r *harness) turnAfter(d time.Duration, events ...event) {
 	r.now = r.now.Add(d)
 	r.core.Turn(r.now, events)
 }
 
-// answer gives the call in flight its outcomes and takes the turn that learns of them.
+// answer answers the call in flight and takes the turn that processes its outcomes.
 func (r *harness) answer(outs ...Outcome) {
 	r.front.answers <- outs
 	r.turnAfter(5*time.Millisecond, <-r.core.queue)
--- a/internal/relay/engine/housekeeping.go
+++ b/internal/relay/engine/housekeeping.go
@@ -5,7 +5,8 @@
 // housekeepingInterval is the minimum time between two runs of housekeep.
 const housekeepingInterval = time.Second
 
-// housekeep closes idle connections that have grown old and forgets destinations that have long left the list, once a second at most.
+// housekeep closes connections that have been idle for too long and forgets destinations that left the list long ago, at most once per
+// housekeepingInterval.
 func (c *Core) housekeep(now time.Time) {
 	if now.Sub(c.lastHousekeeping) <= housekeepingInterval {
 		return
@@ -17,8 +18,8 @@
 	c.forgetRemoved(now)
 }
 
-// forgetRemoved drops the destinations that left the list so long ago that no message can still be in flight there. The order in which it
-// walks the maps does not matter.
+// forgetRemoved drops the destinations that left the list so long ago that no message can still be in flight to them. The iteration order
+// does not matter.
 func (c *Core) forgetRemoved(now time.Time) {
 	for number, d := range c.destinations {
 		if !d.removedAt.IsZero() && now.Sub(d.removedAt) > c.forgetAfter {
@@ -28,7 +29,7 @@
 			}
 		}
 	}
-	for name, number := range c.destinationNumbers { // some are only in the journal
+	for name, number := range c.destinationNumbers { // also drops numbers of destinations known only from the journal
 		if c.destinations[number] == nil {
 			delete(c.destinationNumbers, name)
 		}
--- a/internal/relay/engine/inspector_test.go
+++ b/internal/relay/engine/inspector_test.go
@@ -9,7 +9,7 @@
 	"mastusher/control"
 )
 
-// inspector does what the test says.
+// inspector is an Inspector whose behaviour the test sets.
 type inspector struct {
 	arrive   func(m *Message) Ruling
 	sample   int
@@ -23,7 +23,7 @@
 func (i *inspector) OnEnd(_ string, e End)                         { i.ends = append(i.ends, e) }
 
 // TestInspector_MessageResubmitted_FirstRulingStands: a pending message stays as it was first accepted, whatever the ruling on a duplicate;
-// one that was rejected may be submitted again.
+// a rejected message may be submitted again.
 func TestInspector_MessageResubmitted_FirstRulingStands(t *testing.T) {
 	no, busy := Ruling{Verdict: Rejected, Status: 451, Reason: "no"}, Ruling{Verdict: Busy}
 	for name, test := range map[string]struct {
@@ -31,11 +31,11 @@
 		want    []Verdict
 		pending int
 	}{
-		"taken, then rejected":     {[]Ruling{{}, no}, []Verdict{Accepted, Accepted}, 1},
-		"taken, then out of order": {[]Ruling{{}, busy}, []Verdict{Accepted, Accepted}, 1},
-		"rejected, then taken":     {[]Ruling{no, {}}, []Verdict{Rejected, Accepted}, 1},
-		"rejected":                 {[]Ruling{no, no}, []Verdict{Rejected, Rejected}, 0},
-		"busy":                     {[]Ruling{busy}, []Verdict{Busy}, 0},
+		"accepted, then rejected": {[]Ruling{{}, no}, []Verdict{Accepted, Accepted}, 1},
+		"accepted, then busy":     {[]Ruling{{}, busy}, []Verdict{Accepted, Accepted}, 1},
+		"rejected, then accepted": {[]Ruling{no, {}}, []Verdict{Rejected, Accepted}, 1},
+		"rejected":                {[]Ruling{no, no}, []Verdict{Rejected, Rejected}, 0},
+		"busy":                    {[]Ruling{busy}, []Verdict{Busy}, 0},
 	} {
 		for _, apart := range []time.Duration{0, 5 * time.Millisecond} { // in one turn, and in two
 			t.Run(name, func(t *testing.T) {
@@ -64,7 +64,7 @@
 				}
 				if test.pending > 0 && test.rulings[0].Verdict == Accepted {
 					if d := cmp.Diff([]string{"X-Turn", "0"}, (<-relay.front.attempts).Items[0].Headers); d != "" {
-						t.Errorf("it is not sent as it was shaped first: %s", d)
+						t.Errorf("headers of the sent message are not those of the first submission: %s", d)
 					}
 				}
 			})
@@ -72,7 +72,8 @@
 	}
 }
 
-// TestInspector_ShapedMessage_OutlastsKill: the form in which a message is sent is in the journal: after a kill no inspector is asked again.
+// TestInspector_ShapedMessage_OutlastsKill: the journal has a message as the inspector has changed it; after a kill the inspector is not
+// called again.
 func TestInspector_ShapedMessage_OutlastsKill(t *testing.T) {
 	dir := t.TempDir()
 	relay := newHarness(t, dir, time.Now())
@@ -81,17 +82,18 @@
 	relay.turnAfter(0, a)
 	first := (<-relay.front.attempts).Items[0]
 	restarted := newHarness(t, dir, relay.now.Add(time.Second))
-	restarted.core.SetInspector(&inspector{arrive: func(*Message) Ruling { t.Error("asked a second time"); return Ruling{} }, sample: -1})
+	restarted.core.SetInspector(&inspector{arrive: func(*Message) Ruling { t.Error("called after the restart"); return Ruling{} }, sample: -1})
 	second := (<-restarted.front.attempts).Items[0]
 	if d := cmp.Diff([]any{first.Headers, string(first.Body), first.Key}, []any{second.Headers, string(second.Body), second.Key}); d != "" {
 		t.Errorf("(-before +after the restart)\n%s", d)
 	}
 	if len(first.Headers) != 4 {
-		t.Errorf("sent with %q", first.Headers)
+		t.Errorf("sent with headers %q, want both of the inspector's", first.Headers)
 	}
 }
 
-// TestInspector_Answer_SeenBeforeModule: the module gets an answer as the inspector has changed it, and an end is reported once.
+// TestInspector_Answer_SeenBeforeModule: the module gets outcomes as the inspector has changed them, and the end of a message is reported
+// once.
 func TestInspector_Answer_SeenBeforeModule(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	i := &inspector{sample: 5, answered: func(s *Attempt, outs []Outcome) {
--- a/internal/relay/engine/lease.go
+++ b/internal/relay/engine/lease.go
@@ -7,14 +7,14 @@
 	"mastusher/control"
 )
 
-// awaitLease has an attempt wait until the relay may act, for its time-out at most.
+// awaitLease queues an attempt until the relay may act, for its time-out at most.
 func (c *Core) awaitLease(attempt *Attempt) {
 	attempt.cancel = func() { attempt.progress.CompareAndSwap(attemptPending, attemptRecalled) }
 	c.awaitingLease = append(c.awaitingLease, attempt)
 }
 
-// takeStartable returns the attempts that have waited for a lease and may start now; those that were recalled or have timed out end as not
-// started.
+// takeStartable removes and returns the attempts in awaitingLease that may start now. Those that were recalled, have timed out or are no
+// longer permitted are ended.
 func (c *Core) takeStartable(now time.Time) (startable []*Attempt) {
 	if len(c.awaitingLease) == 0 {
 		return nil
@@ -38,12 +38,12 @@
 	return startable
 }
 
-// paceAwaiting sets from when on each waiting attempt may start, at the rate of partners that an operator has limited: the module has decided
-// them at that rate, and all at once they would exceed it.
+// paceAwaiting sets the earliest start of each waiting attempt to a partner whose rate an operator has limited. The module scheduled the
+// attempts at that rate; started all at once they would exceed it.
 func (c *Core) paceAwaiting(now time.Time, mayAct bool) {
 	next := map[int]time.Time{}
 	for _, attempt := range c.awaitingLease {
-		limit := c.governor.RateLimitTo(attempt.To.Partner)
+		limit := c.mandate.RateLimitTo(attempt.To.Partner)
 		switch {
 		case !mayAct || limit == 0:
 			attempt.startAfter = time.Time{}
@@ -58,7 +58,7 @@
 	}
 }
 
-// recheck reports whether an attempt that has waited may start under the policy that is in force now; if not, it ends it.
+// recheck reports whether an attempt that has waited may start under the current policy; if not, it ends the attempt.
 func (c *Core) recheck(attempt *Attempt, now time.Time) bool {
 	outcomes := notProcessed(attempt)
 	ok := !c.isShut(attempt.To.Partner)
@@ -82,7 +82,7 @@
 	attemptEnded{attempt, notProcessed(attempt)}.apply(c, now)
 }
 
-// notProcessed are the outcomes of an attempt of which nothing was written.
+// notProcessed returns the outcomes of an attempt of which nothing was written.
 func notProcessed(attempt *Attempt) []Outcome {
 	return slices.Repeat([]Outcome{{Result: control.NotProcessed}}, len(attempt.Items))
 }
--- a/internal/relay/engine/message.go
+++ b/internal/relay/engine/message.go
@@ -9,30 +9,30 @@
 	"mastusher/internal/relay/journal"
 )
 
-// Message is what a front submits. The core copies Body: it belongs to the caller again once Submit returns.
+// Message is a message that a front submits. The core copies Body: the caller may reuse it once Submit returns.
 type Message struct {
-	ID           string // unique in its front; a second message under it is a duplicate while the first is pending or has just ended
-	Key          string // by which the partner recognizes a repeat
+	ID           string // unique in its front; while a message is pending or has ended recently, another with its id is a duplicate
+	Key          string // by which the partner recognizes a retry
 	Class        int    // index into the settings' classes
-	Partner      int    // number of the partner system that it is for
-	Tenant       int    // index into the settings' tenants; below 0: it belongs to none
+	Partner      int    // number of the partner system that receives it
+	Tenant       int    // index into the settings' tenants; below 0 if it belongs to none
 	Deadline     time.Time
 	Resubmitted  bool // the client has submitted it before
 	Body         []byte
-	Header       textproto.MIMEHeader // the client's; only for an inspector
-	ExtraHeaders []string             // headers to go out with it, names and values alternating: an inspector sets them
-	MayHaveRunAt time.Time            // when an attempt began that may have run, before the message was handed back; zero: none
+	Header       textproto.MIMEHeader // of the client's request; only for an inspector
+	ExtraHeaders []string             // headers to send with it, names and values alternating; set by an inspector
+	MayHaveRunAt time.Time            // start of an attempt before a hand-back that may have run; zero if none
 }
 
-// Verdict is the immediate answer to a submitted message.
+// Verdict is the kind of answer to a submitted message.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Accepted Verdict = iota // the message is in the journal: it comes to exactly one end, whatever happens to the process
-	Busy                    // refused: it may be submitted again, after RetryAfter
+	Accepted Verdict = iota // the message is in the journal, and has exactly one end even if the process is killed
+	Busy                    // refused; the message may be submitted again after RetryAfter
 	Failed                  // given up for good
-	Rejected                // by an inspector; see Reason
+	Rejected                // rejected by an inspector; see Reason
 )
 
 // Reply is the answer to a submitted message.
@@ -42,36 +42,36 @@
 	Status     int           // with Rejected; see Ruling.Status
 	Reason     string        // with Rejected
 
-	ref    uint64 // of the message that was accepted with this answer; 0: with an earlier one
-	halted bool   // refused only because a change of policy is about to take hold
+	ref    uint64 // number of the message that this submission has added; 0 if it added none
+	halted bool   // refused only because the relay is halted for a change of policy
 }
 
-// Notice is for a front's client: how a message that was accepted has ended.
+// Notice tells a front's client how an accepted message has ended.
 type Notice struct {
 	ID           string
-	Delivered    bool          // only where Front.NotifiesDeliveries
-	HandedBack   bool          // it may be submitted again, after RetryAfter; if neither Delivered nor HandedBack it was given up
+	Delivered    bool          // only if Front.NotifiesDeliveries
+	HandedBack   bool          // it may be submitted again after RetryAfter; if neither Delivered nor HandedBack is set, it was given up
 	RetryAfter   time.Duration // with HandedBack
 	Class        int
 	Deadline     time.Time
 	Body         []byte
-	MayHaveRunAt time.Time // when the first attempt began that may have run; zero: none
+	MayHaveRunAt time.Time // start of the first attempt that may have run; zero if none
 
 	ref uint64
 }
 
-// message is one that the relay has accepted and that has not ended, or whose notice is outstanding.
+// message is a message that is being decided on, is pending, or has ended and has an outstanding notice.
 type message struct {
-	ref        uint64 // its number in this process; never given to another
-	submission uint64 // its number among those submitted; 0: it was there at the start
+	ref        uint64 // its number in this process; never reused
+	submission uint64 // its number among the submissions; 0 if it was resumed from the journal
 	front      *frontState
-	entry      *journal.Entry // owned by the core and the journal together; see Journal
-	reply      chan Reply     // nil once it is answered
-	refusal    *Reply         // the answer, if the module ended it in the turn of its arrival
-	attempt    *Attempt       // in flight, or waiting for a lease; nil: none
+	entry      *journal.Entry // shared by the core and the journal; see Journal
+	reply      chan Reply     // nil once the submission is answered
+	refusal    *Reply         // the answer, if the message is not accepted
+	attempt    *Attempt       // in flight or waiting for a lease; nil if none
 }
 
-// notice is the notice of a message that has ended.
+// notice returns the notice of a message that has ended.
 func (m *message) notice() Notice {
 	n := Notice{ID: m.entry.ID, Delivered: m.entry.Notice.Delivered, HandedBack: m.entry.Notice.HandedBack, RetryAfter: m.entry.Notice.RetryAfter,
 		Class: m.entry.Class, Deadline: m.entry.Deadline, Body: m.entry.Body, ref: m.ref}
@@ -81,7 +81,7 @@
 	return n
 }
 
-// add makes a message known under a number of its own and its front and id.
+// add registers a message under a new number, and under its front and id.
 func (c *Core) add(f *frontState, e *journal.Entry) *message {
 	c.lastRef++
 	m := &message{ref: c.lastRef, front: f, entry: e}
@@ -92,7 +92,7 @@
 	return m
 }
 
-// drop forgets a message. Another may have come under its id meanwhile: that one stays.
+// drop forgets a message. If its id meanwhile belongs to another message, that one stays.
 func (c *Core) drop(m *message) {
 	delete(c.messages, m.ref)
 	if k := m.front.name + " " + m.entry.ID; c.messagesByID[k] == m {
@@ -100,13 +100,13 @@
 	}
 }
 
-// arrival is a message as the module's event.
-func (c *Core) arrival(m *message) control.Event {
+// arrivedEvent returns the module's Arrived event for a message.
+func (c *Core) arrivedEvent(m *message) control.Event {
 	ev := control.Event{Kind: control.Arrived, ID: m.ref, Destination: m.front.number<<20 + m.entry.Destination,
-		Class: m.entry.Class, Tenant: m.entry.Tenant, Deadline: c.clock(m.entry.Deadline), Resubmitted: m.entry.Resubmitted,
+		Class: m.entry.Class, Tenant: m.entry.Tenant, Deadline: c.moduleTime(m.entry.Deadline), Resubmitted: m.entry.Resubmitted,
 		Attempt: m.entry.Attempts, MayHaveRun: m.entry.MayHaveRun}
 	if ev.MayHaveRun {
-		ev.RanAt, ev.Endpoint = c.clock(m.entry.MayHaveRunAt), c.destinationNumber(m.front, m.entry.MayHaveRunOn)
+		ev.RanAt, ev.Endpoint = c.moduleTime(m.entry.MayHaveRunAt), c.destinationNumber(m.front, m.entry.MayHaveRunOn)
 	}
 	return ev
 }
@@ -118,9 +118,9 @@
 	c.notifyEnd(m, result)
 }
 
-// end gives a message the one end that the module has decided: a refusal hands it back, a failure gives it up.
+// end ends a message as the module has decided: a refusal hands it back, a failure gives it up.
 func (c *Core) end(m *message, a control.Action) {
-	if m.reply != nil { // in the turn of its arrival: it gets a plain answer, and is not accepted
+	if m.reply != nil { // in the turn of its arrival: the submission is refused, and no notice is needed
 		if m.refusal = (&Reply{Verdict: Failed}); a.Kind == control.Refuse {
 			m.refusal = &Reply{Verdict: Busy, RetryAfter: a.For}
 		}
--- a/internal/relay/engine/notices.go
+++ b/internal/relay/engine/notices.go
@@ -7,15 +7,15 @@
 	"mastusher/internal/relay/journal"
 )
 
-// addOutstanding adds the notice of a message that has ended to those to be sent.
+// addOutstanding queues the notice of a message that has ended.
 func (c *Core) addOutstanding(m *message, n journal.Notice) {
 	c.outstanding++
 	m.entry.NoticePending, m.entry.Notice = true, n
 	m.front.outstanding = append(m.front.outstanding, m.notice())
 }
 
-// notify sends outstanding notices, Limits.NoticesPerCall at most in a call, one call a front at a time.
-func (c *Core) notify(now time.Time) {
+// sendNotices sends outstanding notices: at most one call per front at a time, with at most Limits.NoticesPerCall notices.
+func (c *Core) sendNotices(now time.Time) {
 	for _, f := range c.frontsInOrder {
 		if f.cancelNotify != nil || len(f.outstanding) == 0 || now.Before(f.retryAt) {
 			continue
@@ -25,24 +25,24 @@
 		f.outstanding = slices.Delete(f.outstanding, 0, n)
 		f.sending = batch
 		c.recordNotices(f)
-		f.cancelNotify = c.shell.Notify(f.Front, batch, now.Add(c.limits.NoticeTimeout), func(accepted []bool) { c.queue <- notified{f, accepted} })
+		f.cancelNotify = c.shell.Notify(f.Front, batch, now.Add(c.limits.NoticeTimeout), func(accepted []bool) { c.queue <- notifyCallEnded{f, accepted} })
 	}
 }
 
-// notified is the end of a call with notices: whether each of those sent was accepted.
-type notified struct {
+// notifyCallEnded is the event that a Notify call has ended, with whether each of its notices was accepted.
+type notifyCallEnded struct {
 	front    *frontState
 	accepted []bool
 }
 
-func (n notified) apply(core *Core, now time.Time) {
+func (n notifyCallEnded) apply(core *Core, now time.Time) {
 	f := n.front
 	sent, moved := f.sending, f.movedMeanwhile
 	f.cancelNotify()
 	f.cancelNotify, f.sending, f.movedMeanwhile = nil, nil, false
-	if moved || !slices.Contains(n.accepted, false) { // moved: the next call goes elsewhere, and at once
+	if moved || !slices.Contains(n.accepted, false) { // after a move of discovery the next call goes to another address, and need not wait
 		f.backoff = 0
-	} else { // twice as long each time in a row
+	} else { // doubles with each failure in a row
 		f.backoff = min(max(2*f.backoff, core.limits.NoticeRetry), core.limits.NoticeRetryMax)
 		f.retryAt = now.Add(f.backoff)
 	}
@@ -59,7 +59,7 @@
 	}
 }
 
-// notifyEnd counts a message's end and notifies the inspector once the turn is journalled.
+// notifyEnd counts the end of a message, and notifies the inspector once the turn has been journalled.
 func (c *Core) notifyEnd(m *message, result string) {
 	c.count(m.entry.Class, m.entry.Tenant, m.entry.Destination, result)
 	if c.inspector != nil {
--- a/internal/relay/engine/quota.go
+++ b/internal/relay/engine/quota.go
@@ -8,27 +8,27 @@
 	"mastusher/control"
 )
 
-// Observation is what the module has seen and needs of a destination or a tenant.
+// Observation is the module's observed limits and demand of a destination or a tenant.
 type Observation struct {
 	control.Observation
-	Name string // the same at all relays: a tenant's, or front and destination, or front and "#" with the partner's number
+	Name string // the same at all relays: of the tenant, of front and destination, or of front and partner as "FRONT #NUMBER"
 }
 
-// Observe has report called, in the next turn, with what the module has seen and needs, and with what the core has counted. The core's
-// goroutine calls it: it must not block, and must not keep or change the counts, which are the core's own. Counting starts with the first
-// call of Observe. It may be called from any goroutine.
+// Observe requests a call of report in the next turn, with the module's observations and the core's counters. The core's goroutine calls
+// report: it must not block, and must neither keep nor change the counters, which belong to the core. Counting starts with the first call
+// of Observe, which may be called from any goroutine.
 func (c *Core) Observe(report func(observations []Observation, counts map[string]uint64)) {
 	c.queue <- observe{report}
 }
 
-// observe is a request for what the module has seen.
+// observe is the event that requests a report; see Observe.
 type observe struct {
 	report func([]Observation, map[string]uint64)
 }
 
 func (o observe) apply(core *Core, now time.Time) {
 	var all []Observation
-	for _, s := range core.policy.Observations(core.clock(now), nil) {
+	for _, s := range core.policy.Observations(core.moduleTime(now), nil) {
 		switch d := core.destinations[s.Endpoint]; {
 		case s.Endpoint == 0:
 			if s.Tenant < len(core.settings.TenantNames) {
@@ -37,7 +37,7 @@
 		case d == nil: // it has left the list
 		case s.SeparateRoute:
 			all = append(all, Observation{s, d.front.name + " " + d.Name})
-		default: // a partner has one limit, whichever endpoint is called
+		default: // one limit for all endpoints of the partner
 			all = append(all, Observation{s, d.front.name + " #" + strconv.Itoa(d.Partner)})
 		}
 	}
@@ -47,40 +47,40 @@
 	o.report(all, core.counters)
 }
 
-// GrantQuota has the module spend from the next turn on what the fleet has leased to this relay, until the lease ends. done, unless nil, is
-// called by the core's goroutine after that turn and must not block. The LeaseExpiry of limits is ignored: until takes its place.
+// GrantQuota sets, from the next turn on, what the fleet has leased to this relay of the limits that relays share; the lease ends at until,
+// which replaces limits.LeaseExpiry. done, unless nil, is called by the core's goroutine after that turn and must not block.
 func (c *Core) GrantQuota(limits control.SharedLimits, until time.Time, done func()) {
 	c.queue <- quotaGranted{limits, until, done}
 }
 
-// quotaGranted is what the fleet leases to this relay.
+// quotaGranted is the event that the fleet has leased a share of its limits to this relay.
 type quotaGranted struct {
 	control.SharedLimits
 	until time.Time
 	done  func()
 }
 
-// on returns the grant with its expiry on the module's clock.
-func (g quotaGranted) on(c *Core) *control.SharedLimits {
+// onModuleClock returns the grant with its expiry onModuleClock the module's clock.
+func (g quotaGranted) onModuleClock(c *Core) *control.SharedLimits {
 	limits := g.SharedLimits
-	limits.LeaseExpiry = c.clock(g.until)
+	limits.LeaseExpiry = c.moduleTime(g.until)
 	return &limits
 }
 
 func (g quotaGranted) apply(core *Core, _ time.Time) {
-	core.moduleEvents = append(core.moduleEvents, control.Event{Kind: control.SharedLimitsUpdated, Shared: g.on(core)})
+	core.moduleEvents = append(core.moduleEvents, control.Event{Kind: control.SharedLimitsUpdated, Shared: g.onModuleClock(core)})
 	if g.done != nil {
 		core.notifications = append(core.notifications, g.done)
 	}
 }
 
-// shareWithoutLease is the share of each limit, of 1, that the module may spend while the relay may not act: 0 would mean a limit that nobody
-// knows.
+// shareWithoutLease is the fraction of each limit that the module may use while the relay may not act. It is not 0, which would mean that
+// the limit is unknown.
 const shareWithoutLease = 1e-9
 
-// WithoutLease returns what the module is granted in place of limits while the relay may not act: next to nothing of each limit. What the
-// module decided meanwhile would wait, and be sent all at once when the relay may act again, beyond its share. The evidence of other relays
-// stays in it.
+// WithoutLease returns the limits to grant to the module, in place of limits, while the relay may not act: almost nothing of each.
+// Otherwise the attempts that the module decides on meanwhile would queue up, and start all at once when the relay may act again, beyond
+// its share. Other relays' observations of the limits are kept.
 func WithoutLease(limits control.SharedLimits) control.SharedLimits {
 	limits.GuaranteedShare, limits.KeepsGuaranteed = shareWithoutLease, true
 	limits.Grants = slices.Clone(limits.Grants)
--- a/internal/relay/engine/random_run_test.go
+++ b/internal/relay/engine/random_run_test.go
@@ -16,28 +16,28 @@
 	"mastusher/internal/relay/journal"
 )
 
-// virtualShell is a shell in the test's time: the outcomes of calls are drawn, and reported when they are due.
+// virtualShell is a shell in virtual time: it draws the outcomes of calls at random, and reports them when they are due.
 type virtualShell struct {
-	calm    int // one call in so many fares badly; 0: one in three
-	rng     *rand.Rand
-	now     time.Time
-	timers  []timer
-	changed func(EndpointList) // of the newest watch
-	lost    func(error)
+	failureInterval int // one item in so many may fail, and a third of these do; 0: any item may
+	rng             *rand.Rand
+	now             time.Time
+	timers          []timer
+	changed         func(EndpointList) // callback of the newest watch
+	lost            func(error)
 }
 
-// timer is something that happens at a time.
+// timer is a function to call at a time.
 type timer struct {
 	at time.Time
 	do func()
 }
 
-// in has do happen after d.
+// in calls do after d.
 func (v *virtualShell) in(d time.Duration, do func()) {
 	v.timers = append(v.timers, timer{v.now.Add(d), do})
 }
 
-// runDue does what is due by now, in the order in which it was added.
+// runDue calls the functions that are due, in the order in which they were added.
 func (v *virtualShell) runDue() {
 	timers := v.timers
 	v.timers = nil
@@ -54,7 +54,7 @@
 	outs := make([]Outcome, len(s.Items))
 	took := time.Duration(5+v.rng.IntN(400)) * time.Millisecond
 	for i := range outs {
-		if v.calm > 0 && v.rng.IntN(v.calm) > 0 {
+		if v.failureInterval > 0 && v.rng.IntN(v.failureInterval) > 0 {
 			continue
 		}
 		switch v.rng.IntN(12) {
@@ -101,7 +101,7 @@
 	return func() {}
 }
 
-// randomRun is a core that lives through what a seed draws. The order of the draws counts: the corpus was written by it.
+// randomRun drives a core with random events from a seed. The order of the draws must not change: the recorded corpus depends on it.
 type randomRun struct {
 	core         *Core
 	shell        *virtualShell
@@ -112,7 +112,7 @@
 	listIndex    int64
 }
 
-// newRandomRun returns a core on a journal with a few messages, before its first turn.
+// newRandomRun returns a run whose core's journal has a few messages, before the first turn.
 func newRandomRun(t testing.TB, seed uint64, turns int, quiet *slog.Logger) *randomRun {
 	t.Helper()
 	cfg, err := config.Parse([]byte(settings), func(string) string { return "" })
@@ -128,7 +128,7 @@
 		return nil
 	}}
 	now := time.Date(2026, 12, 1, 15, 0, 0, 0, time.UTC)
-	for i := range rng.IntN(6) { // a restart: some were out, some notices are outstanding
+	for i := range rng.IntN(6) { // as after a restart: some attempts were in flight, some notices are outstanding
 		e := &journal.Entry{ID: fmt.Sprint("old-", i), Front: "platform", Destination: 7 + i%2, Class: i % 2, Deadline: now.Add(6 * time.Second)}
 		memory.Restore(e)
 		switch i % 3 {
@@ -158,7 +158,7 @@
 			Body: make([]byte, rng.IntN(900)), Deadline: now.Add(time.Duration(1+rng.IntN(9)) * time.Second), Resubmitted: rng.IntN(5) == 0}
 		a := arrival{front: "platform", msg: m, submittedAt: now.Add(-time.Duration(rng.IntN(420)) * time.Millisecond), reply: make(chan Reply, 1)}
 		switch rng.IntN(12) {
-		case 0: // a plug-in's
+		case 0: // as a plug-in's ruling
 			a.ruling = Ruling{Rejected, 418, "not here"}
 		case 1:
 			a.msg.ExtraHeaders = []string{"X-Desk", fmt.Sprint(rng.IntN(2))}
@@ -171,7 +171,7 @@
 	}
 }
 
-// disturb withdraws a message, moves discovery, changes the list or loses the watch, now and then.
+// disturb occasionally withdraws a message, moves discovery, changes the list or loses the watch.
 func (run *randomRun) disturb() {
 	rng, v := run.rng, run.shell
 	switch rng.IntN(60) {
@@ -197,7 +197,7 @@
 	}
 }
 
-// govern changes the policy of a relay in a fleet, now and then.
+// govern occasionally changes the mandate of a relay in a fleet.
 func (run *randomRun) govern(turn int) {
 	rng := run.rng
 	if !run.inFleet || turn <= 2 || rng.IntN(8) != 0 {
@@ -216,7 +216,7 @@
 	run.core.Govern(mandate, nil)
 }
 
-// recordRandomRun has a core live through so many turns, recorded from one of them on, and returns the recorder's folder.
+// recordRandomRun runs a core for a number of turns, records it from the given turn on, and returns the capture's folder.
 func recordRandomRun(t testing.TB, seed uint64, turns, from int) (dir string, core *Core) {
 	t.Helper()
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -253,7 +253,7 @@
 	return dir, core
 }
 
-// readCore hands the records of the only capture in dir to do, until that returns an error.
+// readCore calls do with each record of the only capture in dir, until do returns an error.
 func readCore(t testing.TB, dir string, do func(record any) error) error {
 	t.Helper()
 	return openCapture(t, dir).Each(do)
--- a/internal/relay/engine/recording.go
+++ b/internal/relay/engine/recording.go
@@ -11,7 +11,7 @@
 	"mastusher/internal/relay/capture"
 )
 
-// Begin returns the first record of a capture of this core, with the relay's name and the build that runs. It may be called from any
+// Begin returns the first record of a capture of this core; relay is the relay's name, build the running build. It may be called from any
 // goroutine.
 func (c *Core) Begin(relay, build string) capture.Begin {
 	begin := capture.Begin{Relay: relay, At: c.startedAt.UnixMicro(), Clock: clockStart, Seed: c.seed, Build: build, Settings: c.moduleSettings}
@@ -27,29 +27,29 @@
 	return begin
 }
 
-// Record has all turns from the next one on recorded; nil ends that. The former recorder is closed on a goroutine of its own. It may be
-// called from any goroutine; the recorder then belongs to the core.
-func (c *Core) Record(r *capture.Recorder) { c.queue <- recording{r} }
+// Record records all turns from the next one on to r, which then belongs to the core; nil ends the recording. The previous recorder is
+// closed on a goroutine of its own. Record may be called from any goroutine.
+func (c *Core) Record(r *capture.Recorder) { c.queue <- recorderChanged{r} }
 
-// recording is a change of the recorder; nil: to none.
-type recording struct{ recorder *capture.Recorder }
+// recorderChanged is the event that the recorder is replaced; nil ends the recording.
+type recorderChanged struct{ recorder *capture.Recorder }
 
-// apply does nothing: recordBefore switches over before any event of the turn is applied.
-func (recording) apply(*Core, time.Time) {}
+// apply does nothing: recordBefore replaces the recorder before any event of the turn is applied.
+func (recorderChanged) apply(*Core, time.Time) {}
 
-// switchOver replaces the recorder.
-func (r recording) switchOver(c *Core) {
+// replaceRecorder closes the current recorder and sets the new one.
+func (r recorderChanged) replaceRecorder(c *Core) {
 	if c.recorder != nil {
-		go c.recorder.Close() // it writes what it has; nobody waits for that
+		go c.recorder.Close() // it may block while it writes its buffered records
 	}
 	c.recorder = nil
-	if r.recorder != nil { // no interface around a nil pointer
+	if r.recorder != nil { // c.recorder must not be a non-nil interface that holds a nil pointer
 		c.recorder = r.recorder
 	}
 }
 
-// recorder is what a core's turns are recorded on: a capture.Recorder, or a CoreReplay's singleTurn. The core's goroutine alone calls it,
-// and reuses the slices that it passes.
+// recorder records a core's turns: a capture.Recorder, or a CoreReplay's singleTurn. It is called by the core's goroutine only, which
+// reuses the slices that it passes.
 type recorder interface {
 	WantsState() bool
 	State(module *control.Snapshot, core *capture.Core, names []capture.Name, messages []capture.Message)
@@ -63,11 +63,11 @@
 	Close()
 }
 
-// recordBefore begins the record of a turn: with the state, where one is wanted, and then with what has happened.
+// recordBefore begins the record of a turn: with the core's state, if the recorder wants it, and then the turn's events.
 func (c *Core) recordBefore(now time.Time, events []event) {
 	for _, ev := range events {
-		if r, ok := ev.(recording); ok {
-			r.switchOver(c)
+		if r, ok := ev.(recorderChanged); ok {
+			r.replaceRecorder(c)
 		}
 	}
 	if c.recorder == nil {
@@ -76,16 +76,16 @@
 	if c.recorder.WantsState() {
 		c.recordState()
 	}
-	c.turnInput = capture.Input{Now: c.clock(now), Events: c.turnInput.Events[:0], Full: c.turnInput.Full[:0], Actions: c.turnInput.Actions[:0]}
-	c.recordedArrivals = slices.Grow(c.recordedArrivals[:0], len(events)) // it does not move while events point into it
+	c.turnInput = capture.Input{Now: c.moduleTime(now), Events: c.turnInput.Events[:0], Full: c.turnInput.Full[:0], Actions: c.turnInput.Actions[:0]}
+	c.recordedArrivals = slices.Grow(c.recordedArrivals[:0], len(events)) // grown first, since the events point into it
 	for _, ev := range events {
-		if e, ok := c.eventOf(ev, now); ok {
+		if e, ok := c.recordedEvent(ev, now); ok {
 			c.turnInput.Events = append(c.turnInput.Events, e)
 		}
 	}
 }
 
-// recordAfter ends the record of a turn, also of one without events: time alone may have changed something.
+// recordAfter ends the record of a turn. A turn without events is recorded too, since the passing of time may have had an effect.
 func (c *Core) recordAfter(now time.Time) {
 	if c.recorder == nil {
 		return
@@ -94,7 +94,7 @@
 	c.recorder.Tick(now)
 }
 
-// recordState records the state of module and core, and the names of all that is in them.
+// recordState records the state of module and core, with the names of the destinations and messages in it.
 func (c *Core) recordState() {
 	state := c.state()
 	messages := make([]capture.Message, len(state.Messages))
@@ -104,7 +104,7 @@
 	c.recorder.State(c.policy.Snapshot(), state, state.Numbers, messages)
 }
 
-// recordAction adds one action of the core to the turn's checksum; a replay also keeps it in full.
+// recordAction adds one action of the core to the turn's checksum; if keepActions is set, it also keeps the action in full.
 func (c *Core) recordAction(action capture.Action) {
 	if c.recorder == nil {
 		return
@@ -116,7 +116,7 @@
 	}
 }
 
-// recordBegin records that an attempt is handed to the shell.
+// recordBegin records that an attempt is passed to the shell.
 func (c *Core) recordBegin(attempt *Attempt) {
 	if c.recorder == nil {
 		return
@@ -127,15 +127,15 @@
 	}
 	began := capture.Action{Kind: capture.AttemptBegan, Number: attempt.number, Target: attempt.To.number, Refs: c.actionRefs, Wait: attempt.Timeout}
 	if !attempt.WriteBefore.IsZero() {
-		began.WriteBefore = c.clock(attempt.WriteBefore)
+		began.WriteBefore = c.moduleTime(attempt.WriteBefore)
 	}
 	c.recordAction(began)
 }
 
-// recordNotices records that the notices in f.sending are handed to the shell.
+// recordNotices records that the notices in f.sending are passed to the shell.
 func (c *Core) recordNotices(f *frontState) {
 	if c.recorder != nil {
-		c.recordAction(capture.Action{Kind: capture.NoticesSent, Number: uint64(f.number), Refs: refs(f.sending)})
+		c.recordAction(capture.Action{Kind: capture.NoticesSent, Number: uint64(f.number), Refs: noticeRefs(f.sending)})
 	}
 }
 
@@ -144,40 +144,40 @@
 	c.recordAction(capture.Action{Kind: capture.MessageFinished, Number: m.ref})
 }
 
-// refs are the numbers of the messages that notices are of.
-func refs(notices []Notice) (all []uint64) {
+// noticeRefs returns the message numbers of notices.
+func noticeRefs(notices []Notice) (all []uint64) {
 	for i := range notices {
 		all = append(all, notices[i].ref)
 	}
 	return all
 }
 
-// recordNote records a remark for whoever reads the capture; a replay passes over it.
+// recordNote records a note for human readers of the capture; a replay ignores it.
 func (c *Core) recordNote(now time.Time, text string) {
 	if c.recorder != nil {
-		c.recorder.Note(capture.Note{Now: c.clock(now), Text: text})
+		c.recorder.Note(capture.Note{Now: c.moduleTime(now), Text: text})
 	}
 }
 
-// eventOf is an event as a capture has it; false: a replay does not need it. eventFrom is its reverse.
-func (c *Core) eventOf(ev event, now time.Time) (recorded capture.CoreEvent, ok bool) {
+// recordedEvent converts an event for the capture; false if a replay does not need the event. replayedEvent is its reverse.
+func (c *Core) recordedEvent(ev event, now time.Time) (recorded capture.CoreEvent, ok bool) {
 	switch posted := ev.(type) {
 	case arrival:
 		recorded = c.recordedArrival(&posted, now)
 	case withdrawn:
 		recorded = capture.CoreEvent{Kind: capture.Withdrawn, Ref: posted.ref}
-	case moved:
+	case discoveryMoved:
 		recorded = capture.CoreEvent{Kind: capture.Moved, Front: c.frontNumber(posted.front)}
 	case drain:
 		recorded.Kind = capture.DrainStarted
 	case governed:
 		mandate := posted.Mandate.Mandate
 		if mandate.Until = 0; !posted.Mandate.Until.IsZero() {
-			mandate.Until = c.clock(posted.Mandate.Until)
+			mandate.Until = c.moduleTime(posted.Mandate.Until)
 		}
 		recorded = capture.CoreEvent{Kind: capture.Governed, Mandate: &mandate}
 	case quotaGranted:
-		recorded = capture.CoreEvent{Kind: capture.QuotaGranted, Shared: posted.on(c)}
+		recorded = capture.CoreEvent{Kind: capture.QuotaGranted, Shared: posted.onModuleClock(c)}
 	case attemptEnded:
 		recorded = capture.CoreEvent{Kind: capture.AttemptEnded, Number: posted.attempt.number,
 			Items: len(posted.outcomes)} // the outcomes are in the module's events
@@ -190,7 +190,7 @@
 		recorded = capture.CoreEvent{Kind: capture.ListReported, Front: posted.front.number, Number: uint64(posted.watch), List: list}
 	case watchEnded:
 		recorded = capture.CoreEvent{Kind: capture.WatchEnded, Front: posted.front.number, Number: uint64(posted.watch), Text: posted.err.Error()}
-	case notified:
+	case notifyCallEnded:
 		recorded = capture.CoreEvent{Kind: capture.Notified, Front: posted.front.number, Accepted: posted.accepted}
 	default:
 		return recorded, false
@@ -198,7 +198,7 @@
 	return recorded, true
 }
 
-// recordedArrival is a submitted message, without its body and key, of which only the lengths are recorded.
+// recordedArrival converts a submission for the capture, with only the lengths of key and body.
 func (c *Core) recordedArrival(a *arrival, now time.Time) capture.CoreEvent {
 	m := &a.msg
 	c.recordedArrivals = append(c.recordedArrivals, capture.Arrival{ID: m.ID, KeySize: len(m.Key), Partner: m.Partner,
@@ -212,7 +212,7 @@
 	return capture.CoreEvent{Kind: capture.Submitted, Front: c.frontNumber(a.front), Arrival: recorded}
 }
 
-// frontNumber is a front's number; -1: there is no front of that name.
+// frontNumber returns a front's number, or -1 if there is no front of that name.
 func (c *Core) frontNumber(name string) int {
 	if f := c.fronts[name]; f != nil {
 		return f.number
@@ -220,9 +220,9 @@
 	return -1
 }
 
-// hashHeaders is what a capture has in place of headers: the same for the same headers, 0 for none.
+// hashHeaders returns the hash that a capture contains in place of headers; 0 for no headers.
 func hashHeaders(headers []string) (h uint64) {
-	if len(headers) == 1 { // out of a recording
+	if len(headers) == 1 { // made by headersOfHash, in a replay
 		if _, err := fmt.Sscanf(headers[0], hashedHeader, &h); err == nil {
 			return h
 		}
@@ -233,10 +233,10 @@
 	return h
 }
 
-// hashedHeader is the format of a name that stands for a hash of headers: no header is called that.
+// hashedHeader is the format of a header name that encodes a hash of headers; no real header has such a name.
 const hashedHeader = "\x00%016x"
 
-// headersOfHash is the reverse of hashHeaders: one header whose hash is h.
+// headersOfHash is the reverse of hashHeaders: it returns headers whose hash is h.
 func headersOfHash(h uint64) []string {
 	if h == 0 {
 		return nil
@@ -244,5 +244,5 @@
 	return []string{fmt.Sprintf(hashedHeader, h)}
 }
 
-// blankText is a text of n zero bytes, in place of one of which only the length is known.
+// blankText returns n zero bytes, in place of a text of which only the length was recorded.
 func blankText(n int) string { return string(make([]byte, max(n, 0))) }
--- a/internal/relay/engine/replay.go
+++ b/internal/relay/engine/replay.go
@@ -17,31 +17,32 @@
 	"mastusher/internal/relay/wire"
 )
 
-// CoreReplay drives a complete core with a capture in place of its clock, fronts and journal, and compares all that it does
-// with what was recorded. It is handed a capture's records in order, by one goroutine; its zero value is ready for use.
+// CoreReplay drives a complete core with a capture in place of its clock, fronts and journal, and compares everything the core does
+// with what was recorded. Record must be called with the capture's records in their order, by one goroutine. The zero value is ready for
+// use.
 type CoreReplay struct {
-	Turns int // turns of the core that did the same as was recorded
+	Turns int // replayed turns that matched their record
 
 	begin          capture.Begin
-	snapshot       *control.Snapshot // the module's state at the last capture.State; nil: none has come yet
-	turn           *capture.Turn     // the module's, until the core's turn comes
-	core           *Core             // nil: none runs, until the next recorded state
-	journalFullFor []int             // the messages of the current turn, by the order of their arrival, that the journal has no room for
-	accepts        int               // messages of the current turn that were offered to the journal
-	flushFails     bool              // the journal can't be written in the current turn
+	snapshot       *control.Snapshot // of the module, from the last capture.State; nil if there was none
+	turn           *capture.Turn     // of the module, until the capture.Input of the core's turn follows
+	core           *Core             // nil until the next recorded state
+	journalFullFor []int             // indices of the current turn's arrivals that the journal has no room for
+	accepts        int               // calls of the journal's Accept in the current turn
+	flushFails     bool              // the journal's Flush fails in the current turn
 	recorded       singleTurn
 }
 
-// CoreDifferenceError is the first turn in which the core does otherwise than was recorded. Got, ModuleEvents, ModuleActions and State are
-// empty where the turn could not be replayed at all.
+// CoreDifferenceError is the first turn in which the replayed core differs from the record. Got, ModuleEvents, ModuleActions and State are
+// empty if the turn could not be replayed at all.
 type CoreDifferenceError struct {
 	Input         *capture.Input    // the recorded turn
-	Turn          *capture.Turn     // the module's recorded turn in it; nil: none
+	Turn          *capture.Turn     // the module's recorded turn in it, if any
 	Got           capture.Input     // what the replayed core did
-	ModuleEvents  []control.Event   // the events that the replayed core gave the module
+	ModuleEvents  []control.Event   // what the replayed core passed to the module
 	ModuleActions []control.Action  // what the replayed module decided
-	State         *control.Snapshot // of the replayed module, after the turn
-	Reason        string            // which part differs first
+	State         *control.Snapshot // of the replayed module after the turn
+	Reason        string            // the first part that differs
 }
 
 // Error names the turn by its time on the module's clock, and the reason.
@@ -49,7 +50,7 @@
 	return fmt.Sprintf("capture: the core's turn at %v differs: %s", d.Input.Now, d.Reason)
 }
 
-// singleTurn is a recorder that holds the last turn of a replayed core, for its comparison.
+// singleTurn is a recorder that keeps the last turn of a replayed core for the comparison.
 type singleTurn struct {
 	hasTurn bool
 	events  []control.Event
@@ -60,7 +61,7 @@
 // WantsState is false: a replay compares turns, not states.
 func (t *singleTurn) WantsState() bool { return false }
 
-// State implements recorder; it is never called, see WantsState.
+// State implements recorder; it is never called since WantsState returns false.
 func (t *singleTurn) State(*control.Snapshot, *capture.Core, []capture.Name, []capture.Message) {
 }
 
@@ -69,10 +70,10 @@
 	t.hasTurn, t.events, t.actions = true, slices.Clone(events), slices.Clone(actions)
 }
 
-// Turns is the number that the core gives the module's turn; only whether there is one is compared.
+// Turns returns a constant: the replay compares only whether the module had a turn, not its number.
 func (t *singleTurn) Turns() uint64 { return 1 }
 
-// Input keeps a copy of what the core did.
+// Input keeps a copy of the core's record of the turn.
 func (t *singleTurn) Input(in *capture.Input) {
 	t.input = *in
 	t.input.Actions = slices.Clone(in.Actions)
@@ -87,14 +88,14 @@
 // Note implements recorder; notes are not compared.
 func (t *singleTurn) Note(capture.Note) {}
 
-// Tick implements recorder; nothing is written that could be due.
+// Tick implements recorder; there are no delayed writes.
 func (t *singleTurn) Tick(time.Time) {}
 
 // Close implements recorder.
 func (t *singleTurn) Close() {}
 
-// Record takes the next record. It returns a *CoreDifferenceError at the first turn that differs, and an error where the recorded state of
-// a core can't be restored; after a difference it passes over all records up to the next state.
+// Record processes the next record. It returns a *CoreDifferenceError at the first turn that differs, or another error if a recorded state
+// can't be restored. After a difference it skips all records up to the next state.
 func (r *CoreReplay) Record(record any) error {
 	switch v := record.(type) {
 	case *capture.Begin:
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// State returns a copy of the core's state after the last turn; nil: no core runs.
+// State returns a copy of the core's state after the last turn, or nil if no core is running.
 func (r *CoreReplay) State() *capture.Core {
 	if r.core == nil {
 		return nil
@@ -125,7 +126,7 @@
 	return r.core.state()
 }
 
-// resume makes a core in a recorded state.
+// resume creates a core in a recorded state.
 func (r *CoreReplay) resume(state *capture.Core) error {
 	if r.begin.Core == nil || r.snapshot == nil {
 		return errNoCoreSettings
@@ -135,7 +136,7 @@
 		return slices.Contains(r.journalFullFor, r.accepts-1)
 	}, Failed: func() error {
 		if r.flushFails {
-			return errAsRecorded
+			return errRecordedFailure
 		}
 		return nil
 	}}
@@ -158,7 +159,7 @@
 	return nil
 }
 
-// configOf is the configuration of a recorded relay, as far as its core needs it.
+// configOf returns the part of a recorded relay's configuration that its core needs.
 func configOf(begin *capture.Begin) *config.Config {
 	s := begin.Core
 	cfg := &config.Config{Seed: begin.Seed, Settings: wire.Settings{Settings: begin.Settings, Zones: s.Zones, KindNames: s.Kinds, Weights: s.Weights}}
@@ -176,23 +177,23 @@
 }
 
 var (
-	errNoCoreSettings = errors.New("capture: the core's state stands there without its settings, or without the module's")
-	errAsRecorded     = errors.New("as recorded") // what the journal of a replayed core fails with
+	errNoCoreSettings  = errors.New("capture: core state without preceding core settings or module state")
+	errRecordedFailure = errors.New("journal flush failed, as recorded")
 )
 
-// input replays one turn and compares the module's events, its actions and what the core does.
+// input replays one turn, and compares the module's events, the module's actions and the core's actions.
 func (r *CoreReplay) input(recorded *capture.Input, turn *capture.Turn) error {
 	core := r.core
 	r.journalFullFor, r.accepts, r.flushFails, r.recorded = recorded.Full, 0, recorded.Failed, singleTurn{}
 	difference := &CoreDifferenceError{Input: recorded, Turn: turn}
-	now := core.timeOf(recorded.Now)
+	now := core.fromModuleTime(recorded.Now)
 	var events []event
-	moduleOutcomes := outcomes(turn, len(core.moduleEvents))
+	moduleOutcomes := resolvedOutcomes(turn, len(core.moduleEvents))
 	for i := range recorded.Events {
-		ev, err := core.eventFrom(&recorded.Events[i], now, &moduleOutcomes)
+		ev, err := core.replayedEvent(&recorded.Events[i], now, &moduleOutcomes)
 		if err != nil {
 			difference.Reason = err.Error()
-			r.core = nil // it can't go on without that
+			r.core = nil // the core's state is not as recorded without the event
 			return difference
 		}
 		events = append(events, ev)
@@ -204,33 +205,33 @@
 	}
 	switch {
 	case r.recorded.hasTurn != (recorded.No != 0):
-		difference.Reason = "the module has a turn in one of them only"
-	case !reflect.DeepEqual(empty(expected.Events), empty(r.recorded.events)):
-		difference.Reason = "the module is told something else"
+		difference.Reason = "the module took a turn in only one of the recording and the replay"
+	case !reflect.DeepEqual(nilIfEmpty(expected.Events), nilIfEmpty(r.recorded.events)):
+		difference.Reason = "the module got other events than recorded"
 	case !slices.Equal(expected.Actions, r.recorded.actions):
-		difference.Reason = "the module decides otherwise"
+		difference.Reason = "the module decided on other actions than recorded"
 	case recorded.Sum != r.recorded.input.Sum:
-		difference.Reason = "the core does something else"
+		difference.Reason = "the core's actions differ from the recorded checksum"
 	default:
 		r.Turns++
 		return nil
 	}
 	difference.Got, difference.ModuleEvents, difference.ModuleActions = r.recorded.input, r.recorded.events, r.recorded.actions
 	difference.State = core.policy.Snapshot()
-	r.core = nil // what follows would differ too
+	r.core = nil // all later turns would differ too
 	return difference
 }
 
-// empty makes no difference between an empty list and none.
-func empty[T any](all []T) []T {
+// nilIfEmpty makes no difference between an nilIfEmpty list and none.
+func nilIfEmpty[T any](all []T) []T {
 	if len(all) == 0 {
 		return nil
 	}
 	return all
 }
 
-// outcomes are those in the module's events of a turn, without those of the events that were pending from the turn before.
-func outcomes(turn *capture.Turn, pending int) (outs []Outcome) {
+// resolvedOutcomes returns the outcomes in a turn's module events, except the first pending events, which were left from the turn before.
+func resolvedOutcomes(turn *capture.Turn, pending int) (outs []Outcome) {
 	if turn == nil {
 		return nil
 	}
--- a/internal/relay/engine/replay_errors.go
+++ b/internal/relay/engine/replay_errors.go
@@ -7,35 +7,35 @@
 	"mastusher/internal/relay/capture"
 )
 
-// The errors of a recorded event that does not fit the state of the replayed core: the capture was altered, or an earlier turn already
-// differed. Their texts are reasons of a CoreDifferenceError.
+// Errors for a recorded event that does not match the state of the replayed core: either the capture was altered or an earlier turn already
+// differed. Their texts become the Reason of a CoreDifferenceError.
 var (
-	errMandateMissing      = errors.New("what the fleet lets the relay do is missing")
-	errSharedLimitsMissing = errors.New("what the relay may spend is missing")
-	errNoticesNotInFlight  = errors.New("no call with so many notices is out")
-	errArrivalMissing      = errors.New("a message handed in is missing")
+	errMandateMissing      = errors.New("recorded change of mandate has no mandate")
+	errSharedLimitsMissing = errors.New("recorded grant of quota has no limits")
+	errNoticesNotInFlight  = errors.New("recorded result of a notify call does not match the number of notices in flight")
+	errArrivalMissing      = errors.New("recorded submission has no message")
 )
 
-// unknownFrontError is the number of a front that the replayed core does not have.
+// unknownFrontError reports the number of a front that the replayed core does not have.
 type unknownFrontError int
 
 // Error names the front.
 func (number unknownFrontError) Error() string {
-	return fmt.Sprintf("there is no front %d", int(number))
+	return fmt.Sprintf("front %d does not exist", int(number))
 }
 
-// unknownEventKindError is a kind of event that this version does not replay.
+// unknownEventKindError reports a kind of event that this version can't replay.
 type unknownEventKindError capture.CoreKind
 
 // Error names the kind.
 func (kind unknownEventKindError) Error() string {
-	return fmt.Sprintf("an event of kind %d is not known", capture.CoreKind(kind))
+	return fmt.Sprintf("unknown event kind %d", capture.CoreKind(kind))
 }
 
-// attemptMismatchError is the number of an attempt that is not in flight, or has another number of items than the recorded one.
+// attemptMismatchError reports the number of an attempt that is not in flight, or has another number of items than the recorded one.
 type attemptMismatchError uint64
 
 // Error names the attempt.
 func (number attemptMismatchError) Error() string {
-	return fmt.Sprintf("route step %d is not out, or carries something else", uint64(number))
+	return fmt.Sprintf("attempt %d is not in flight, or has another number of messages than recorded", uint64(number))
 }
--- a/internal/relay/engine/replay_events.go
+++ b/internal/relay/engine/replay_events.go
@@ -7,10 +7,10 @@
 	"mastusher/internal/relay/capture"
 )
 
-// eventFrom is a recorded event as it came by the queue. Outcomes that the recording does not repeat are taken from the front of
-// moduleOutcomes, those in the module's events of the same turn. It returns one of the errors of replay_errors.go where the event does
-// not fit the core's state.
-func (c *Core) eventFrom(recorded *capture.CoreEvent, now time.Time, moduleOutcomes *[]Outcome) (event, error) {
+// replayedEvent converts a recorded event back to an event of the queue. Outcomes that are not in the record itself are removed from the
+// front of moduleOutcomes, which holds those in the module's events of the same turn. If the event does not match the core's state, it
+// returns one of the errors of replay_errors.go.
+func (c *Core) replayedEvent(recorded *capture.CoreEvent, now time.Time, moduleOutcomes *[]Outcome) (event, error) {
 	if recorded.Front >= len(c.frontsInOrder) || recorded.Front < 0 && recorded.Kind != capture.Submitted && recorded.Kind != capture.Moved {
 		return nil, unknownFrontError(recorded.Front)
 	}
@@ -20,27 +20,27 @@
 	}
 	switch recorded.Kind {
 	case capture.Submitted:
-		return c.arrivalFrom(recorded.Arrival, name, now)
+		return c.replayedArrival(recorded.Arrival, name, now)
 	case capture.Withdrawn:
 		return withdrawn{recorded.Ref}, nil
 	case capture.Moved:
-		return moved{name}, nil
+		return discoveryMoved{name}, nil
 	case capture.DrainStarted:
 		return drain{}, nil
 	case capture.Governed:
 		if recorded.Mandate == nil {
 			return nil, errMandateMissing
 		}
-		return governed{Mandate{*recorded.Mandate, c.timeOf(recorded.Mandate.Until)}, nil}, nil
+		return governed{Mandate{*recorded.Mandate, c.fromModuleTime(recorded.Mandate.Until)}, nil}, nil
 	case capture.QuotaGranted:
 		if recorded.Shared == nil {
 			return nil, errSharedLimitsMissing
 		}
-		return quotaGranted{SharedLimits: *recorded.Shared, until: c.timeOf(recorded.Shared.LeaseExpiry)}, nil
+		return quotaGranted{SharedLimits: *recorded.Shared, until: c.fromModuleTime(recorded.Shared.LeaseExpiry)}, nil
 	case capture.AttemptEnded:
-		return c.attemptEndedFrom(recorded, moduleOutcomes)
+		return c.replayedAttemptEnded(recorded, moduleOutcomes)
 	case capture.ListReported:
-		return c.listChangedFrom(recorded), nil
+		return c.replayedListChanged(recorded), nil
 	case capture.WatchEnded:
 		err := errors.New(recorded.Text)
 		if recorded.Text == ErrWatchTimeout.Error() {
@@ -52,13 +52,13 @@
 		if f.cancelNotify == nil || len(f.sending) != len(recorded.Accepted) {
 			return nil, errNoticesNotInFlight
 		}
-		return notified{f, recorded.Accepted}, nil
+		return notifyCallEnded{f, recorded.Accepted}, nil
 	}
 	return nil, unknownEventKindError(recorded.Kind)
 }
 
-// arrivalFrom is a recorded submission; body and key, of which only lengths are recorded, are blank.
-func (c *Core) arrivalFrom(a *capture.Arrival, front string, now time.Time) (event, error) {
+// replayedArrival converts a recorded submission; body and key, of which only the lengths are recorded, are blank.
+func (c *Core) replayedArrival(a *capture.Arrival, front string, now time.Time) (event, error) {
 	if a == nil {
 		return nil, errArrivalMissing
 	}
@@ -72,8 +72,9 @@
 		ruling: Ruling{Verdict(a.Verdict), a.Status, a.Reason}, seenUnderPolicy: a.SeenUnderPolicy}, nil
 }
 
-// attemptEndedFrom is the recorded end of an attempt, with its outcomes: the recorded ones, else the next ones of moduleOutcomes.
-func (c *Core) attemptEndedFrom(e *capture.CoreEvent, moduleOutcomes *[]Outcome) (event, error) {
+// replayedAttemptEnded converts a recorded end of an attempt. Its outcomes are those in the record or, if it has none, the next ones of
+// moduleOutcomes.
+func (c *Core) replayedAttemptEnded(e *capture.CoreEvent, moduleOutcomes *[]Outcome) (event, error) {
 	attempt := c.inFlight[e.Number]
 	var outcomes []Outcome
 	for _, o := range e.Outcomes {
@@ -88,8 +89,8 @@
 	return attemptEnded{attempt, outcomes}, nil
 }
 
-// listChangedFrom is a recorded report of an endpoint list; addresses are not recorded.
-func (c *Core) listChangedFrom(e *capture.CoreEvent) event {
+// replayedListChanged converts a recorded report of an endpoint list; addresses are not recorded.
+func (c *Core) replayedListChanged(e *capture.CoreEvent) event {
 	change := listChanged{front: c.frontsInOrder[e.Front], watch: int(e.Number)}
 	if e.List == nil {
 		return change
--- a/internal/relay/engine/replay_test.go
+++ b/internal/relay/engine/replay_test.go
@@ -21,18 +21,18 @@
 	"mastusher/internal/relay/journal"
 )
 
-// replayCoverage counts what the replays of TestCoreReplay_RecordedRun_DoesTheSame have met: a replay that meets none of a kind proves nothing
-// of it.
+// replayCoverage counts what the replays of TestCoreReplay_RecordedRun_DoesTheSame have covered: the test proves nothing about a kind that
+// no replay contains.
 type replayCoverage struct {
 	events      map[capture.CoreKind]int
 	actions     map[capture.ActionKind]int
-	inFlight    int // attempts, where captures begin
-	outstanding int // notices, where captures begin
+	inFlight    int // attempts at the starts of captures
+	outstanding int // notices at the starts of captures
 	rejected    int // messages that an inspector rejected
 	failed      int // turns whose journal could not be written
 }
 
-// record counts what a record of a capture holds.
+// record counts what a record of a capture contains.
 func (coverage *replayCoverage) record(record any) {
 	switch v := record.(type) {
 	case *capture.Core:
@@ -53,7 +53,7 @@
 	}
 }
 
-// check fails the test for each kind that no replay has met.
+// check fails the test for each kind that no replay has covered.
 func (coverage *replayCoverage) check(t *testing.T) {
 	t.Helper()
 	for kind := capture.Submitted; kind <= capture.Notified; kind++ {
@@ -67,14 +67,13 @@
 		}
 	}
 	if coverage.inFlight == 0 || coverage.outstanding == 0 || coverage.rejected == 0 || coverage.failed == 0 {
-		t.Errorf("%d calls out and %d notices outstanding where captures begin, %d rejected, %d failures of the disk: want some of each",
+		t.Errorf("%d calls in flight and %d notices outstanding at the starts of captures, %d rejected messages, %d failed flushes: want some of each",
 			coverage.inFlight, coverage.outstanding, coverage.rejected, coverage.failed)
 	}
 }
 
-// TestCoreReplay_RecordedRun_DoesTheSame: a complete core that is driven by a capture does what the one did that was recorded, from its
-// start or from the middle: with calls out, notices outstanding and on their way, a watch that is lost, a disk that fails, and plug-ins'
-// verdicts.
+// TestCoreReplay_RecordedRun_DoesTheSame: a core that is driven by a capture does the same as the recorded core, from its start or from the
+// middle: with calls in flight, notices outstanding and in flight, lost watches, failed writes of the journal, and plug-ins' rulings.
 func TestCoreReplay_RecordedRun_DoesTheSame(t *testing.T) {
 	coverage := &replayCoverage{events: map[capture.CoreKind]int{}, actions: map[capture.ActionKind]int{}}
 	rapid.Check(t, func(check *rapid.T) {
@@ -84,13 +83,13 @@
 		replayed := replayRecordedRun(t, check, dir, coverage)
 		want := turns - from + 1
 		if from == 0 {
-			want = turns + 1 // Restore's too
+			want = turns + 1 // including that of Restore
 		}
 		if replayed.Turns != want {
 			check.Fatalf("%d turns, want %d", replayed.Turns, want)
 		}
 		if got, want := fmt.Sprintf("%+v", replayed.State()), fmt.Sprintf("%+v", last.state()); got != want {
-			check.Fatalf("in the end\n%s\nwant\n%s", got, want)
+			check.Fatalf("final state\n%s\nwant\n%s", got, want)
 		}
 	})
 	coverage.check(t)
@@ -111,7 +110,7 @@
 	})
 	var difference *CoreDifferenceError
 	if errors.As(err, &difference) {
-		check.Fatalf("%v\nrecorded %+v\ndid      %+v\nmodule told %+v\nreplay      %+v", difference, difference.Input.Actions,
+		check.Fatalf("%v\nrecorded actions %+v\nreplayed actions %+v\nrecorded module turn  %+v\nreplayed module events %+v", difference, difference.Input.Actions,
 			difference.Got.Actions, difference.Turn, difference.ModuleEvents)
 	}
 	if err != nil {
@@ -120,13 +119,13 @@
 	return replay
 }
 
-// alterations change one thing in a record of a turn; false: the turn has no such thing.
+// alterations each change one part of a turn's record; false if the turn does not have that part.
 var alterations = map[string]func(in *capture.Input) bool{
-	"what was done":        alterSum,
-	"an outcome":           alterOutcome,
-	"the notices taken":    alterAcceptedNotices,
-	"a disk that was well": alterDiskFailure,
-	"a plug-in's verdict":  alterRuling,
+	"checksum of actions": alterSum,
+	"outcome":             alterOutcome,
+	"accepted notices":    alterAcceptedNotices,
+	"journal failure":     alterDiskFailure,
+	"plug-in's ruling":    alterRuling,
 }
 
 func alterSum(in *capture.Input) bool {
@@ -156,9 +155,9 @@
 	return false
 }
 
-// alterDiskFailure undoes a failure of the disk for which messages were refused.
+// alterDiskFailure clears the failure of the journal in a turn that refused messages because of it.
 func alterDiskFailure(in *capture.Input) bool {
-	refused := 0 // submitted, and refused because nothing could be written
+	refused := 0 // messages that were refused because the journal could not be written
 	for _, event := range in.Events {
 		if a := event.Arrival; a != nil && event.Front >= 0 && a.Verdict == 0 && a.QueuedFor < 250*time.Millisecond && a.Partner < 9 {
 			refused++
@@ -179,7 +178,7 @@
 	return false
 }
 
-// TestCoreReplay_AlteredRecord_IsFoundInItsTurn: whatever is altered in a record of the core is found in its turn.
+// TestCoreReplay_AlteredRecord_IsFoundInItsTurn: a replay reports an altered record at the altered turn.
 func TestCoreReplay_AlteredRecord_IsFoundInItsTurn(t *testing.T) {
 	dir, _ := recordRandomRun(t, 10, 400, 100)
 	for name, alter := range alterations {
@@ -194,19 +193,19 @@
 			})
 			var difference *CoreDifferenceError
 			if !errors.As(err, &difference) || difference.Input.Now != altered || difference.Reason == "" {
-				t.Errorf("altered at %v: %v", altered, err)
+				t.Errorf("altered at %v: error %v, want a difference at that time", altered, err)
 			}
 		})
 	}
 }
 
 var (
-	corpus = flag.Bool("corpus", false, "write testdata anew: only where decisions are meant to change")
-	hour   = flag.Duration("hour", 0, "replay so long a time at 120 messages/s, and tell how long it takes")
+	corpus = flag.Bool("corpus", false, "rewrite testdata; only for intended changes of decisions")
+	hour   = flag.Duration("hour", 0, "length of a run at 120 messages/s to record and replay; logs how long the replay takes")
 )
 
-// TestCoreReplay_Corpus_DoesTheSame replays complete runs of cores: a restart with messages resumed, discovery that moves, drains, a disk that
-// fails and fills up, plug-ins' verdicts. Windows that replay --to-test has cut can stand beside them.
+// TestCoreReplay_Corpus_DoesTheSame replays recorded runs of complete cores: a restart with resumed messages, discovery that moves, drains,
+// a journal that fails and fills up, plug-ins' rulings. Captures cut by replay --to-test can be added to the folder.
 func TestCoreReplay_Corpus_DoesTheSame(t *testing.T) {
 	for name, seed := range map[string]uint64{"resumed": 5, "moved": 12, "troubled": 21} {
 		file := filepath.Join("testdata", name+capture.Ext)
@@ -224,7 +223,7 @@
 	}
 	files, _ := filepath.Glob("testdata/*" + capture.Ext)
 	if len(files) < 3 {
-		t.Fatalf("the corpus is %v", files)
+		t.Fatalf("the corpus has only %v, want at least 3 captures", files)
 	}
 	for _, file := range files {
 		f, err := os.Open(file)
@@ -243,7 +242,7 @@
 	}
 }
 
-// TestCoreReplay_Window_BeginsInTheMiddle: a window begins in the middle, with the core as it stood there.
+// TestCoreReplay_Window_BeginsInTheMiddle: a window that is cut from the middle of a capture begins with the core's state at that time.
 func TestCoreReplay_Window_BeginsInTheMiddle(t *testing.T) {
 	dir, _ := recordRandomRun(t, 8, 300, 0)
 	r := openCapture(t, dir)
@@ -261,7 +260,7 @@
 	}
 }
 
-// TestCoreReplay_Hour replays an hour at 120 messages a second.
+// TestCoreReplay_Hour records and replays a run at 120 messages per second, of the length of the flag -hour.
 func TestCoreReplay_Hour(t *testing.T) {
 	if *hour == 0 {
 		t.Skip("go test ./internal/relay/engine -run Hour -v -args -hour 1h")
@@ -288,7 +287,7 @@
 		}
 		from := time.Now()
 		result, err := capture.Replay(reader, options)
-		t.Logf("%d messages, %d turns, %d of the core, %v, %d lost, %d bytes a message; replayed in %v", recorded.messages, result.Turns,
+		t.Logf("%d messages, %d turns of the module, %d of the core, error %v, %d turns lost, %d bytes per message; replayed in %v", recorded.messages, result.Turns,
 			replay.Turns, err, recorded.lost, info.Size()/int64(recorded.messages), time.Since(from))
 	}
 }
@@ -300,7 +299,7 @@
 	lost     uint64 // turns
 }
 
-// recordHour records a core with 22 destinations in virtual time, at 120 messages a second.
+// recordHour records a core with 22 destinations in virtual time, at 120 messages per second.
 func recordHour(t *testing.T, length time.Duration) recordedHour {
 	t.Helper()
 	dir := t.TempDir()
@@ -315,7 +314,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	shell := &virtualShell{rng: rand.New(rand.NewPCG(1, 1)), now: start, calm: 10}
+	shell := &virtualShell{rng: rand.New(rand.NewPCG(1, 1)), now: start, failureInterval: 10}
 	core.SetShell(shell)
 	var destinations []Destination
 	for i := range 22 {
@@ -338,7 +337,7 @@
 	return recordedHour{files[0], messages, recorder.Lost.Load()}
 }
 
-// submitMessages runs a core for a time, submits messages at random to it, 120 a second in the mean, and returns how many.
+// submitMessages runs a core for a time, submits messages at random times, on average 120 per second, and returns their number.
 func (v *virtualShell) submitMessages(core *Core, length time.Duration) (messages int) {
 	const perSecond = 120
 	next, end := v.now, v.now.Add(length)
--- a/internal/relay/engine/run.go
+++ b/internal/relay/engine/run.go
@@ -4,8 +4,9 @@
 	"time"
 )
 
-// Run makes the calling goroutine the core's owner until Stop. It takes turns on a fixed grid of Limits.Round, so that what comes within one
-// turn is decided together, and sleeps while nothing is due. Until it returns it answers whatever is submitted.
+// Run is the core's event loop; it returns after Stop. The calling goroutine owns the core until then. Turns start at multiples of
+// Limits.Round, so that events within one interval are decided on together; Run sleeps while nothing is due. Every submission is answered
+// until Run returns.
 func (c *Core) Run() {
 	timer := time.NewTimer(0)
 	var events []event
@@ -31,10 +32,10 @@
 	}
 }
 
-// Step takes one turn with the events that are queued, for callers with a clock of their own in place of Run.
+// Step takes one turn with the queued events. It replaces Run for callers with a clock of their own.
 func (c *Core) Step(now time.Time) { c.Turn(now, c.drainQueue(nil)) }
 
-// drainQueue appends the events that are queued.
+// drainQueue appends the queued events to events, without waiting for more.
 func (c *Core) drainQueue(events []event) []event {
 	for {
 		select {
@@ -46,7 +47,8 @@
 	}
 }
 
-// IdleFor is how long no turn is due unless an event comes: a second at most, 0 where one is due. It belongs to the core's goroutine.
+// IdleFor returns how long no turn is due unless an event is posted: at most a second, and 0 if a turn is due now. It must be called by the
+// core's goroutine.
 func (c *Core) IdleFor(now time.Time) time.Duration {
 	idle := time.Second
 	until := func(t time.Time) {
--- a/internal/relay/engine/shell.go
+++ b/internal/relay/engine/shell.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Shell carries out what the core decides, and hands back the results: the live one by goroutines and sockets, a replay from a
-// recording, a simulation in its own time. The core takes the results in its next turn.
+// Shell makes the core's calls and reports their results by callbacks: a live relay on goroutines, a replay from a recording, a
+// simulation in virtual time. The core processes the results in its next turn.
 //
-// Its methods are called by the core's goroutine and must not block. The callbacks may be called from any goroutine, and block while
-// the core's queue is full: none may be called before the method has returned.
+// The methods are called by the core's goroutine and must not block. The callbacks may be called from any goroutine, but not before the
+// method has returned; they block while the core's queue is full.
 type Shell interface {
-	// Call makes an attempt that ends at until at the latest, and calls done once, however it ends, with an outcome for each of its items.
-	// cancel ends the attempt early, and may be called more than once and after its end.
+	// Call makes an attempt, which ends at until at the latest, and calls done exactly once, with an outcome for each of its items. cancel
+	// ends the attempt early; it may be called more than once, and after the attempt has ended.
 	Call(f Front, attempt *Attempt, until time.Time, done func([]Outcome)) (cancel func())
-	// Notify sends notices, under the same terms; accepted says for each of them whether the front's client has it.
+	// Notify sends notices; until, done and cancel are as for Call. accepted tells for each notice whether it was accepted.
 	Notify(f Front, notices []Notice, until time.Time, done func(accepted []bool)) (cancel func())
-	// Watch reports changes of a front's endpoint list since the index after, until it is cancelled or lost; lost is called once at most.
+	// Watch reports changes of a front's endpoint list after the index after, until it is cancelled or lost; lost is called at most once.
 	Watch(f Front, after int64, changed func(EndpointList), lost func(error)) (cancel func())
 }
 
-// goroutineShell is the Shell of a relay that serves: each call has a goroutine of its own, which ends when the front's method returns.
+// goroutineShell is the Shell of a live relay: each call has a goroutine of its own, which ends when the front's method returns.
 type goroutineShell struct{ ctx context.Context }
 
 // Call implements Shell.
@@ -37,7 +37,7 @@
 	return cancel
 }
 
-// Watch implements Shell; a front whose Watch returns nil has no endpoint list to watch, and is not reported as lost.
+// Watch implements Shell. If the front's Watch returns nil, the front has no endpoint list, and lost is not called.
 func (shell goroutineShell) Watch(f Front, after int64, changed func(EndpointList), lost func(error)) func() {
 	ctx, cancel := context.WithCancel(shell.ctx)
 	go func() {
--- a/internal/relay/engine/shutdown.go
+++ b/internal/relay/engine/shutdown.go
@@ -8,13 +8,13 @@
 	c.queue <- drain{}
 }
 
-// Drained is closed by Run when all messages in the relay at Drain have ended, or Limits.DrainExit after it.
+// Drained returns a channel that Run closes when the core is drained; see Done.
 func (c *Core) Drained() <-chan struct{} { return c.drained }
 
-// Stop has Run return after one more turn. Whoever might still submit something must have ended: nobody would answer.
+// Stop makes Run return after one more turn. Nothing may be submitted after Stop, since it would never be answered.
 func (c *Core) Stop() { c.queue <- stop{} }
 
-// drain is the request to accept nothing new.
+// drain is the event that starts draining.
 type drain struct{}
 
 func (drain) apply(core *Core, now time.Time) {
@@ -25,12 +25,13 @@
 	core.recordNote(now, "the relay drains")
 }
 
-// stop is the request to end Run.
+// stop is the event that ends Run.
 type stop struct{}
 
 func (stop) apply(core *Core, _ time.Time) { core.stopped = true }
 
-// Done reports whether Drain took hold and all messages have ended, or Limits.DrainExit has passed since. It belongs to the core's goroutine.
+// Done reports whether the core is drained: Drain was called, and all messages have ended or Limits.DrainExit has passed. It must be called
+// by the core's goroutine.
 func (c *Core) Done(now time.Time) bool {
 	return !c.drainAt.IsZero() && (now.Sub(c.drainAt) > c.limits.DrainExit || len(c.messages) == 0 && len(c.inFlight) == 0)
 }
--- a/internal/relay/engine/submit.go
+++ b/internal/relay/engine/submit.go
@@ -10,8 +10,9 @@
 	"mastusher/internal/relay/journal"
 )
 
-// Submit submits a message and returns the answer, which comes within one turn (Limits.Round), or up to haltTimeout later while a change
-// of policy takes hold. It may be called from any goroutine until Stop. With Accepted the message is in the journal.
+// Submit submits a message and returns the answer, which takes at most one turn (Limits.Round), or haltTimeout more while the relay is
+// halted for a change of policy. If the verdict is Accepted, the message is in the journal. Submit may be called from any goroutine until
+// Stop.
 func (c *Core) Submit(front string, m Message) Reply {
 	if !c.ready.Load() || !c.admitted() {
 		return Reply{Verdict: Busy, RetryAfter: c.limits.BusyRetry}
@@ -20,61 +21,63 @@
 	for {
 		a.msg = m
 		if c.inspector != nil {
-			if s := c.mandate.Load(); s != nil {
+			if s := c.publishedMandate.Load(); s != nil {
 				a.seenUnderPolicy = s.version + 1
 			}
 			a.ruling = c.inspector.OnArrival(front, &a.msg)
 		}
 		select {
 		case c.queue <- a:
-		default: // the queue is full: the relay can't keep up
+		default: // the queue is full: the relay is overloaded
 			return Reply{Verdict: Busy, RetryAfter: c.limits.BusyRetry}
 		}
-		// It may have passed the check above right before a change stopped the relay: it waits for that like those after it.
+		// The message may have passed admitted above right before a change of policy halted the relay. It then waits for the end of the
+		// halt and is submitted again, as a later message would be.
 		if r := <-a.reply; !r.halted || time.Since(a.submittedAt) > haltTimeout || !c.admitted() {
 			return r
 		}
 	}
 }
 
-// SubmitAt is Submit for callers with a clock of their own (see Step): the answer comes in the next Step. No inspector sees the message.
+// SubmitAt is Submit for callers with a clock of their own, who call Step: the next Step sends the answer. The inspector is not called.
 func (c *Core) SubmitAt(front string, m Message, at time.Time) <-chan Reply {
 	a := arrival{front: front, msg: m, submittedAt: at, reply: make(chan Reply, 1)}
 	c.queue <- a
 	return a.reply
 }
 
-// Withdraw reports that a client never got the answer r: the message that was accepted with it ends without a notice. It does nothing where
-// the message had been accepted before, since whoever submitted it first still relies on it. It may be called from any goroutine.
+// Withdraw reports that a client never received the answer r: the message that was accepted with it ends without a notice. It does nothing
+// if the message had been accepted earlier, since the client that submitted it first still relies on it. It may be called from any
+// goroutine.
 func (c *Core) Withdraw(r Reply) {
 	if r.ref != 0 {
 		c.queue <- withdrawn{r.ref}
 	}
 }
 
-// arrival is a message that a front submits.
+// arrival is the event that a front submits a message.
 type arrival struct {
-	front           string // its name
+	front           string // name of the front
 	msg             Message
 	submittedAt     time.Time
-	reply           chan Reply // with room for the one answer
+	reply           chan Reply // buffered: the core does not wait for the receiver
 	ruling          Ruling     // the inspector's
-	seenUnderPolicy uint64     // one more than the version of the policy under which plug-ins have seen it; 0: none has
+	seenUnderPolicy uint64     // version of the policy under which plug-ins have seen the message, plus one; 0 if none has
 }
 
-// stale reports whether plug-ins have seen a message under another policy than is in force now: they must see it again.
+// stale reports whether plug-ins have seen the message under another policy than the current one, and must see it again.
 func (a *arrival) stale(c *Core) bool {
-	return a.seenUnderPolicy != 0 && c.governor != nil && a.seenUnderPolicy != c.governor.Version+1
+	return a.seenUnderPolicy != 0 && c.mandate != nil && a.seenUnderPolicy != c.mandate.Version+1
 }
 
 func (a arrival) apply(core *Core, now time.Time) {
 	core.submitted++
-	// It is pending already, or has ended recently: it has one end, not two, whatever else holds now.
+	// A duplicate of a message that is pending or has ended recently gets the answer to that message, whatever else would apply now.
 	if verdict, known := core.earlierVerdict(a.front, a.msg.ID); known {
 		core.replyTo(a.reply, core.submitted, Reply{Verdict: verdict, RetryAfter: core.limits.BusyRetry})
 		return
 	}
-	if core.closedTo(&a, now) {
+	if core.refusesNow(&a, now) {
 		core.refuse(&a)
 		return
 	}
@@ -83,35 +86,35 @@
 			Reason: a.ruling.Reason})
 		return
 	}
-	if core.fullFor(&a) {
+	if core.lacksCapacityFor(&a) {
 		core.refuse(&a)
 		return
 	}
-	core.take(&a)
+	core.passToModule(&a)
 }
 
-// closedTo reports whether nothing is accepted now, whatever the message.
-func (c *Core) closedTo(a *arrival, now time.Time) bool {
+// refusesNow reports whether the core accepts nothing now, or the message has waited too long in the queue or is stale.
+func (c *Core) refusesNow(a *arrival, now time.Time) bool {
 	return c.fronts[a.front] == nil || !c.drainAt.IsZero() ||
-		now.Sub(a.submittedAt) > c.limits.AnswerWithin || // the client is about to leave, and would hand it in again beside this one
-		!c.mayAct(now) || c.governor != nil && c.governor.Closed || a.stale(c)
+		now.Sub(a.submittedAt) > c.limits.AnswerWithin || // the client would submit a second copy elsewhere
+		!c.mayAct(now) || c.mandate != nil && c.mandate.Closed || a.stale(c)
 }
 
-// fullFor reports whether the relay has no capacity for the message, or no destination of its partner.
-func (c *Core) fullFor(a *arrival) bool {
+// lacksCapacityFor reports whether the relay has no capacity for the message, or no destination of its partner that it may call.
+func (c *Core) lacksCapacityFor(a *arrival) bool {
 	return c.settings.MaxOpen > 0 && len(c.messages)-c.outstanding >= c.settings.MaxOpen ||
 		!c.serves(c.fronts[a.front], a.msg.Partner) || c.isShut(a.msg.Partner)
 }
 
-// refuse answers that the message may be submitted again.
+// refuse answers that the message is not accepted and may be submitted again.
 func (c *Core) refuse(a *arrival) {
-	halted := c.governor != nil && c.governor.Halted != 0 || a.stale(c)
+	halted := c.mandate != nil && c.mandate.Halted != 0 || a.stale(c)
 	c.count(a.msg.Class, a.msg.Tenant, a.msg.Partner, countRefused)
 	c.replyTo(a.reply, c.submitted, Reply{Verdict: Busy, RetryAfter: c.limits.BusyRetry, halted: halted})
 }
 
-// take has the module decide on the message; it is answered once that is done and the journal written.
-func (c *Core) take(a *arrival) {
+// passToModule adds the message and passes it to the module; the answer follows when the module has decided and the journal is written.
+func (c *Core) passToModule(a *arrival) {
 	msg := &a.msg
 	m := c.add(c.fronts[a.front], &journal.Entry{ID: msg.ID, Key: msg.Key, Front: a.front, Destination: msg.Partner, Class: msg.Class,
 		Tenant: msg.Tenant, Deadline: msg.Deadline, Resubmitted: msg.Resubmitted, Body: bytes.Clone(msg.Body), Headers: msg.ExtraHeaders,
@@ -119,10 +122,10 @@
 	c.stampPolicy(m.entry)
 	m.reply, m.submission = a.reply, c.submitted
 	c.arrivals = append(c.arrivals, m)
-	c.moduleEvents = append(c.moduleEvents, c.arrival(m))
+	c.moduleEvents = append(c.moduleEvents, c.arrivedEvent(m))
 }
 
-// withdrawn is a message whose client never heard that it was accepted.
+// withdrawn is the event that a client never received the answer that accepted its message.
 type withdrawn struct{ ref uint64 }
 
 func (w withdrawn) apply(core *Core, now time.Time) {
@@ -130,17 +133,17 @@
 	if m == nil || m.entry.NoticePending {
 		return
 	}
-	if v, ok := core.afterWithdrawal(m.entry); ok {
+	if v, ok := core.verdictAfterWithdrawal(m.entry); ok {
 		core.remember(m, v, now)
 	}
 	core.withdraw(m)
 }
 
-// withdraw forgets a message whose client does not count on it, and calls off what is out.
+// withdraw ends a message on which no client relies, and recalls its attempt.
 func (c *Core) withdraw(m *message) {
 	c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.Withdrawn, ID: m.ref})
 	c.journal.End(m.entry)
-	if attempt := m.attempt; attempt != nil && len(attempt.Items) == 1 { // the module can't: the message is no longer there when it decides
+	if attempt := m.attempt; attempt != nil && len(attempt.Items) == 1 { // the module can't recall it: the message is gone by then
 		if attempt.recall(); c.settings.Cancel {
 			attempt.cancel()
 		}
@@ -149,14 +152,14 @@
 	c.finish(m, endWithdrawn)
 }
 
-// replyTo answers a submission; submission is its number among them.
+// replyTo answers a submission; submission is its number.
 func (c *Core) replyTo(to chan<- Reply, submission uint64, r Reply) {
 	to <- r
 	c.recordAction(capture.Action{Kind: capture.Replied, Number: submission, Wait: r.RetryAfter, Verdict: uint8(r.Verdict)})
 }
 
-// journalArrivals journals the messages that were accepted in this turn, and drops those that were not. No client is
-// answered before the journal is written; see flushAndBegin.
+// journalArrivals adds the messages that were accepted in this turn to the journal, and drops those that were refused. Clients are answered
+// only after the journal has been flushed; see flushAndBegin.
 func (c *Core) journalArrivals() {
 	for i, m := range c.arrivals {
 		if m.refusal == nil {
@@ -168,7 +171,7 @@
 			}
 			c.turnInput.Full = append(c.turnInput.Full, i)
 			m.refusal = &Reply{Verdict: Busy, RetryAfter: c.limits.BusyRetry}
-			c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.Withdrawn, ID: m.ref}) // the module learns of it next turn
+			c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.Withdrawn, ID: m.ref}) // for the next turn
 		}
 		c.drop(m)
 	}
--- a/internal/relay/engine/turn.go
+++ b/internal/relay/engine/turn.go
@@ -7,11 +7,11 @@
 	"mastusher/internal/relay/capture"
 )
 
-// Turn applies the events, lets the module decide, journals that, and then acts on it. now must not be before that of the last turn. It belongs
-// to the core's goroutine.
+// Turn applies the events, lets the module decide, journals the decisions, and then acts on them. now must not be before that of the last
+// turn. It must be called by the core's goroutine.
 //
-// Its order is what a replay relies on: events as they came, the module's one Step, the journal, answers and attempts, and only then watches,
-// notices and notifications.
+// A replay relies on the order: events as they were posted, one Step of the module, the journal, answers and attempts, and only then
+// watches, notices and notifications.
 func (c *Core) Turn(now time.Time, events []event) {
 	c.recordBefore(now, events)
 	for _, ev := range events {
@@ -19,9 +19,9 @@
 	}
 	c.flushAndBegin(now, c.decide(now))
 	if !c.watchAt.IsZero() && !now.Before(c.watchAt) {
-		c.watch()
+		c.startWatches()
 	}
-	c.notify(now)
+	c.sendNotices(now)
 	for _, notify := range c.notifications {
 		notify()
 	}
@@ -30,8 +30,8 @@
 	c.recordAfter(now)
 }
 
-// decide has the module take its step, if there is an event for it, and carries out what it decides; it returns the attempts that are to
-// start once the journal is written.
+// decide calls the module's Step, if there is an event for it, and applies its actions. It returns the attempts to start once the journal
+// is written.
 func (c *Core) decide(now time.Time) []*Attempt {
 	woken := !c.wakeAt.IsZero() && !now.Before(c.wakeAt)
 	if woken {
@@ -43,26 +43,26 @@
 	if woken {
 		c.wakeAt = time.Time{}
 	}
-	c.moduleActions = c.policy.Step(c.clock(now), c.moduleEvents, c.moduleActions[:0])
+	c.moduleActions = c.policy.Step(c.moduleTime(now), c.moduleEvents, c.moduleActions[:0])
 	if c.recorder != nil {
-		c.recorder.Turn(c.clock(now), c.moduleEvents, c.moduleActions)
+		c.recorder.Turn(c.moduleTime(now), c.moduleEvents, c.moduleActions)
 		c.turnInput.No = c.recorder.Turns()
 	}
 	c.moduleEvents = c.moduleEvents[:0]
-	sends := c.carryOut()
+	sends := c.applyActions()
 	c.journalArrivals()
-	return c.assemble(now, sends)
+	return c.buildAttempts(now, sends)
 }
 
-// send is one message that the module sends.
+// send is a Send action of the module, with its message.
 type send struct {
 	message *message
 	action  control.Action
 }
 
-// carryOut carries out the module's actions but for the sends, which it returns: those must wait for the journal. Actions on messages and
-// destinations that are no longer known do nothing.
-func (c *Core) carryOut() (sends []send) {
+// applyActions applies the module's actions, except sends, which must wait for the journal and are returned. Actions on unknown messages
+// and destinations do nothing.
+func (c *Core) applyActions() (sends []send) {
 	for _, action := range c.moduleActions {
 		m := c.messages[action.ID]
 		switch action.Kind {
@@ -90,7 +90,7 @@
 				c.wakeAt = at
 			}
 		case control.Subscribe:
-			c.watch()
+			c.startWatches()
 		case control.Close:
 			if d := c.destinations[action.Endpoint]; d != nil {
 				c.closeIdle(d)
@@ -102,16 +102,16 @@
 	return sends
 }
 
-// assemble makes attempts of the module's sends: those of one turn to one destination share a call as far as they fit into it. What must
-// not be sent any more is reported to the module instead.
-func (c *Core) assemble(now time.Time, sends []send) (attempts []*Attempt) {
+// buildAttempts combines the module's sends into attempts: sends of one turn to the same destination share a call as far as they fit.
+// Messages that must no longer be sent are reported to the module instead.
+func (c *Core) buildAttempts(now time.Time, sends []send) (attempts []*Attempt) {
 	var open map[uint32]*Attempt
 	for _, s := range sends {
 		d := c.destinations[s.action.Endpoint]
 		if !c.drainAt.IsZero() && now.Sub(c.drainAt) > c.limits.DrainSends {
-			continue // left for the next start
+			continue // stays in the journal for the next start
 		}
-		if c.messages[s.message.ref] == nil || d == nil { // it was not accepted after all: the module gets its slot back
+		if c.messages[s.message.ref] == nil || d == nil { // refused, or destination gone: the module frees the slot
 			c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.Resolved, ID: s.action.ID, Attempt: s.message.entry.Attempts,
 				Endpoint: s.action.Endpoint, Result: control.NotProcessed})
 			continue
@@ -134,7 +134,7 @@
 	return attempts
 }
 
-// schedule adds a message to an attempt. Tests and operators follow a message by the log line "route step".
+// schedule adds a message to an attempt. Tests and operators trace messages by its log line "route step".
 func (c *Core) schedule(now time.Time, s send, attempt *Attempt) {
 	entry := s.message.entry
 	c.journal.Schedule(entry, now, attempt.To.Name)
@@ -154,8 +154,8 @@
 	s.message.attempt = attempt
 }
 
-// flushAndBegin writes the journal, and only then answers clients and starts calls. Where the journal can't be written, messages that came in
-// this turn are refused and its attempts never started.
+// flushAndBegin flushes the journal, and only then answers clients and starts attempts. If the journal can't be written, the messages of
+// this turn are refused and its attempts end without having been started.
 func (c *Core) flushAndBegin(now time.Time, attempts []*Attempt) {
 	err := c.journal.Flush()
 	if err != nil {
@@ -179,12 +179,13 @@
 	}
 }
 
-// answerArrivals answers the messages that were submitted in this turn; what the journal could not write is not accepted.
+// answerArrivals answers the messages that were submitted in this turn; journalled is false if the journal could not be written, and none
+// is accepted.
 func (c *Core) answerArrivals(journalled bool) {
 	for _, m := range c.arrivals {
 		what := countRefused
 		if m.refusal == nil && journalled {
-			what = countTaken
+			what = countAccepted
 		}
 		c.count(m.entry.Class, m.entry.Tenant, m.entry.Destination, what)
 		switch {
--- a/internal/relay/engine/watch_races_test.go
+++ b/internal/relay/engine/watch_races_test.go
@@ -9,10 +9,10 @@
 	"mastusher/control"
 )
 
-// watchedFront is a front whose watches the test reports for, each for itself.
+// watchedFront is a front whose watches the test controls individually.
 type watchedFront struct {
 	*fakeFront
-	changes chan func(EndpointList) // the callback of each watch that was started
+	changes chan func(EndpointList) // the callback of each started watch
 }
 
 func (w watchedFront) Watch(ctx context.Context, after int64, changed func(EndpointList)) error {
@@ -20,8 +20,8 @@
 	return w.fakeFront.Watch(ctx, after, changed)
 }
 
-// TestWatch_SupersededWatchReportsLate_UndoesNothing: a watch that was superseded still has a list on its way when the next one has spoken.
-// Complete list or not, it must undo nothing; before the next one has reported it counts, since the relay must follow what it has heard.
+// TestWatch_SupersededWatchReportsLate_UndoesNothing: a superseded watch reports a list or a change after its successor has reported. The
+// late report must be ignored. Reports of the superseded watch before the successor's first one must still be applied.
 func TestWatch_SupersededWatchReportsLate_UndoesNothing(t *testing.T) {
 	list := func(index int64, complete bool, state control.State) EndpointList {
 		return EndpointList{Index: index, Complete: complete, Destinations: []Destination{{Name: "s-2", Zone: "a", Kind: "club-sites",
@@ -29,13 +29,13 @@
 	}
 	for _, test := range []struct {
 		name          string
-		before, after []EndpointList // what the old watch says before the new one speaks, and after that
+		before, after []EndpointList // reports of the old watch before and after the new one's first report
 		want          control.State
 	}{
 		{"an older complete list", nil, []EndpointList{list(42, true, control.Ready)}, control.Draining},
 		{"an older change", nil, []EndpointList{list(42, false, control.Ready)}, control.Draining},
-		{"a later one, of a discovery that was left", nil, []EndpointList{list(99, false, control.Ready)}, control.Draining},
-		{"a change before the new watch speaks", []EndpointList{list(44, false, control.Ready), list(45, false, control.Draining)}, nil,
+		{"a newer change, from the former discovery", nil, []EndpointList{list(99, false, control.Ready)}, control.Draining},
+		{"changes before the new watch reports", []EndpointList{list(44, false, control.Ready), list(45, false, control.Draining)}, nil,
 			control.Draining},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -46,7 +46,7 @@
 				f.Front = front
 			})
 			old := <-front.changes
-			relay.turnAfter(0, moved{"platform"})
+			relay.turnAfter(0, discoveryMoved{"platform"})
 			next := <-front.changes
 			report := func(to func(EndpointList), all []EndpointList) {
 				for _, p := range all {
@@ -70,23 +70,23 @@
 	}
 }
 
-// TestWatch_Lost_ReopenedByItsCause: when a watch that has ended is opened again depends on what ended it, and on nothing that the module
-// must be asked for where what the relay misses soon counts as known.
+// TestWatch_Lost_ReopenedByItsCause: when a lost watch is reopened depends on how it was lost. The module is asked only if the settings
+// require that and the watch has not timed out: changes missed after a time-out soon count as known to the relay.
 func TestWatch_Lost_ReopenedByItsCause(t *testing.T) {
 	broke := errors.New("reset")
 	for _, test := range []struct {
 		name          string
 		mustSubscribe bool
-		up            bool // it had reported a list
+		up            bool // the watch had reported a list
 		err           error
-		want          time.Duration // below 0: the module is asked
+		want          time.Duration // below 0 if the module is asked
 	}{
-		{"asked for, silent", true, true, ErrWatchTimeout, 200 * time.Millisecond},
-		{"pushed, silent", false, true, ErrWatchTimeout, 200 * time.Millisecond},
-		{"asked for, broken", true, true, broke, -1},
-		{"asked for, never up", true, false, broke, -1},
-		{"pushed, broken", false, true, broke, 0},
-		{"pushed, never up", false, false, broke, 50 * time.Millisecond},
+		{"subscription by module, timed out", true, true, ErrWatchTimeout, 200 * time.Millisecond},
+		{"automatic, timed out", false, true, ErrWatchTimeout, 200 * time.Millisecond},
+		{"subscription by module, broken", true, true, broke, -1},
+		{"subscription by module, never established", true, false, broke, -1},
+		{"automatic, broken", false, true, broke, 0},
+		{"automatic, never established", false, false, broke, 50 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			relay := newHarness(t, t.TempDir(), time.Now())
@@ -100,7 +100,7 @@
 			watchEnded{f, f.lastWatch, test.err}.apply(relay.core, relay.now)
 			asked := len(relay.core.moduleEvents) == 1 && relay.core.moduleEvents[0].Kind == control.ListFailed
 			if got := relay.core.watchAt.Sub(relay.now); asked != (test.want < 0) || !asked && got != test.want {
-				t.Errorf("opened again after %v, the module is asked %v", got, asked)
+				t.Errorf("reopened after %v, module asked: %v", got, asked)
 			}
 		})
 	}
--- a/internal/relay/httpwire/answer.go
+++ b/internal/relay/httpwire/answer.go
@@ -7,16 +7,16 @@
 	Status       int      // HTTP status
 	Header       []string // names and values alternating
 	Body         []byte
-	NoErrorDelay bool   // an error after which the next request is read at once, without Limits.ErrorDelay
-	OnLost       func() // unless nil, called on the connection's goroutine when the answer could not be written
+	NoErrorDelay bool   // for an error status: read the next request at once, without Limits.ErrorDelay
+	OnLost       func() // unless nil, called by the connection's goroutine if the answer could not be written
 }
 
-// AppendAnswer appends an answer as it goes over the wire; last: the connection ends with it.
+// AppendAnswer appends an encoded answer; last announces that the connection is closed after it.
 func AppendAnswer(b []byte, a *Answer, last bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(a.Status), 10)
 	b = append(b, ' ')
-	b = append(b, reasons[a.Status]...)
+	b = append(b, reasonPhrases[a.Status]...)
 	b = append(b, "\r\n"...)
 	b = appendHeaders(b, a.Header)
 	if last {
@@ -31,7 +31,7 @@
 	return append(b, a.Body...)
 }
 
-// appendHeaders appends header lines, from names and values alternating.
+// appendHeaders appends header lines; h has names and values alternating.
 func appendHeaders(b []byte, h []string) []byte {
 	for i := 0; i+1 < len(h); i += 2 {
 		b = append(b, h[i]...)
@@ -42,8 +42,8 @@
 	return b
 }
 
-// reasons are the reason phrases of the statuses that the relay answers with; others have none.
-var reasons = map[int]string{200: "OK", 202: "Accepted", 204: "No Content", 400: "Bad Request", 401: "Unauthorized",
+// reasonPhrases are the reason phrases of the statuses that the relay answers with; others have none.
+var reasonPhrases = map[int]string{200: "OK", 202: "Accepted", 204: "No Content", 400: "Bad Request", 401: "Unauthorized",
 	403: "Forbidden", 404: "Not Found", 405: "Method Not Allowed", 409: "Conflict", 413: "Content Too Large",
 	415: "Unsupported Media Type", 422: "Unprocessable Content", 429: "Too Many Requests",
 	431: "Request Header Fields Too Large", 500: "Internal Server Error", 503: "Service Unavailable"}
--- a/internal/relay/httpwire/body.go
+++ b/internal/relay/httpwire/body.go
@@ -10,12 +10,12 @@
 	"strings"
 )
 
-// body reads the body that belongs to a head; toEnd: without a length it lasts until the connection ends. It returns an Error for a body that is
-// too large or whose framing is unusable.
+// body reads the body of a message with header h. A body without a length lasts until the connection ends if toEnd is set, otherwise it is
+// empty. The error is an *Error for a body that is too large or whose framing is invalid.
 func (r *Reader) body(h textproto.MIMEHeader, toEnd bool) ([]byte, error) {
 	r.limited.left = r.limits.BodySize + r.limits.HeadSize
 	lengths := h["Content-Length"]
-	// An encoding that is empty, named twice or beside a length may hide a second message in the body.
+	// An encoding that is empty, given twice or combined with a length could smuggle a second message within the body.
 	if te := h["Transfer-Encoding"]; len(te) > 0 {
 		if len(te) > 1 || !strings.EqualFold(te[0], "chunked") || len(lengths) > 0 {
 			return nil, &Error{400, "unusable transfer encoding"}
@@ -46,7 +46,7 @@
 		}
 		return body, unexpectedEOF(peekErr)
 	}
-	r.largeBody = make([]byte, n) // released with the message: few bodies are as long, and connections are many
+	r.largeBody = make([]byte, n) // not kept for reuse: such bodies are rare, and connections are many
 	_, err = io.ReadFull(r.buffer, r.largeBody)
 	return r.largeBody, unexpectedEOF(err)
 }
@@ -60,7 +60,7 @@
 	return b, unexpectedEOF(err)
 }
 
-// unexpectedEOF converts an end in the middle of a message to io.ErrUnexpectedEOF.
+// unexpectedEOF converts io.EOF, which here is in the middle of a message, to io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/relay/httpwire/call.go
+++ b/internal/relay/httpwire/call.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Stage is how far a call came.
+// Stage is how far a call has progressed when it ends.
 type Stage uint8
 
 // The stages.
 const (
-	Answered     Stage = iota // there is an answer
-	Malformed                 // there is one, of which at most the first line could be read: the call has run
-	Withheld                  // the call was recalled before its first byte: it has not run
-	NotConnected              // its last byte was never written: it has not run
-	Broken                    // the connection broke after its last byte: it may have run
-	TimedOut                  // no answer came in time: it may have run
-	Canceled                  // the context was cancelled: it may have run
+	Answered     Stage = iota // the call has a complete answer
+	Malformed                 // an answer came, of which at most the status line could be read: the call has run
+	Withheld                  // nothing was written: the call has not run
+	NotConnected              // no connection, or the request could not be written completely: the call has not run
+	Broken                    // the connection broke after the request's last byte: the call may have run
+	TimedOut                  // no answer came in time: the call may have run
+	Canceled                  // the context was cancelled after the request was written: the call may have run
 )
 
-// AppendRequest appends a request as it goes over the wire. header has names and values alternating; a body of nil has no Content-Length.
+// AppendRequest appends an encoded request. header has names and values alternating; without Content-Length if body is nil.
 func AppendRequest(b []byte, method, path, host string, header []string, body []byte) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
@@ -40,10 +40,10 @@
 	return append(b, body...)
 }
 
-// Do makes one call: it writes request to a peer, in one write and once, and calls use with the answer, whose bytes are valid until use
-// returns; of a malformed answer use gets the status, 0 where even that can't be read. A connection may take seconds to come up: mayWrite,
-// if not nil, is asked right before the first byte. When Do returns, the connection is idle or closed: no copy of the call is still in
-// flight. It ends with ctx.
+// Do makes one call: it writes request to a peer, once and in one write, and calls use with the answer, whose bytes are valid until use
+// returns. Of a malformed answer use gets the status only, or 0 if even that can't be read. mayWrite, unless nil, is called right before
+// the first byte, since opening a connection may take seconds; if it returns false, nothing is written. When Do returns, the connection is
+// idle or closed, and no copy of the call is still in flight. It ends with ctx.
 func (p *Pool) Do(ctx context.Context, peer Peer, request []byte, mayWrite func() bool, use func(*Response)) Stage {
 	conn := p.take(peer)
 	reused := conn != nil
@@ -56,9 +56,9 @@
 			return stage
 		}
 	}
-	// mayWrite may take a write to a disk. The peer may end a reused connection meanwhile, or write bytes that answer nothing: then the
-	// connection is not used, and nothing has run.
-	if mayWrite != nil && !mayWrite() || reused && !isQuiet(conn.Conn) {
+	// mayWrite may write to a disk. If the peer meanwhile closes a reused connection, or sends unsolicited bytes on it, the connection is
+	// not used, and the call has not run.
+	if mayWrite != nil && !mayWrite() || reused && !isOpenAndUnread(conn.Conn) {
 		_ = conn.Close()
 		return Withheld
 	}
@@ -70,7 +70,7 @@
 	} else if stage == Broken && reused {
 		p.reduceTrust(idle)
 	}
-	// Where stop comes too late the connection has a deadline in the past, and can't be reused.
+	// If stop fails, the connection's deadline was set to the past, and it can't be reused.
 	if !stop() || stage != Answered || answer.Close || conn.reader.buffered() {
 		_ = conn.Close()
 		return stage
@@ -79,15 +79,15 @@
 	return stage
 }
 
-// past is a deadline that ends reads and writes at once.
+// past is a deadline in the past, which ends reads and writes at once.
 var past = time.Unix(1, 0)
 
-// dial opens a connection; nil: there is none, for the reason that the stage says.
+// dial opens a connection. If that fails it returns nil, and the stage gives the reason.
 func (p *Pool) dial(ctx context.Context, peer Peer) (*clientConn, Stage) {
 	dialer := net.Dialer{Timeout: p.limits.ConnectTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", peer.Address)
 	switch {
-	case errors.Is(ctx.Err(), context.Canceled): // cancelled before it came up: that says nothing about the peer
+	case errors.Is(ctx.Err(), context.Canceled): // cancelled while connecting: no sign that the peer can't be reached
 		if err == nil {
 			_ = conn.Close()
 		}
@@ -98,7 +98,8 @@
 	return &clientConn{Conn: conn, reader: NewReader(conn, p.limits), limits: p.limits}, Answered
 }
 
-// call writes a request and reads its final answer, past at most MaxInterim interim ones; nil: there is none, for the reason that the stage says.
+// call writes a request and reads its final answer, skipping interim ones; it reads at most MaxInterim answers. Without an answer it
+// returns nil, and the stage gives the reason.
 func (c *clientConn) call(ctx context.Context, request []byte) (*Response, Stage) {
 	if _, err := c.Write(request); err != nil {
 		return nil, NotConnected
@@ -107,7 +108,7 @@
 		if err := c.reader.await(); err != nil {
 			break
 		}
-		// An answer that stops half-way, or never ends, must not occupy its slot for long.
+		// An answer that stops midway, or never ends, must not keep its slot occupied for long.
 		c.setReadDeadline(ctx, time.Now().Add(c.limits.AnswerRead))
 		answer, err := c.reader.ReadResponse()
 		c.setReadDeadline(ctx, time.Time{})
@@ -129,7 +130,7 @@
 	return nil, Broken
 }
 
-// setReadDeadline sets the deadline for reading, unless ctx has ended: then reading ends at once.
+// setReadDeadline sets the deadline for reading; if ctx has ended, reading ends at once.
 func (c *clientConn) setReadDeadline(ctx context.Context, t time.Time) {
 	if _ = c.SetReadDeadline(t); ctx.Err() != nil {
 		_ = c.SetReadDeadline(past)
--- a/internal/relay/httpwire/doc.go
+++ b/internal/relay/httpwire/doc.go
@@ -1,9 +1,9 @@
-// Package httpwire is HTTP/1.1 (RFC 9112) on net/textproto over net: framing, keep-alive and reuse of connections, for both fronts.
+// Package httpwire implements HTTP/1.1 (RFC 9112) on net and net/textproto for the fronts: framing, keep-alive and reuse of connections.
 //
-// It is used in place of net/http since a relay must know of each call how far it came (Stage), which decides whether a message may be retried;
-// must send nothing twice by itself; and must bound what each of many clients costs. Server serves clients' connections, one goroutine
-// each; Pool makes calls on connections that it reuses; Stream reads an answer that comes line by line for as long as it lasts. Server and Pool
-// may be used by several goroutines at once, Reader and Stream by one.
+// It replaces net/http since a relay must know how far each call has progressed (Stage), which decides whether a message may be retried;
+// must never send a request twice by itself; and must bound the cost of each of many clients. Server serves clients' connections, each on
+// one goroutine; Pool makes calls on connections that it reuses; Stream reads an unbounded answer line by line. Server and Pool may be used
+// by several goroutines at once, Reader and Stream by one.
 //
-// All bounds on sizes and times are those of config.Limits.
+// The bounds on sizes and times are those of config.Limits.
 package httpwire
--- a/internal/relay/httpwire/ends_test.go
+++ b/internal/relay/httpwire/ends_test.go
@@ -16,32 +16,33 @@
 	"mastusher/internal/relay/wiretest"
 )
 
-// awaitUnread waits until bytes have come to a server's only connection that nobody has read.
+// awaitUnread waits until a server's only connection has unread bytes.
 func awaitUnread(t *testing.T, s *Server) {
 	t.Helper()
 	for range 2000 {
 		come := false
-		s.each(func(f *serverConn) { come = !isQuiet(f.Conn) })
+		s.forEachConnection(func(f *serverConn) { come = !isOpenAndUnread(f.Conn) })
 		if come {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("nothing has come")
+	t.Fatal("no bytes have arrived on the connection")
 }
 
-// TestServer_CloseOverUnreadBytes_AnswerArrives: a client's bytes come between the last byte of a request that is read and the close, every
-// time: the handler has them sent. The answer arrives completely, and after it the end, not a reset, which may discard the answer.
+// TestServer_CloseOverUnreadBytes_AnswerArrives: further bytes of the client always arrive between the request and the close, since the
+// handler makes the client send them. The client must receive the complete answer and then the end of the connection, not a reset, which
+// may discard the answer.
 func TestServer_CloseOverUnreadBytes_AnswerArrives(t *testing.T) {
 	for name, test := range map[string]struct {
 		request string
 		before  func(*Server)
 		status  string
 	}{
-		"the client asks for the end":    {"GET / HTTP/1.1\r\nConnection: close\r\n\r\n", func(*Server) {}, "200 OK"},
-		"the relay has been told to end": {"GET / HTTP/1.1\r\n\r\n", (*Server).DisableKeepAlives, "200 OK"},
-		"there is little room left":      {"GET / HTTP/1.1\r\n\r\n", func(server *Server) { server.limits.ClientConnections = 1 }, "200 OK"},
-		"a faulty request":               {"GET / HTTP/9\r\n\r\n" + strings.Repeat("x", 9000), func(*Server) {}, "400 Bad Request"},
+		"client requests the close":   {"GET / HTTP/1.1\r\nConnection: close\r\n\r\n", func(*Server) {}, "200 OK"},
+		"keep-alives disabled":        {"GET / HTTP/1.1\r\n\r\n", (*Server).DisableKeepAlives, "200 OK"},
+		"nearly too many connections": {"GET / HTTP/1.1\r\n\r\n", func(server *Server) { server.limits.ClientConnections = 1 }, "200 OK"},
+		"malformed request":           {"GET / HTTP/9\r\n\r\n" + strings.Repeat("x", 9000), func(*Server) {}, "400 Bad Request"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			listener := wiretest.Listen(t)
@@ -67,11 +68,11 @@
 	}
 }
 
-// racingConn is a connection that times out, or is closed, in the very moment in which a request arrives.
+// racingConn is a connection on which a request arrives at the moment of a read time-out or of the close.
 type racingConn struct {
 	*net.TCPConn
-	arrive   func() // has a request arrive
-	moment   string // "Read" or "Close": when it does
+	arrive   func() // makes a request arrive
+	moment   string // "Read" or "Close": the method during which the request arrives
 	timedOut bool
 }
 
@@ -92,8 +93,9 @@
 	return c.TCPConn.Close()
 }
 
-// TestServer_IdleCloseRacesRequest_AnswersOrEnds: a request comes in the very moment in which its idle connection is closed. Before the
-// relay has made up its mind it is answered; after that it is never read, and its client reads a reset: an end would say that it was read.
+// TestServer_IdleCloseRacesRequest_AnswersOrEnds: a request arrives while its idle connection is being closed. Before the server's last
+// check it is answered. After that check it is never read, and the client gets a reset: an orderly end would mean that the request may have
+// been read.
 func TestServer_IdleCloseRacesRequest_AnswersOrEnds(t *testing.T) {
 	for _, moment := range []string{"Read", "Close"} {
 		listener := wiretest.Listen(t)
@@ -111,7 +113,7 @@
 		served := server.admit(&racingConn{raw.(*net.TCPConn), func() {
 			_, _ = conn.Write([]byte("POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"))
 			for range 2000 {
-				if !isQuiet(raw) {
+				if !isOpenAndUnread(raw) {
 					return
 				}
 				time.Sleep(time.Millisecond)
@@ -121,18 +123,18 @@
 		go served.serve()
 		got, err := io.ReadAll(conn)
 		if moment == "Read" && (err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 429") || handled != 1) {
-			t.Errorf("before: the client reads %q, %v; handled %d times", got, err, handled)
+			t.Errorf("request before the check: the client reads %q, %v; handled %d times", got, err, handled)
 		}
 		if moment == "Close" && (!errors.Is(err, syscall.ECONNRESET) || len(got) > 0 || handled != 0) {
-			t.Errorf("after: the client reads %q, %v; handled %d times", got, err, handled)
+			t.Errorf("request after the check: the client reads %q, %v; handled %d times", got, err, handled)
 		}
 		_ = conn.Close()
 		server.Close(time.Minute)
 	}
 }
 
-// TestServer_ManyIncompleteRequests_CompleteOneIsServed: clients that never complete their requests have all the connections that there may
-// be. One with a complete request is served, and the server still ends in time.
+// TestServer_ManyIncompleteRequests_CompleteOneIsServed: clients that never complete their requests occupy all permitted connections. A
+// client with a complete request is still served, and Close still ends in time.
 func TestServer_ManyIncompleteRequests_CompleteOneIsServed(t *testing.T) {
 	limited := limits()
 	limited.AnswerWithin = 300 * time.Millisecond
@@ -145,23 +147,23 @@
 	}
 	for incomplete := 0; incomplete < limited.ClientConnections; time.Sleep(time.Millisecond) {
 		incomplete = 0
-		server.each(func(conn *serverConn) {
+		server.forEachConnection(func(conn *serverConn) {
 			if conn.phase == reading {
 				incomplete++
-				conn.since = time.Now().Add(-time.Second) // they have been at it for longer than a client waits
+				conn.since = time.Now().Add(-time.Second) // incomplete for longer than a client waits
 			}
 		})
 	}
 	wiretest.Run(t, wiretest.Dial(t, listener.Addr().String()), "testdata/hurry/served.txt")
 	_ = listener.Close()
-	server.Close(time.Millisecond) // those that have not ended by then are cut off
+	server.Close(time.Millisecond) // closes connections that have not ended by then
 	if len(server.connections) != 0 {
 		t.Errorf("%d connections are left", len(server.connections))
 	}
 }
 
-// TestPool_PeerEndsReusedConnection_CallIsWithheld: the peer ends a reused connection, or writes half a line to it, between the relay's
-// choice of it and the first byte, every time: the question whether it may write does that. Nothing is written, and nothing may have run.
+// TestPool_PeerEndsReusedConnection_CallIsWithheld: the peer always closes a reused connection, or writes to it, after the pool has chosen
+// it and before the first byte, since mayWrite makes the peer do so. The call must not be written, and must end as one that has not run.
 func TestPool_PeerEndsReusedConnection_CallIsWithheld(t *testing.T) {
 	for name, act := range map[string]func(net.Conn){
 		"ends it":       func(c net.Conn) { _ = c.Close() },
@@ -197,7 +199,7 @@
 			mayWrite := func() bool {
 				act(conn)
 				for range 2000 {
-					if !isQuiet(reused.Conn) {
+					if !isOpenAndUnread(reused.Conn) {
 						break
 					}
 					time.Sleep(time.Millisecond)
@@ -205,7 +207,7 @@
 				return true
 			}
 			got := pool.Do(t.Context(), peer, []byte("GET /2 HTTP/1.1\r\n\r\n"), mayWrite, func(r *Response) {
-				t.Errorf("it is answered %d",
+				t.Errorf("the call is answered with status %d, want no answer",
 					r.Status)
 			})
 			if got != Withheld || pool.count != 0 {
@@ -213,21 +215,21 @@
 			}
 			_ = conn.Close()
 			if first := <-requests; first != "/1" || len(requests) != 0 {
-				t.Errorf("the peer had %q and %d more", first, len(requests))
+				t.Errorf("the peer received %q and %d more requests, want only /1", first, len(requests))
 			}
 		})
 	}
 }
 
-// TestPool_CanceledWhileDialing_WritesNothing: a call that is called off while its connection comes up writes nothing, is not asked for,
-// and leaves no connection behind, also where that comes up in the same moment.
+// TestPool_CanceledWhileDialing_WritesNothing: a call that is cancelled while connecting writes nothing, does not call mayWrite, and leaves
+// no connection open, even if the connection is established at the same moment.
 func TestPool_CanceledWhileDialing_WritesNothing(t *testing.T) {
 	l := wiretest.Listen(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	p := NewPool(limits())
 	got := p.Do(ctx, Peer{Address: l.Addr().String()}, []byte("GET / HTTP/1.1\r\n\r\n"), func() bool {
-		t.Error("it is asked whether it may write")
+		t.Error("mayWrite is called for a cancelled call")
 		return true
 	}, nil)
 	if got != Withheld || p.count != 0 {
@@ -235,7 +237,7 @@
 	}
 }
 
-// stalledConn is a connection that is not read before its client has left.
+// stalledConn is a connection whose reads block until its client has left.
 type stalledConn struct {
 	*net.TCPConn
 	left <-chan struct{}
@@ -246,8 +248,8 @@
 	return c.TCPConn.Read(b)
 }
 
-// TestServer_ClientLeft_RequestIsNotHandled: a request is read only after its client has left, every time, as by a relay that was stopped
-// for a while, or has little processor time. Its client hands it in elsewhere: it is not handled, and nothing runs twice for it.
+// TestServer_ClientLeft_RequestIsNotHandled: a request is always read only after its client has left, as by a relay that was stopped for a
+// while or gets little processor time. The client submits the message elsewhere, so handling the request would run it twice.
 func TestServer_ClientLeft_RequestIsNotHandled(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
 		"closed": func(c *net.TCPConn) { _ = c.Close() },
@@ -268,11 +270,11 @@
 		go func() { served.serve(); close(ended) }()
 		_, _ = conn.Write([]byte("POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"))
 		leave(conn)
-		for range 2000 { // until its end has come too
+		for range 2000 { // until the client's close has arrived too
 			var info *unix.TCPInfo
 			socket, _ := raw.(*net.TCPConn).SyscallConn()
 			_ = socket.Control(func(fd uintptr) { info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) })
-			if err == nil && info.State != 1 { // it is not established any more
+			if err == nil && info.State != 1 { // no longer in the state established
 				break
 			}
 			time.Sleep(time.Millisecond)
@@ -282,7 +284,8 @@
 	}
 }
 
-// TestPool_FirstAnswerOnConnection_IsMarked: the first answer on a connection is marked: only that one may reject the connection itself.
+// TestPool_FirstAnswerOnConnection_IsMarked: only the first answer on a connection is marked, since only that one may reject the
+// connection.
 func TestPool_FirstAnswerOnConnection_IsMarked(t *testing.T) {
 	l := wiretest.Listen(t)
 	s := NewServer(limits(), echo)
@@ -292,7 +295,7 @@
 		got := !want
 		stage := p.Do(t.Context(), to, AppendRequest(nil, "GET", "/", "h", nil, nil), nil, func(r *Response) { got = r.FirstOnConnection })
 		if stage != Answered || got != want {
-			t.Errorf("stage %d, fresh %v, want %v", stage, got, want)
+			t.Errorf("stage %d, FirstOnConnection %v, want %v", stage, got, want)
 		}
 	}
 	p.CloseIdle(to)
--- a/internal/relay/httpwire/half_test.go
+++ b/internal/relay/httpwire/half_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestPool_LeaseEndsHalfWritten_GoesOn: a call that was started in time and is half written when its lease ends, as by a process that was
-// stopped in the middle of a write, goes on: its partner gets it once and completely, and nothing new is started.
+// TestPool_LeaseEndsHalfWritten_GoesOn: the lease ends while a request is half written, as by a process that was stopped in the middle of a
+// write. The call, which started in time, continues: its partner gets it once and completely. No new call is started.
 func TestPool_LeaseEndsHalfWritten_GoesOn(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,7 +27,7 @@
 			}
 			first := make([]byte, 1000)
 			_, _ = io.ReadFull(conn, first)
-			close(leaseEnded) // now it is half written, and the lease ends
+			close(leaseEnded) // the request is half written when the lease ends
 			time.Sleep(50 * time.Millisecond)
 			n, _ := io.CopyN(io.Discard, conn, int64(len(request)-len(first)))
 			received <- int(n) + len(first)
@@ -48,15 +48,15 @@
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	if got := pool.Do(ctx, peer, request, mayWrite, func(*Response) {}); got != Answered || asked != 1 {
-		t.Errorf("the call that was half written ends as %v, asked %d times", got, asked)
+		t.Errorf("the half-written call ends at stage %v, mayWrite was called %d times", got, asked)
 	}
 	if n := <-received; n != len(request) {
-		t.Errorf("its partner had %d of %d bytes", n, len(request))
+		t.Errorf("the partner received %d of %d bytes", n, len(request))
 	}
 	if got := pool.Do(ctx, peer, request, mayWrite, func(*Response) {}); got != Withheld {
-		t.Errorf("a call after the lease ends as %v", got)
+		t.Errorf("a call after the end of the lease ends at stage %v, want Withheld", got)
 	}
 	if len(received) != 0 {
-		t.Error("its partner had it twice")
+		t.Error("the partner received a second call")
 	}
 }
