--- a/internal/relay/httpwire/httpwire_test.go
+++ b/internal/relay/httpwire/httpwire_test.go
@@ -35,12 +35,12 @@
 			wiretest.Run(t, conn, file)
 			_ = conn.Close()
 			_ = l.Close()
-			s.Close(time.Minute) // waits for every connection: none may be left behind
+			s.Close(time.Minute) // waits for all connections: none may be left open
 		})
 	}
 }
 
-// ok is a complete answer.
+// ok is a complete answer with a body.
 const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 // callEnds are the ways in which a call can end.
@@ -48,37 +48,37 @@
 	name   string
 	answer func(conn net.Conn, cancel func())
 	want   Stage
-	idle   int // connections that can be reused
+	idle   int // connections that can be reused afterwards
 }{
 	{"answered", func(c net.Conn, _ func()) { _, _ = c.Write([]byte(ok)) }, Answered, 1},
 	{"answered, and closed", func(c net.Conn, _ func()) {
 		_, _ = c.Write([]byte("HTTP/1.1 503 X\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
 	}, Answered, 0},
-	{"more than an answer: the connection is spoilt", func(c net.Conn, _ func()) { _, _ = c.Write([]byte(ok + "x")) }, Answered, 0},
+	{"bytes after the answer: the connection is not reused", func(c net.Conn, _ func()) { _, _ = c.Write([]byte(ok + "x")) }, Answered, 0},
 	{"broken after the last byte", func(c net.Conn, _ func()) { _ = c.Close() }, Broken, 0},
-	{"past provisional answers", func(c net.Conn, _ func()) {
+	{"answered after interim answers", func(c net.Conn, _ func()) {
 		_, _ = c.Write([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n" + ok))
 	}, Answered, 1},
-	{"provisional answers without end", func(c net.Conn, _ func()) {
+	{"too many interim answers", func(c net.Conn, _ func()) {
 		_, _ = c.Write([]byte(strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 9)))
 	}, Broken, 0},
 	{"truncated within the answer", func(c net.Conn, _ func()) { _, _ = c.Write([]byte(ok[:30])); _ = c.Close() }, Malformed, 0},
-	{"noise, and no end of line", func(c net.Conn, _ func()) { _, _ = c.Write([]byte("\x00\x01\xff\xfe noise")) }, Malformed, 0},
-	{"no status", func(c net.Conn, _ func()) { _, _ = c.Write([]byte("HTTP/1.1 2OO OK\r\n\r\n")) }, Malformed, 0},
-	{"unreadable head", func(c net.Conn, _ func()) { _, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n\x00\r\n\r\n")) }, Malformed, 0},
-	{"a head without end", func(c net.Conn, _ func()) {
+	{"not HTTP, and no end of line", func(c net.Conn, _ func()) { _, _ = c.Write([]byte("\x00\x01\xff\xfe noise")) }, Malformed, 0},
+	{"malformed status", func(c net.Conn, _ func()) { _, _ = c.Write([]byte("HTTP/1.1 2OO OK\r\n\r\n")) }, Malformed, 0},
+	{"malformed header", func(c net.Conn, _ func()) { _, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n\x00\r\n\r\n")) }, Malformed, 0},
+	{"endless header", func(c net.Conn, _ func()) {
 		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 4<<10)))
 	}, Malformed, 0},
-	{"3 GB to come", func(c net.Conn, _ func()) {
+	{"announced body of 3 GB", func(c net.Conn, _ func()) {
 		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nxxxx"))
 	}, Malformed, 0},
-	{"less than its length", func(c net.Conn, _ func()) {
+	{"body shorter than its length", func(c net.Conn, _ func()) {
 		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"))
 	}, Malformed, 0},
-	{"called off", func(_ net.Conn, cancel func()) { cancel() }, Canceled, 0},
+	{"cancelled", func(_ net.Conn, cancel func()) { cancel() }, Canceled, 0},
 }
 
-// TestPool_EveryEnd_HasItsStage distinguishes the ways in which a call can end, which decide whether the message may be retried.
+// TestPool_EveryEnd_HasItsStage: each way in which a call can end has its stage, which decides whether the message may be retried.
 func TestPool_EveryEnd_HasItsStage(t *testing.T) {
 	for _, test := range callEnds {
 		t.Run(test.name, func(t *testing.T) {
@@ -95,7 +95,7 @@
 				}
 			}()
 			limited := limits()
-			limited.AnswerRead = 100 * time.Millisecond // only "less than its length" waits for it
+			limited.AnswerRead = 100 * time.Millisecond // only "body shorter than its length" waits for it
 			pool := NewPool(limited)
 			address := listener.Addr().String()
 			got := pool.Do(ctx, Peer{Address: address}, AppendRequest(nil, "POST", "/", address, nil, []byte("hi")), nil, func(*Response) {})
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestPool_LateConnection_WritesNothing guards against a call that leaves after its window, or though its destination has asked to wait
-// meanwhile, because its connection came up late.
+// TestPool_LateConnection_WritesNothing: if mayWrite returns false once the connection is established, nothing is written. The call's
+// window may be over by then, or its destination may have throttled the relay.
 func TestPool_LateConnection_WritesNothing(t *testing.T) {
 	l := wiretest.Listen(t)
 	address := l.Addr().String()
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestPool_StaleConnection_RetriesOnNew guards against a request on a kept connection that the other side has closed: it would be lost
-// with the message, and may not be sent again without the core's knowing.
+// TestPool_StaleConnection_RetriesOnNew: a request must not be written to an idle connection that the peer has closed: it would be lost,
+// and the pool may not send a request again by itself.
 func TestPool_StaleConnection_RetriesOnNew(t *testing.T) {
 	listener := wiretest.Listen(t)
 	closed := make(chan struct{})
@@ -150,7 +150,7 @@
 	for range 2 {
 		if got := pool.Do(context.Background(), Peer{Address: address}, request, nil, func(r *Response) {
 			if !r.FirstOnConnection {
-				t.Error("the first answer on its connection is not marked")
+				t.Error("the answer is not marked as the first on a new connection")
 			}
 		}); got != Answered {
 			t.Fatalf("stage %d, want an answer", got)
@@ -189,18 +189,19 @@
 	}
 }
 
-// TestPool_AddressReused_OldConnectionIsNotUsed guards against a call to a new machine on a connection to the one that had its address before.
+// TestPool_AddressReused_OldConnectionIsNotUsed: a call to a new machine must not use a connection to the machine that had its address
+// before.
 func TestPool_AddressReused_OldConnectionIsNotUsed(t *testing.T) {
 	p := NewPool(limits())
 	old, _ := net.Pipe()
 	p.keep(Peer{"s-1", "h:1"}, &clientConn{Conn: old})
 	if p.take(Peer{"s-2", "h:1"}) != nil || p.take(Peer{"s-1", "h:1"}) == nil {
-		t.Error("want the connection reused for s-1 alone")
+		t.Error("want the connection reused only for s-1")
 	}
 }
 
-// TestPool_IdleConnectionLost_ShorterTrust guards against machines that drop idle connections without a word: what stood idle for as long as one
-// on which a call was lost is not used, for a while.
+// TestPool_IdleConnectionLost_ShorterTrust: some machines drop idle connections silently. After a call was lost on an idle connection,
+// connections that have been idle for as long are not used for a while.
 func TestPool_IdleConnectionLost_ShorterTrust(t *testing.T) {
 	limited := limits()
 	limited.IdleTrustMin, limited.IdleTrustDoubling = 100*time.Millisecond, time.Hour
@@ -224,15 +225,15 @@
 		t.Error("want 30 s usable before the loss, and after it 10 s but not 20 s")
 	}
 	if pool.reduceTrust(time.Millisecond); !usable(50 * time.Millisecond) {
-		t.Error("a connection used a moment ago is not trusted")
+		t.Error("a connection that was idle for less than IdleTrustMin is not used")
 	}
 	if pool.idleTrustAt = time.Now().Add(-3 * time.Hour); !usable(700*time.Millisecond) || usable(900*time.Millisecond) {
-		t.Error("want 8 times as long trusted after three hours")
+		t.Error("want 8 times the idle time trusted after three hours")
 	}
 }
 
-// TestServer_TooManyConnections_ClosesLeastUseful guards against idle clients that shut out others: connections are closed in the order of the
-// list, and never one whose request is being answered or has just begun to arrive.
+// TestServer_TooManyConnections_ClosesLeastUseful: idle clients must not shut out others. Connections are evicted in the order in which
+// they are added below, but never one whose request is being answered or has just begun to arrive.
 func TestServer_TooManyConnections_ClosesLeastUseful(t *testing.T) {
 	limited := limits()
 	limited.AnswerWithin = 300 * time.Millisecond
@@ -247,15 +248,15 @@
 	}
 	add(lingering, true, time.Second)
 	add(lingering, true, time.Millisecond)
-	add(idle, false, time.Millisecond) // has never asked for anything
+	add(idle, false, time.Millisecond) // has never sent a complete request
 	add(idle, true, time.Hour)
 	add(idle, true, time.Minute)
-	add(reading, false, time.Second) // its client does not wait any longer
+	add(reading, false, time.Second) // its client no longer waits
 	closable := len(want)
 	add(reading, true, 0)
 	add(answering, true, time.Hour)
 	if limited.ClientConnections != len(want) {
-		t.Fatalf("room for %d, want %d", limited.ClientConnections, len(want))
+		t.Fatalf("the limit is %d connections, want %d", limited.ClientConnections, len(want))
 	}
 	for i, evicted := range want[:closable] {
 		conn, _ := net.Pipe()
@@ -270,11 +271,11 @@
 		t.Error("a connection is admitted beyond the limit")
 	}
 	if _, err := other.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("it ends with %v", err)
+		t.Errorf("the refused connection ends with %v, want io.EOF", err)
 	}
 }
 
-// TestServer_SilentClients_AreClosed guards against clients that say nothing, or begin and never end: both are closed by themselves.
+// TestServer_SilentClients_AreClosed: connections of clients that send nothing, or never complete a request, are closed after a time-out.
 func TestServer_SilentClients_AreClosed(t *testing.T) {
 	limited := limits()
 	limited.FrontIdle, limited.FrontRead = 20*time.Millisecond, 40*time.Millisecond
@@ -294,7 +295,7 @@
 		for range 4 {
 			p, err := r.ReadResponse()
 			if p != nil && (p.Status < 100 || p.Status > 999 || len(p.Body) > len(in)) {
-				t.Errorf("status %d with a body of %d bytes out of %d", p.Status, len(p.Body), len(in))
+				t.Errorf("status %d with a body of %d bytes parsed from %d bytes", p.Status, len(p.Body), len(in))
 			}
 			if err != nil {
 				return
@@ -314,7 +315,7 @@
 				return
 			}
 			if q.Method == "" || len(q.Body) > limits().BodySize || len(q.Body) > len(in) {
-				t.Errorf("%q with a body of %d bytes out of %d", q.Method, len(q.Body), len(in))
+				t.Errorf("method %q with a body of %d bytes parsed from %d bytes", q.Method, len(q.Body), len(in))
 			}
 		}
 	})
--- a/internal/relay/httpwire/peek.go
+++ b/internal/relay/httpwire/peek.go
@@ -6,20 +6,21 @@
 	"syscall"
 )
 
-// isQuiet reports whether an idle connection is still open and has nothing to read.
-func isQuiet(c net.Conn) bool {
+// isOpenAndUnread reports whether a connection is open and has no bytes to read.
+func isOpenAndUnread(c net.Conn) bool {
 	_, err := peek(c)
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// peerClosed reports whether the peer has ended the connection, or its sending, and nothing is left to read before that.
+// peerClosed reports whether the peer has closed the connection or its sending side, and no bytes are left to read.
 func peerClosed(c net.Conn) bool {
 	n, err := peek(c)
 	return n == 0 && !errors.Is(err, syscall.EAGAIN)
 }
 
-// peek returns how many bytes, of one, could be read from a connection, without waiting for anything, not even for a goroutine that reads it.
-// EAGAIN: there are none, and the connection is open; one that is not a socket always counts as that.
+// peek returns 1 if a byte can be read from a connection, without consuming it, else 0. It does not block, not even while another goroutine
+// reads from the connection. The error is EAGAIN if the connection is open and has no bytes; a connection that is not a socket always
+// counts as that.
 func peek(c net.Conn) (n int, err error) {
 	socket, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/relay/httpwire/pool.go
+++ b/internal/relay/httpwire/pool.go
@@ -10,24 +10,25 @@
 	"mastusher/internal/relay/config"
 )
 
-// Peer is a machine to call, by a unique name and its host and port. One that takes over another's address is another peer, and is not called
-// on the connections of the other.
+// Peer is a machine to call: its unique name, and its host and port. A machine that takes over another's address is a different peer, and
+// is not called on the other's connections.
 type Peer struct{ Name, Address string }
 
 // Pool makes calls and reuses connections for later ones. It never sends a request twice.
 type Pool struct {
 	limits *config.Limits
-	mu     sync.Mutex // guards all that follows
-	// idle has the idle connections to each peer, the one used last at the end.
+	mu     sync.Mutex // guards the fields below
+	// idle has the idle connections to each peer, the most recently used one last.
 	idle  map[Peer][]*clientConn
-	count int // of idle connections, to all peers
-	// Some machines drop idle connections silently, so that a request on one is lost, and may have run. A connection that was idle for
-	// longer than idleTrust is not used; it shrinks with each loss and doubles in IdleTrustDoubling. 0: none has been lost.
+	count int // number of idle connections to all peers
+	// Some machines drop idle connections silently: a request on such a connection is lost, but counts as one that may have run.
+	// Connections that have been idle for longer than idleTrust are therefore not used. It shrinks with each loss and doubles every
+	// IdleTrustDoubling; 0 means that no connection has been lost.
 	idleTrust   time.Duration
 	idleTrustAt time.Time // when idleTrust was set
 }
 
-// clientConn is one connection to a peer. It belongs to the pool while it is idle, and to one call otherwise.
+// clientConn is one connection to a peer, owned by the pool while it is idle and otherwise by one call.
 type clientConn struct {
 	net.Conn
 	reader    *Reader
@@ -40,7 +41,7 @@
 	return &Pool{limits: limits, idle: map[Peer][]*clientConn{}}
 }
 
-// trustedIdle is how long a connection may have been idle to be used.
+// trustedIdle returns how long a connection may have been idle and still be used.
 func (p *Pool) trustedIdle(now time.Time) time.Duration {
 	if p.idleTrust == 0 {
 		return p.limits.IdleSocket
@@ -49,7 +50,7 @@
 	return time.Duration(min(grown, float64(p.limits.IdleSocket)))
 }
 
-// reduceTrust records that a call on a connection that had been idle for so long was lost.
+// reduceTrust reduces idleTrust after a call was lost on a connection that had been idle for the given time.
 func (p *Pool) reduceTrust(idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,8 +58,8 @@
 	p.idleTrust, p.idleTrustAt = max(min(p.trustedIdle(now), idle*3/4), p.limits.IdleTrustMin), now
 }
 
-// take returns an idle connection that is still usable, or nil. Those that were idle for too long, or that the peer has closed or written to,
-// are closed here: a request on one of them would be lost.
+// take removes and returns a usable idle connection, or nil. It closes those that have been idle for too long, or that the peer has closed
+// or written to: a request on them would be lost.
 func (p *Pool) take(peer Peer) *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,7 +68,7 @@
 		list = list[:len(list)-1]
 		p.idle[peer] = list
 		p.count--
-		if time.Since(c.idleSince) < p.trustedIdle(time.Now()) && isQuiet(c.Conn) {
+		if time.Since(c.idleSince) < p.trustedIdle(time.Now()) && isOpenAndUnread(c.Conn) {
 			return c
 		}
 		_ = c.Close()
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// keep stores a connection for a later call, or closes it where there are enough idle ones.
+// keep stores a connection for later calls, or closes it if there are enough idle ones.
 func (p *Pool) keep(peer Peer, c *clientConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,7 +89,7 @@
 	p.count++
 }
 
-// CloseIdle closes the idle connections to a peer; with the zero Peer, those to all peers that have been idle for IdleSocket.
+// CloseIdle closes the idle connections to a peer; with the zero Peer, those to any peer that have been idle for IdleSocket.
 func (p *Pool) CloseIdle(to Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/relay/httpwire/request.go
+++ b/internal/relay/httpwire/request.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// ReadRequest reads one request. sendContinue, unless nil, is called where the client expects "100 Continue" before it sends the body. It returns
-// an Error for a malformed request.
+// ReadRequest reads one request. sendContinue, unless nil, is called if the client expects "100 Continue" before it sends the body. The
+// error is an *Error if the request is malformed.
 func (r *Reader) ReadRequest(sendContinue func() error) (*Request, error) {
 	r.next()
 	requestLine, header, err := r.head()
@@ -18,7 +18,7 @@
 	if !ok || method == "" || path == "" || path[0] != '/' || !strings.HasPrefix(proto, "HTTP/1.") {
 		return nil, &Error{400, "malformed request line"}
 	}
-	request := &Request{Method: method, Path: path, Header: header, Close: lastOnConnection(header, proto)}
+	request := &Request{Method: method, Path: path, Header: header, Close: endsConnection(header, proto)}
 	if sendContinue != nil && strings.EqualFold(header.Get("Expect"), "100-continue") {
 		if err = sendContinue(); err != nil {
 			return nil, err
@@ -28,8 +28,8 @@
 	return request, err
 }
 
-// lastOnConnection reports whether the connection ends with a message of this header and protocol version.
-func lastOnConnection(header textproto.MIMEHeader, proto string) bool {
+// endsConnection reports whether a message with this header and protocol version is the last on its connection.
+func endsConnection(header textproto.MIMEHeader, proto string) bool {
 	connection := strings.ToLower(header.Get("Connection"))
 	return strings.Contains(connection, "close") || proto == "HTTP/1.0" && !strings.Contains(connection, "keep-alive")
 }
--- a/internal/relay/httpwire/response.go
+++ b/internal/relay/httpwire/response.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// ReadResponse reads one answer, interim or final. Beside an error it returns an answer that has the status alone, if the status line could be
-// read, else nil.
+// ReadResponse reads one answer, interim or final. With an error it returns an incomplete answer if the status line could be read, of which
+// only the status is usable, else nil.
 func (r *Reader) ReadResponse() (*Response, error) {
 	p, err := r.responseHead()
 	if err == nil && p.Status >= 200 && p.Status != 204 && p.Status != 304 {
@@ -21,10 +21,10 @@
 	const protocol = "HTTP/1."
 	if b, err := r.buffer.Peek(len(protocol)); err != nil {
 		return nil, err
-	} else if string(b) != protocol { // noise: its line may never end
-		return nil, &Error{502, "not an answer"}
+	} else if string(b) != protocol { // not HTTP: waiting for the end of a line could take forever
+		return nil, &Error{502, "answer does not start with HTTP/1."}
 	}
-	// Not textproto's ReadLine: it accepts a line that the end of the connection has truncated, and half of one may say 200.
+	// textproto's ReadLine is not used: it accepts a line that was truncated by the end of the connection, and such a line may contain 200.
 	text, err := r.buffer.ReadSlice('\n')
 	if err != nil {
 		return nil, unexpectedEOF(err)
@@ -32,7 +32,7 @@
 	proto, rest, _ := strings.Cut(strings.TrimRight(string(text), "\r\n"), " ")
 	code, reason, _ := strings.Cut(rest, " ")
 	status, err := strconv.ParseUint(code, 10, 16)
-	// Half a line of a former answer, or an unsolicited one, may run on into the status line: its status is not the answer's.
+	// The rest of an earlier answer, or an unsolicited one, may precede the status line on the same line: its status is not this answer's.
 	if err != nil || len(code) != 3 || status < 100 || len(proto) != len("HTTP/1.1") || strings.Contains(reason, "HTTP/") {
 		return nil, &Error{502, "malformed status line"}
 	}
@@ -40,9 +40,9 @@
 	if p.Header, err = r.header(); err != nil {
 		return p, err
 	}
-	p.Close = lastOnConnection(p.Header, proto)
+	p.Close = endsConnection(p.Header, proto)
 	if len(p.Header["Content-Length"]) == 0 && len(p.Header["Transfer-Encoding"]) == 0 && status >= 200 && status != 204 {
-		p.Close = true // its body ends with the connection
+		p.Close = true // the body ends with the connection
 	}
 	return p, nil
 }
--- a/internal/relay/httpwire/server.go
+++ b/internal/relay/httpwire/server.go
@@ -10,22 +10,23 @@
 	"mastusher/internal/relay/config"
 )
 
-// Handler answers one request, whose bytes it may use until it returns. It is called on the goroutine of the request's connection.
+// Handler answers one request, whose bytes are valid until it returns. It is called by the goroutine of the request's connection.
 type Handler func(*Request) Answer
 
 // Server serves clients' connections.
 type Server struct {
 	limits             *config.Limits
 	handle             Handler
-	closing            atomic.Bool // connections end between requests
-	keepAlivesDisabled atomic.Bool // every answer is its connection's last
+	closing            atomic.Bool // idle connections end, the others after their current answer
+	keepAlivesDisabled atomic.Bool // each answer is the last on its connection
 
-	mu          sync.Mutex // guards connections, and of each its phase, served and since
+	mu          sync.Mutex // guards connections, and the fields phase, served and since of each
 	connections map[*serverConn]bool
-	done        sync.WaitGroup // of the connections' goroutines
+	done        sync.WaitGroup // waits for the connections' goroutines
 }
 
-// NewServer returns a server that answers requests by handle, with one goroutine a connection, Limits.ClientConnections at most.
+// NewServer returns a server that answers requests by handle, on one goroutine per connection and at most Limits.ClientConnections
+// connections.
 func NewServer(limits *config.Limits, handle Handler) *Server {
 	return &Server{limits: limits, handle: handle, connections: map[*serverConn]bool{}}
 }
@@ -38,7 +39,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			time.Sleep(5 * time.Millisecond) // out of descriptors for the moment
+			time.Sleep(5 * time.Millisecond) // probably out of file descriptors for the moment
 			continue
 		}
 		if c := s.admit(conn); c != nil {
@@ -47,7 +48,7 @@
 	}
 }
 
-// admit adds a connection. Where there are too many it closes another one for it, see leastUseful, or the new one itself; nil: that.
+// admit adds a connection. If there are too many, it evicts the one that leastUseful selects, or else closes conn and returns nil.
 func (s *Server) admit(conn net.Conn) *serverConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,10 +68,9 @@
 	return c
 }
 
-// leastUseful is the connection to be closed where there are too many: of those that are lingering, the one that has been for the longest
-// time; else of those that are idle, first those that never had a request, the one that has been for the longest time; else the one whose
-// request has been incomplete for longer than its client can wait; nil: none. Many clients that send nothing, or never complete a request,
-// must not keep out those that do.
+// leastUseful returns the connection to evict if there are too many, or nil if none may be closed. It prefers the connection that has been
+// lingering for longest; then the longest idle one, first among those that never had a request; then one whose request has been incomplete
+// for longer than its client waits. So clients that send nothing, or never complete a request, can't shut out others.
 func (s *Server) leastUseful(now time.Time) (candidate *serverConn) {
 	for c := range s.connections {
 		if (candidate == nil || c.closesBefore(candidate)) && c.closable(now, s.limits.AnswerWithin) {
@@ -80,25 +80,25 @@
 	return candidate
 }
 
-// DisableKeepAlives makes every answer from now on the last of its connection; new connections are still served.
+// DisableKeepAlives makes every answer from now on the last on its connection; new connections are still served.
 func (s *Server) DisableKeepAlives() { s.keepAlivesDisabled.Store(true) }
 
-// Close ends the connections: the idle ones at once, the others after the answer to the current request, all of them within the time-out. It
-// returns when all their goroutines have. The listener must be closed before.
+// Close ends the connections: idle ones at once, the others after the answer to their current request, but all of them within the time-out.
+// It returns when all of their goroutines have ended. The listener must be closed before.
 func (s *Server) Close(timeout time.Duration) {
 	s.closing.Store(true)
-	s.each(func(c *serverConn) {
+	s.forEachConnection(func(c *serverConn) {
 		if c.phase == idle {
-			_ = c.SetReadDeadline(past) // serve ends it
+			_ = c.SetReadDeadline(past) // ends the read in serve
 		}
 	})
-	late := time.AfterFunc(timeout, func() { s.each(func(c *serverConn) { _ = c.Conn.Close() }) })
+	late := time.AfterFunc(timeout, func() { s.forEachConnection(func(c *serverConn) { _ = c.Conn.Close() }) })
 	s.done.Wait()
 	late.Stop()
 }
 
-// each calls do for all connections, under the lock.
-func (s *Server) each(do func(*serverConn)) {
+// forEachConnection calls do for all connections, with mu locked.
+func (s *Server) forEachConnection(do func(*serverConn)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.connections {
@@ -106,7 +106,7 @@
 	}
 }
 
-// crowded reports whether there are nearly as many connections as there may be.
+// crowded reports whether more than three quarters of the permitted connections are open.
 func (s *Server) crowded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/relay/httpwire/stream.go
+++ b/internal/relay/httpwire/stream.go
@@ -12,15 +12,15 @@
 	"mastusher/internal/relay/config"
 )
 
-// Stream is an answer whose body comes line by line, for as long as its connection lasts. Next must not be called by two goroutines at once;
-// Close may be called meanwhile.
+// Stream is an answer whose body is read line by line until its connection ends. Next must not be called by two goroutines at once; Close
+// may be called concurrently.
 type Stream struct {
 	conn  net.Conn
 	lines *bufio.Scanner
 }
 
-// OpenStream makes a call on a connection of its own. It returns an Error with the status where the answer is not 200, and fails unless the head
-// comes within WatchTimeout. ctx only bounds the connecting.
+// OpenStream makes a call on a new connection. It returns an *Error with the status if the answer is not 200, and fails if the head does
+// not arrive within WatchTimeout. ctx bounds only the connecting.
 func OpenStream(ctx context.Context, address string, request []byte, limits *config.Limits) (*Stream, error) {
 	dialer := net.Dialer{Timeout: limits.ConnectTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -40,7 +40,7 @@
 		_ = conn.Close()
 		return nil, err
 	}
-	r.limited.left = math.MaxInt // a stream has no end; its lines are bounded
+	r.limited.left = math.MaxInt // only the lines of a stream are bounded
 	var from io.Reader = r.buffer
 	if answer.Header.Get("Transfer-Encoding") != "" {
 		from = httputil.NewChunkedReader(r.buffer)
@@ -50,8 +50,8 @@
 	return s, nil
 }
 
-// Next returns the next line, without its end, which is valid until the next call. It fails unless the complete line has come by the deadline;
-// io.EOF: the stream has ended.
+// Next returns the next line without its line end, valid until the next call. It fails if the line is not complete by the deadline; the
+// error is io.EOF if the stream has ended.
 func (s *Stream) Next(deadline time.Time) ([]byte, error) {
 	_ = s.conn.SetReadDeadline(deadline)
 	if s.lines.Scan() {
--- a/internal/relay/platform/attempt.go
+++ b/internal/relay/platform/attempt.go
@@ -14,7 +14,7 @@
 	"mastusher/internal/relay/httpwire"
 )
 
-// Call implements engine.Front: it makes a single call, or a bulk call where the attempt carries several messages.
+// Call implements engine.Front: it makes a single call, or a bulk call if the attempt carries several messages.
 func (f *Front) Call(ctx context.Context, attempt *engine.Attempt) []engine.Outcome {
 	outcomes := make([]engine.Outcome, len(attempt.Items))
 	stage := f.pool.Do(ctx, peer(&attempt.To), f.request(attempt), attempt.MayWrite, func(answer *httpwire.Response) {
@@ -22,7 +22,7 @@
 		f.outcomes(answer, attempt, outcomes)
 	})
 	if result, failed := StageResult(stage); failed {
-		// The status line suffices for one message; the outcomes of several are in the body.
+		// The status line suffices for a single message; the outcomes of several are in the body.
 		if stage == httpwire.Malformed && len(outcomes) == 1 && outcomes[0].Result == control.Delivered {
 			result = control.Delivered
 		}
@@ -33,7 +33,7 @@
 	return outcomes
 }
 
-// StageResult returns the result of a call that got no usable answer; false: it got one.
+// StageResult returns the result of a call without a usable answer; false if the call was answered.
 func StageResult(stage httpwire.Stage) (control.Result, bool) {
 	switch stage {
 	case httpwire.Malformed:
@@ -85,7 +85,7 @@
 	return httpwire.AppendRequest(nil, "POST", "/inbox/bulk", attempt.To.Address, header, body)
 }
 
-// outcomes sets the outcome of each item by an answer.
+// outcomes sets the outcome of each item from an answer.
 func (f *Front) outcomes(answer *httpwire.Response, attempt *engine.Attempt, outcomes []engine.Outcome) {
 	all := answerOutcome(answer)
 	f.readLoad(answer.Header.Get("X-Server-Load"), &all)
@@ -97,7 +97,7 @@
 	}
 }
 
-// answerOutcome is the outcome that the head of an answer means, for all messages of its call.
+// answerOutcome returns the outcome that the status and headers of an answer stand for, for all messages of its call.
 func answerOutcome(answer *httpwire.Response) (o engine.Outcome) {
 	o.RetryAfter = RetryAfter(answer.Header.Get("Retry-After"))
 	switch answer.Status {
@@ -108,8 +108,8 @@
 		case answer.Header.Get("X-No-Slot") != "":
 			o.Result = control.NotProcessed
 		case answer.Status == 503 && answer.Close && answer.FirstOnConnection && o.RetryAfter == 0:
-			// The connection itself was rejected: the endpoint has as many as it takes, idle ones counted. That is no limit on calls;
-			// what helps is to close the ones that are not in use.
+			// The endpoint has rejected the connection, not the call: it has reached its limit of connections, including idle ones. The
+			// remedy is to close idle connections, not to call less often.
 			o.Result = control.NoConnection
 		}
 	case 504, 400, 413: // the call has not run
@@ -122,12 +122,12 @@
 	return o
 }
 
-// bulkOutcomes sets outcomes by the body of a bulk call's answer. An item that the body does not name may have run.
+// bulkOutcomes sets outcomes from the body of a bulk call's answer. An item that is not in the body may have run.
 func bulkOutcomes(body []byte, attempt *engine.Attempt, outcomes []engine.Outcome) {
 	for i := range outcomes {
 		outcomes[i].Result = control.Malformed
 	}
-	if !gjson.ValidBytes(body) { // gjson would read as much as it can
+	if !gjson.ValidBytes(body) { // gjson would read the valid part
 		return
 	}
 	gjson.ParseBytes(body).ForEach(func(_, element gjson.Result) bool {
@@ -153,7 +153,8 @@
 	})
 }
 
-// RetryAfter parses a Retry-After header in seconds, integral or decimal; 0: there is none, or it can't be meant: one of over an hour.
+// RetryAfter parses a Retry-After header in seconds, integral or decimal. It returns 0 if the header is missing, malformed or implausible:
+// over an hour.
 func RetryAfter(header string) time.Duration {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(header), 64)
 	if err != nil || !(seconds > 0 && seconds <= 3600) {
@@ -162,10 +163,10 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// maxReported is the largest value of a load report that can be meant.
-const maxReported = 1e6
+// maxLoadValue is the largest plausible value in a load report.
+const maxLoadValue = 1e6
 
-// readLoad parses a load report, such as "TEXT x0=0.4, x1=25", into Share and Limit. Reported is set where both are there.
+// readLoad parses a load report, such as "TEXT x0=0.4, x1=25", into Share and Limit, and sets Reported if it has both.
 func (f *Front) readLoad(report string, outcome *engine.Outcome) {
 	report, ok := strings.CutPrefix(report, "TEXT ")
 	if !ok || f.settings.Reports.Share < 0 || f.settings.Reports.Limit < 0 {
@@ -176,7 +177,7 @@
 		name, number, _ := strings.Cut(strings.TrimSpace(field), "=")
 		value, err := strconv.ParseFloat(number, 64)
 		switch {
-		case err != nil || !(value >= 0 && value <= maxReported): // NaN too
+		case err != nil || !(value >= 0 && value <= maxLoadValue): // NaN too
 		case name == "x0":
 			outcome.Share, found = value, found|1
 		case name == "x1":
--- a/internal/relay/platform/attempt_test.go
+++ b/internal/relay/platform/attempt_test.go
@@ -17,7 +17,7 @@
 	"mastusher/internal/relay/wiretest"
 )
 
-// header returns headers of one value each.
+// header returns a header with one value per name.
 func header(namesAndValues ...string) map[string][]string {
 	all := map[string][]string{}
 	for i := 0; i < len(namesAndValues); i += 2 {
@@ -26,7 +26,8 @@
 	return all
 }
 
-// TestFront_EveryAnswer_HasItsOutcome reads every answer that a destination may give, which decides whether a message may be retried.
+// TestFront_EveryAnswer_HasItsOutcome: each kind of answer is converted to the right outcome, which decides whether a message may be
+// retried.
 func TestFront_EveryAnswer_HasItsOutcome(t *testing.T) {
 	front := New(configure(t, "-", "-"), nil)
 	one := &engine.Attempt{Items: []engine.Item{{ID: "a"}}}
@@ -39,38 +40,38 @@
 		header  map[string][]string
 		body    string
 		want    outs
-		close   bool // the connection ends with it
-		reused  bool // it is not the first one on its connection
+		close   bool // the connection ends with the answer
+		reused  bool // the answer is not the first on its connection
 	}{
 		{"delivered", one, 200, nil, "", outs{{Result: control.Delivered}}, false, false},
 		{"with a report", one, 200, header("X-Server-Load", "TEXT x0=0.4, x1=25"), "",
 			outs{{Result: control.Delivered, Reported: true, Share: 0.4, Limit: 25}}, false, false},
 		{"with half a report", one, 200, header("X-Server-Load", "TEXT x0=0.4"), "", outs{{Result: control.Delivered, Share: 0.4}}, false, false},
 		{"error", one, 500, nil, "", outs{{Result: control.Errored}}, false, false},
-		{"told to wait", one, 429, header("Retry-After", "0.43"), "", outs{{Result: control.Throttled, RetryAfter: 430 * time.Millisecond}},
+		{"throttled with Retry-After", one, 429, header("Retry-After", "0.43"), "", outs{{Result: control.Throttled, RetryAfter: 430 * time.Millisecond}},
 			false, false},
-		{"shut", one, 503, nil, "", outs{{Result: control.Throttled}}, false, false},
+		{"throttled", one, 503, nil, "", outs{{Result: control.Throttled}}, false, false},
 		{"no slot", one, 503, header("X-No-Slot", "1"), "", outs{{Result: control.NotProcessed}}, false, false},
 		{"attempts used up", one, 504, nil, "", outs{{Result: control.NotProcessed}}, false, false},
-		{"over", one, 410, nil, "", outs{{Result: control.NotProcessed, Final: true}}, false, false},
-		{"all alike", two, 500, nil, "", outs{{Result: control.Errored}, {Result: control.Errored}}, false, false},
-		{"each by itself", two, 200, header("Retry-After", "1"), `[{"id":"b","state":"delivered"},{"id":"a","state":"refused"}]`,
+		{"final", one, 410, nil, "", outs{{Result: control.NotProcessed, Final: true}}, false, false},
+		{"bulk call, one status for all", two, 500, nil, "", outs{{Result: control.Errored}, {Result: control.Errored}}, false, false},
+		{"bulk call, a state each", two, 200, header("Retry-After", "1"), `[{"id":"b","state":"delivered"},{"id":"a","state":"refused"}]`,
 			outs{{Result: control.Throttled, RetryAfter: time.Second}, {Result: control.Delivered, RetryAfter: time.Second}}, false, false},
 		{"over and spent", two, 200, nil, `[{"id":"a","state":"over"},{"id":"b","state":"spent"}]`,
 			outs{{Result: control.NotProcessed, Final: true}, {Result: control.NotProcessed}}, false, false},
-		{"not named: may have run", two, 200, nil, `[{"id":"a","state":"failed"}]`,
+		{"missing in the body: may have run", two, 200, nil, `[{"id":"a","state":"failed"}]`,
 			outs{{Result: control.Errored}, {Result: control.Malformed}}, false, false},
 		{"broken JSON", two, 200, nil, `[{"id":"a","state":"delivered"},{"id":"b","sta`,
 			outs{{Result: control.Malformed}, {Result: control.Malformed}}, false, false},
-		{"values that are no numbers", one, 429, header("Retry-After", "Inf", "X-Server-Load", "TEXT x0=NaN, x1=-5"), "",
+		{"values that are not numbers", one, 429, header("Retry-After", "Inf", "X-Server-Load", "TEXT x0=NaN, x1=-5"), "",
 			outs{{Result: control.Throttled}}, false, false},
-		{"an absurd wait", one, 503, header("Retry-After", "1e300", "X-Server-Load", "TEXT x0=0.1, x1=1e300"), "",
+		{"implausible Retry-After", one, 503, header("Retry-After", "1e300", "X-Server-Load", "TEXT x0=0.1, x1=1e300"), "",
 			outs{{Result: control.Throttled, Share: 0.1}}, false, false},
-		{"its connection is rejected", one, 503, nil, "", outs{{Result: control.NoConnection}}, true, false},
-		{"shut, on a reused connection", one, 503, nil, "", outs{{Result: control.Throttled}}, true, true},
-		{"told to wait, and the end", one, 503, header("Retry-After", "1"), "", outs{{Result: control.Throttled, RetryAfter: time.Second}},
+		{"connection rejected", one, 503, nil, "", outs{{Result: control.NoConnection}}, true, false},
+		{"throttled, on a reused connection", one, 503, nil, "", outs{{Result: control.Throttled}}, true, true},
+		{"throttled with Retry-After, connection closed", one, 503, header("Retry-After", "1"), "", outs{{Result: control.Throttled, RetryAfter: time.Second}},
 			true, false},
-		{"above the limit, and the end", one, 429, nil, "", outs{{Result: control.Throttled}}, true, false},
+		{"rate limit exceeded, connection closed", one, 429, nil, "", outs{{Result: control.Throttled}}, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			got := make(outs, len(test.attempt.Items))
@@ -83,7 +84,7 @@
 	}
 }
 
-// TestFront_MalformedAnswer_StatusOfSingleCallCounts: of a malformed answer the status line counts, and only for a call of one message.
+// TestFront_MalformedAnswer_StatusOfSingleCallCounts: the status of a malformed answer is used, but only for a call of one message.
 func TestFront_MalformedAnswer_StatusOfSingleCallCounts(t *testing.T) {
 	one, two := []engine.Item{{ID: "a"}}, []engine.Item{{ID: "a"}, {ID: "b"}}
 	for _, test := range []struct {
@@ -106,13 +107,13 @@
 	}
 }
 
-// TestFront_AnswerTruncatedInStatus_MayHaveRun: an endpoint's answer stops at each byte of its first line, and the connection ends, is
-// reset, falls silent, or goes on with another answer, as where half a line was left over. Only a complete line is an answer: half of one
-// that begins with "HTTP/1.1 200" was taken for a delivery, and the message was lost.
+// TestFront_AnswerTruncatedInStatus_MayHaveRun: an endpoint's answer stops after each byte of its status line; then the connection ends, is
+// reset, is silent, or continues with another answer. Only a complete status line may count as an answer: taking a truncated
+// "HTTP/1.1 200" for a delivery loses the message.
 func TestFront_AnswerTruncatedInStatus_MayHaveRun(t *testing.T) {
 	const statusLine = "HTTP/1.1 200 OK\r\n"
 	cfg := configure(t, "-", "-")
-	cfg.Limits.AnswerRead = 30 * time.Millisecond // only what falls silent waits for it
+	cfg.Limits.AnswerRead = 30 * time.Millisecond // only the silent connection waits for it
 	for size := 1; size <= len(statusLine); size++ {
 		for _, how := range []string{"ends", "is reset", "falls silent", "goes on with another answer"} {
 			listener := wiretest.Listen(t)
@@ -132,7 +133,7 @@
 			got := New(cfg, nil).Call(t.Context(), attempt)[0].Result
 			close(read)
 			_ = listener.Close()
-			// A reset may overtake what was written before it.
+			// A reset may arrive before the bytes written ahead of it.
 			if complete := size == len(statusLine); complete != (got == control.Delivered) && !(how == "is reset" &&
 				got == control.Reset) || !complete && got.NeverRan() {
 				t.Errorf("after %q the connection %s: result %d", statusLine[:size], how, got)
@@ -141,7 +142,7 @@
 	}
 }
 
-// TestFront_BulkCall_EncodesMessages: the body of a call with several messages.
+// TestFront_BulkCall_EncodesMessages: a call with several messages has them in its body as JSON.
 func TestFront_BulkCall_EncodesMessages(t *testing.T) {
 	front := New(configure(t, "-", "-"), nil)
 	got := string(front.request(&engine.Attempt{To: engine.Destination{Address: "h"}, Timeout: 1500 * time.Millisecond,
@@ -153,7 +154,7 @@
 	}
 }
 
-// TestFront_PluginHeaders_GoOutOnce: what plug-ins have set goes out with single calls and bulk ones, once, beside the protocol's own.
+// TestFront_PluginHeaders_GoOutOnce: headers that plug-ins have set are sent once, in single and in bulk calls.
 func TestFront_PluginHeaders_GoOutOnce(t *testing.T) {
 	front := New(configure(t, "-", "-"), nil)
 	set := []string{"X-Desk", "sports"}
--- a/internal/relay/platform/front.go
+++ b/internal/relay/platform/front.go
@@ -1,6 +1,6 @@
-// Package platform is the front of the platform's own protocol, towards clients (submit.go), endpoints (attempt.go) and discovery
-// (watch.go, notices.go). It keeps no messages: it converts requests to engine.Message, attempts to calls of package httpwire, and answers to
-// outcomes. Its methods may be called from any goroutine.
+// Package platform implements the platform's own protocol as a front of the relay: towards clients (submit.go), endpoints (attempt.go) and
+// discovery (watch.go, notices.go). It keeps no messages: it converts requests to engine.Message, attempts to calls of package httpwire,
+// and answers to outcomes. Its methods may be called from any goroutine.
 package platform
 
 import (
@@ -16,7 +16,7 @@
 // Name is this front's name in the journal and in captures: it must not change.
 const Name = "platform"
 
-// Guard is what plug-ins may change here: headers that the protocol does not own. Id, key and body are forwarded as they came.
+// Guard declares the headers that plug-ins must not set since the protocol uses them. Id, key and body are forwarded unchanged.
 var Guard = rules.Front{Name: Name, Owned: []string{"Idempotency-Key", "Retry-After", "X-Envelope", "X-No-Slot", "X-Policy-Version", "X-Request-Id",
 	"X-Retried", "X-Server-Load", "X-Timeout"}}
 
@@ -29,14 +29,14 @@
 	pool      *httpwire.Pool
 }
 
-// New returns a front of core, which the caller must add to it by core.AddFront.
+// New returns a front for core; the caller must add it by core.AddFront.
 func New(cfg *config.Config, core *engine.Core) *Front {
 	f := &Front{core: core, settings: &cfg.Settings, limits: &cfg.Limits, pool: httpwire.NewPool(&cfg.Limits)}
 	f.discovery.Store(&cfg.Discovery)
 	return f
 }
 
-// SetDiscovery sets the host and port of discovery, which watches and notices use from now on.
+// SetDiscovery changes the host and port of discovery. The watch and the notices move there at once.
 func (f *Front) SetDiscovery(address string) {
 	f.discovery.Store(&address)
 	f.core.DiscoveryMoved(Name)
@@ -48,7 +48,7 @@
 // CloseIdle implements engine.Front.
 func (f *Front) CloseIdle(to *engine.Destination) { f.pool.CloseIdle(peer(to)) }
 
-// peer is a destination for the pool; nil: the zero Peer.
+// peer converts a destination to a peer of the pool, and nil to the zero Peer.
 func peer(to *engine.Destination) httpwire.Peer {
 	if to == nil {
 		return httpwire.Peer{}
--- a/internal/relay/platform/platform_test.go
+++ b/internal/relay/platform/platform_test.go
@@ -21,7 +21,7 @@
 	"mastusher/internal/relay/wiretest"
 )
 
-// settings have a class that is deduplicated by key and one that is safe to repeat; a call carries 3 messages at most.
+// settings have a class that is deduplicated by key and one that is safe to repeat; a call carries at most 3 messages.
 const settings = `{"allowed": {"cancel": true, "max_attempts": 1, "max_open": 40, "max_retry_after": 3000000,
   "retry_after": true, "conn_idle": 15000000, "connect_timeout": 1500000},
   "family_info": {"kind_apart": [true], "per_call": [3], "workers": 8}, "peers_total": 1, "round": 1000,
@@ -44,7 +44,7 @@
 	return cfg
 }
 
-// runExchange waits for a connection and runs a recording over it.
+// runExchange accepts a connection and runs the exchange recorded in file on it.
 func runExchange(t *testing.T, listener net.Listener, file string, done chan<- bool) {
 	defer func() { done <- true }()
 	conn, err := listener.Accept()
@@ -56,7 +56,8 @@
 	_ = conn.Close()
 }
 
-// TestFront_Message_ReachesDestinationAndNotice runs the platform's protocol from the client to the destination and the notice.
+// TestFront_Message_ReachesDestinationAndNotice runs the platform's protocol from the client to the destination and the notice to
+// discovery.
 func TestFront_Message_ReachesDestinationAndNotice(t *testing.T) {
 	for _, test := range []struct {
 		client, destination, discovery string
@@ -72,7 +73,7 @@
 			if test.client == "testdata/client-tenant.txt" {
 				cfg.Settings.TenantNames, cfg.Settings.Tenants = []string{"north", "acme"}, make([]control.Tenant, 2)
 			}
-			cfg.Settings.MustSubscribe = true // the module asks for the watch once, and withoutWatch ends it
+			cfg.Settings.MustSubscribe = true // the module subscribes once, and withoutWatch ends the watch
 			front, log, end := startCore(t, cfg)
 			server := httpwire.NewServer(&cfg.Limits, front.Handle)
 			go func() { _ = server.Serve(clients) }()
@@ -93,18 +94,18 @@
 			_ = clients.Close()
 			server.Close(time.Minute)
 			if pending := log.Entries(); len(pending) != 0 {
-				t.Errorf("%d messages are left without an end", len(pending))
+				t.Errorf("%d messages have not ended", len(pending))
 			}
 		})
 	}
 }
 
-// withoutWatch is the front without its watch, which the tests of Watch cover.
+// withoutWatch is a Front that watches nothing; Watch has tests of its own.
 type withoutWatch struct{ *Front }
 
 func (withoutWatch) Watch(context.Context, int64, func(engine.EndpointList)) error { return nil }
 
-// startCore runs a core and its front on a configuration, without a watch, until end, which waits for all messages.
+// startCore runs a core and its front, without a watch, until end is called, which waits for the ends of all messages.
 func startCore(t *testing.T, cfg *config.Config) (front *Front, log *journal.Log, end func()) {
 	t.Helper()
 	log, err := journal.Open(cfg.State, cfg.Limits.DiskBytes)
@@ -128,20 +129,20 @@
 	}
 }
 
-// TestFront_EndpointRefusesConnection_IsNoLimitOnCalls: an endpoint that has as many connections as it takes, idle ones counted, rejects a
-// new one with 503 and closes it. The relay closes its idle connections to endpoints of that kind at once, since others wait for them, and
-// does not slow down as for a rate limit.
+// TestFront_EndpointRefusesConnection_IsNoLimitOnCalls: an endpoint that has reached its limit of connections, including idle ones, answers
+// a new one with 503 and closes it. The relay must close its idle connections to endpoints of that kind at once, since others wait for
+// them, and must not treat the answer as a rate limit.
 func TestFront_EndpointRefusesConnection_IsNoLimitOnCalls(t *testing.T) {
 	cfg := configure(t, "-", "-")
 	closed := make(chan error, 1)
-	available := wiretest.Listen(t) // an endpoint that leaves the connection open after its answer
+	available := wiretest.Listen(t) // an endpoint that keeps the connection open after its answer
 	go answerOne(available, func(conn net.Conn) {
 		_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
-		_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second)) // well before its idle time is over
+		_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second)) // well before the relay would close it as idle
 		_, err := conn.Read(make([]byte, 1))
 		closed <- err
 	})
-	full := wiretest.Listen(t) // and one of that kind that takes no more
+	full := wiretest.Listen(t) // an endpoint of the same kind that accepts no more connections
 	go answerOne(full, func(conn net.Conn) {
 		_, _ = conn.Write([]byte("HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
 	})
@@ -156,26 +157,26 @@
 		if answer := front.Handle(request); answer.Status != 202 {
 			t.Fatalf("%s: status %d", dest, answer.Status)
 		}
-		for i == 0 && len(log.Entries()) > 0 { // until it is delivered, and its connection is idle
+		for i == 0 && len(log.Entries()) > 0 { // until the message is delivered, and its connection idle
 			time.Sleep(time.Millisecond)
 		}
 	}
 	if err := <-closed; err != io.EOF {
-		t.Errorf("the idle connection of that kind ends with %v, want its end", err)
+		t.Errorf("reading the idle connection fails with %v, want io.EOF", err)
 	}
 	end()
 }
 
-// TestFront_ClientLosesAnswer_MessageRunsOnce: the client's connection breaks after its message was accepted and before it has its answer,
-// every time; it submits the message once more under the same id, while the call is in flight or after it has ended. What must not run
-// twice has one call, and the second request is not answered as if it could be submitted again.
+// TestFront_ClientLosesAnswer_MessageRunsOnce: a client's connection always breaks between the acceptance of its message and the answer.
+// The client submits the message again under the same id, while the call is in flight or after it has ended. There must be only one call,
+// and a message that must not run twice is not answered as one that may be submitted again.
 func TestFront_ClientLosesAnswer_MessageRunsOnce(t *testing.T) {
 	for _, test := range []lostAnswerTest{{"order", false, 500}, {"match-event", false, 500}, {"score-state", false, 429}, {"order", true, 202}} {
 		t.Run(fmt.Sprintf("%s, call ended %v", test.class, test.callEnded), test.run)
 	}
 }
 
-// lostAnswerTest is a client that loses the answer to a message.
+// lostAnswerTest is a test in which a client loses the answer to a message of a class.
 type lostAnswerTest struct {
 	class     string
 	callEnded bool // before the client submits the message again
@@ -199,17 +200,17 @@
 		if requests++; requests > 1 {
 			return answer
 		}
-		onLost := answer.OnLost // the message is accepted, and its answer not written yet
+		onLost := answer.OnLost // at this point the message is accepted, and its answer not written yet
 		answer.OnLost = func() { onLost(); close(lost) }
 		<-calls
 		close(accepted)
 		if test.callEnded {
 			close(release)
-			for len(log.Entries()) > 0 { // until the core has heard of it
+			for len(log.Entries()) > 0 { // until the core has processed the end of the call
 				time.Sleep(time.Millisecond)
 			}
 		}
-		answer.Body = make([]byte, 8<<20) // more than is written before a reset arrives, or fits into the buffers
+		answer.Body = make([]byte, 8<<20) // too much to be buffered or written before the reset arrives
 		return answer
 	}))
 	message := httpwire.AppendRequest(nil, "POST", "/"+test.class, "x", []string{"X-Request-ID", "m", "Idempotency-Key", "k", "X-Timeout", "20000m",
@@ -224,18 +225,18 @@
 	_, _ = second.Write(message)
 	answer, err := httpwire.NewReader(second, &cfg.Limits).ReadResponse()
 	if err != nil || answer.Status != test.want {
-		t.Errorf("the same id is answered %+v, %v; want %d", answer, err, test.want)
+		t.Errorf("the duplicate is answered %+v, error %v; want status %d", answer, err, test.want)
 	}
 	if !test.callEnded {
 		close(release)
 	}
 	end()
 	if len(calls) != 0 {
-		t.Errorf("it was called %d times more", len(calls))
+		t.Errorf("%d further calls for the message, want none", len(calls))
 	}
 }
 
-// answerOne accepts one connection, reads a request from it, and lets answer do the rest; then it closes the connection.
+// answerOne accepts one connection, reads a request from it, calls answer, and closes the connection.
 func answerOne(listener net.Listener, answer func(net.Conn)) {
 	conn, err := listener.Accept()
 	if err != nil {
--- a/internal/relay/platform/submit.go
+++ b/internal/relay/platform/submit.go
@@ -35,14 +35,15 @@
 	case engine.Busy:
 		return BusyReply(reply.RetryAfter)
 	case engine.Rejected:
-		// The request was well-formed, and other messages come on this connection too: the plug-in's ruling is not on them.
+		// The request was well-formed: a plug-in's ruling on one message must not delay others on the same connection.
 		return httpwire.Answer{Status: cmp.Or(reply.Status, 422), Body: []byte(reply.Reason + "\n"), NoErrorDelay: true}
 	default:
 		return errorAnswer(500, "given up")
 	}
 }
 
-// message converts a request to a message; a status other than 0, with a reason, is the answer to one that can't be used.
+// message converts a request to a message. If the request is invalid, it returns the status and reason of the answer; otherwise status is
+// 0.
 func (f *Front) message(request *httpwire.Request, path string, now time.Time) (m engine.Message, status int, reason string) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	m.Class = -1
@@ -59,7 +60,7 @@
 	switch {
 	case m.ID == "":
 		return m, 400, "X-Request-ID is missing"
-	case !f.printable(m.ID): // both are forwarded in a header, as they are
+	case !f.printable(m.ID): // id and key are forwarded in headers, unescaped
 		return m, 400, "X-Request-ID can't be used"
 	case m.Key == "" && class.Effect == control.Keyed:
 		return m, 400, "Idempotency-Key is missing"
@@ -83,8 +84,8 @@
 	return m, 0, ""
 }
 
-// parseEnvelope parses the number of the partner from "name=value" fields, separated by commas or semicolons; the last dest counts. false: there
-// is none.
+// parseEnvelope parses the partner's number from the dest field of "name=value" fields, separated by commas or semicolons. The last valid
+// dest counts; false if there is none.
 func parseEnvelope(envelope string) (partner int, ok bool) {
 	for _, field := range strings.FieldsFunc(envelope, func(r rune) bool { return r == ',' || r == ';' }) {
 		if name, value, _ := strings.Cut(strings.TrimSpace(field), "="); name == "dest" {
@@ -96,17 +97,17 @@
 	return partner, ok
 }
 
-// printable reports whether s has no more than Limits.NameSize bytes, all of them printable ASCII but the space.
+// printable reports whether s has at most Limits.NameSize bytes, all of them printable ASCII other than space.
 func (f *Front) printable(s string) bool {
 	return len(s) <= f.limits.NameSize && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r > '~' })
 }
 
-// errorAnswer is an answer whose body is the reason, as a line.
+// errorAnswer returns an answer whose body is the reason, as one line.
 func errorAnswer(status int, reason string) httpwire.Answer {
 	return httpwire.Answer{Status: status, Body: []byte(reason + "\n")}
 }
 
-// BusyReply is the answer to a message that may be submitted again after a time; 0: at any time.
+// BusyReply returns the answer to a message that may be submitted again after retryAfter, or at any time if that is 0.
 func BusyReply(retryAfter time.Duration) httpwire.Answer {
 	answer := httpwire.Answer{Status: 429}
 	if retryAfter > 0 {
@@ -115,7 +116,7 @@
 	return answer
 }
 
-// ParseTimeout parses an integral number of milliseconds ("480m") or microseconds ("480000u"); false: it is neither.
+// ParseTimeout parses an integral number of milliseconds ("480m") or microseconds ("480000u"); false if text is neither.
 func ParseTimeout(text string) (time.Duration, bool) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(text, "m")
--- a/internal/relay/platform/watch.go
+++ b/internal/relay/platform/watch.go
@@ -15,27 +15,27 @@
 	"mastusher/internal/relay/httpwire"
 )
 
-// MalformedEntryError is an entry of a watch that is not JSON.
+// MalformedEntryError reports an entry of a watch that is not valid JSON.
 type MalformedEntryError struct{ Bytes int }
 
 // Error names the entry's size.
 func (e MalformedEntryError) Error() string {
-	return fmt.Sprintf("platform: a change of %d bytes that is not JSON", e.Bytes)
+	return fmt.Sprintf("platform: watch entry of %d bytes is not valid JSON", e.Bytes)
 }
 
-// EntrySizeError is an entry of a watch that is larger than Limit, in bytes.
+// EntrySizeError reports an entry of a watch that is larger than Limit, in bytes.
 type EntrySizeError struct{ Limit int }
 
 // Error names the limit.
 func (e EntrySizeError) Error() string {
-	return fmt.Sprintf("platform: a change of over %d bytes", e.Limit)
+	return fmt.Sprintf("platform: watch entry exceeds %d bytes", e.Limit)
 }
 
-// maxEntryBodies is the largest entry of a watch, in times of Limits.BodySize: a complete list has all endpoints.
+// maxEntryBodies is the largest size of a watch entry, as a multiple of Limits.BodySize: a complete list contains all endpoints.
 const maxEntryBodies = 16
 
-// Watch implements engine.Front: it follows discovery's endpoint list. It returns engine.ErrWatchTimeout where the watch came up and was then
-// silent for Limits.WatchTimeout, a MalformedEntryError or an EntrySizeError for an entry that can't be used, or the connection's error.
+// Watch implements engine.Front: it watches discovery's endpoint list. It returns engine.ErrWatchTimeout if the established watch was
+// silent for Limits.WatchTimeout, a MalformedEntryError or an EntrySizeError for an unusable entry, or the connection's error.
 func (f *Front) Watch(ctx context.Context, after int64, changed func(engine.EndpointList)) error {
 	discovery := *f.discovery.Load()
 	path := fmt.Sprintf("/discovery/hosts?watch=1&after=%d", after)
@@ -61,14 +61,14 @@
 	}
 }
 
-// nextEntry reads one entry of a watch, which may take several lines; an empty line is an empty entry. An entry must be complete before the
-// watch would count as silent: empty lines within it are no heartbeats.
+// nextEntry reads one entry of a watch, which may span several lines; an empty line between entries is an empty entry. Each entry must be
+// complete within Limits.WatchTimeout: empty lines within an entry do not extend that.
 func (f *Front) nextEntry(stream *httpwire.Stream) ([]byte, error) {
 	deadline := time.Now().Add(f.limits.WatchTimeout)
 	entry, err := stream.Next(deadline)
 	open := bracketDepth(entry)
 	if open > 0 {
-		entry = bytes.Clone(entry) // the next line overwrites it
+		entry = bytes.Clone(entry) // reading the next line overwrites it
 	}
 	for err == nil && open > 0 {
 		var line []byte
@@ -82,7 +82,7 @@
 	return bytes.TrimSpace(entry), err
 }
 
-// ParseEndpointList converts an entry of discovery, which must be valid JSON. A status that is unknown counts as draining.
+// ParseEndpointList converts an entry of discovery, which must be valid JSON. An unknown status counts as draining.
 func ParseEndpointList(list gjson.Result) engine.EndpointList {
 	parsed := engine.EndpointList{Index: list.Get("index").Int(), Complete: list.Get("snapshot").Bool()}
 	list.Get("endpoints").ForEach(func(_, e gjson.Result) bool {
@@ -101,7 +101,7 @@
 	return parsed
 }
 
-// bracketDepth is how many more brackets a line of JSON opens than it closes, those in strings not counted.
+// bracketDepth returns how many more brackets a line of JSON opens than it closes, outside strings.
 func bracketDepth(line []byte) (open int) {
 	inString := false
 	for i := 0; i < len(line); i++ {
--- a/internal/relay/platform/watch_test.go
+++ b/internal/relay/platform/watch_test.go
@@ -15,7 +15,7 @@
 	"mastusher/internal/relay/wiretest"
 )
 
-// TestWatch_ReportsListAndChanges: lists and changes are reported, on one line or several.
+// TestWatch_ReportsListAndChanges: lists and changes are reported, whether an entry is on one line or on several.
 func TestWatch_ReportsListAndChanges(t *testing.T) {
 	one := engine.Destination{Name: "s-1", Address: "h:1", Zone: "a", Kind: "m2", Partner: 3, State: control.Draining}
 	two := engine.Destination{Name: "s-2", State: control.Removed}
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestWatch_SilentOrBroken_AreDistinguished: a watch that came up and is then silent is distinguished from one that broke, also where it stops in the
-// middle of a list and only empty lines follow: those are no heartbeats.
+// TestWatch_SilentOrBroken_AreDistinguished: an established watch that is then silent ends with ErrWatchTimeout, also if it stops in the
+// middle of a list and only empty lines follow, which are no heartbeats there.
 func TestWatch_SilentOrBroken_AreDistinguished(t *testing.T) {
 	for name, text := range map[string]string{"nothing": "\n", "half a line": `{"index":43,"endpo`, "half a list": "{\"index\":43,\n\n\n\n"} {
 		listener := wiretest.Listen(t)
@@ -51,15 +51,15 @@
 		ended := make(chan struct{})
 		go answerOne(listener, func(conn net.Conn) {
 			_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\n\r\n" + text))
-			for connected := name == "half a list"; connected; time.Sleep(10 * time.Millisecond) { // empty lines for as long as somebody reads
+			for connected := name == "half a list"; connected; time.Sleep(10 * time.Millisecond) { // until the reader closes it
 				_, err := conn.Write([]byte("\n"))
 				connected = err == nil
 			}
 			<-ended
 		})
-		err := New(cfg, nil).Watch(t.Context(), 41, func(engine.EndpointList) { t.Errorf("%s: a list is reported", name) })
+		err := New(cfg, nil).Watch(t.Context(), 41, func(engine.EndpointList) { t.Errorf("%s: a list is reported, want none", name) })
 		if !errors.Is(err, engine.ErrWatchTimeout) {
-			t.Errorf("%s: the watch ends with %v", name, err)
+			t.Errorf("%s: the watch ends with %v, want ErrWatchTimeout", name, err)
 		}
 		close(ended)
 	}
--- a/internal/relay/wire/batch.go
+++ b/internal/relay/wire/batch.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	batchHeader = 20      // bytes: number, clock, length, count
-	replyHeader = 12      // bytes: number, length, count
-	maxFrame    = 1 << 30 // bytes
-	readStep    = 1 << 20 // bytes that are allocated ahead of what has come
+	batchHeader    = 20      // bytes: number, clock, length, count
+	replyHeader    = 12      // bytes: number, length, count
+	maxFrame       = 1 << 30 // bytes
+	allocationStep = 1 << 20 // bytes allocated at a time while a frame is read
 
-	lengthOffset = 12 // of the length in a batch
-	countOffset  = 16 // of the count of records in a batch
+	lengthOffset = 12 // offset of the length in a batch
+	countOffset  = 16 // offset of the record count in a batch
 )
 
-// Member is one entry of a list: an endpoint.
+// Member is one endpoint of a list.
 type Member struct {
 	Target      uint32
 	Site        uint16
@@ -28,7 +28,7 @@
 	ReadyAt     uint64
 }
 
-// Record is one event of a batch; its Code says which fields are set, see reader.next.
+// Record is one event of a batch. Its Code determines which fields are set; see reader.next.
 type Record struct {
 	Code      uint8
 	Instance  uint16 // of Context
@@ -60,24 +60,24 @@
 
 // Batch is one frame of events.
 type Batch struct {
-	Seq     uint32 // its number
+	Seq     uint32 // number of the batch
 	Clock   uint64 // microseconds
 	Records []Record
 }
 
-// name is what errors call the batch.
+// name returns the batch's name in errors.
 func (b *Batch) name() string { return fmt.Sprintf("batch %d", b.Seq) }
 
-// ParseBatch decodes one complete frame; the batch shares no memory with it. It returns a FrameError, or wraps a RecordError.
+// ParseBatch decodes one complete frame; the batch shares no memory with it. Its error is a *FrameError, or wraps a *RecordError.
 func ParseBatch(frame []byte) (Batch, error) {
 	r := reader{frame: frame}
 	batch := Batch{Seq: r.u32("number"), Clock: r.u64("clock")}
 	length, count := r.u32("length"), int(r.u32("records"))
 	if r.err == nil && int(length) != len(frame) {
-		return batch, &FrameError{batch.name(), "length", lengthOffset, fmt.Sprintf("%d, but the frame has %d", length, len(frame))}
+		return batch, &FrameError{batch.name(), "length", lengthOffset, fmt.Sprintf("%d, but the frame has %d bytes", length, len(frame))}
 	}
 	if r.err == nil && count > len(frame)-batchHeader {
-		return batch, &FrameError{batch.name(), "records", countOffset, fmt.Sprintf("%d do not fit", count)}
+		return batch, &FrameError{batch.name(), "records", countOffset, fmt.Sprintf("%d do not fit into the frame", count)}
 	}
 	if r.err == nil {
 		batch.Records = make([]Record, 0, count)
@@ -95,8 +95,8 @@
 	return batch, nil
 }
 
-// ReadBatch reads the next frame into buf, which it returns, grown where that was too small, for the next call. io.EOF: the input has ended between
-// frames; other errors are a TruncatedError, those of ParseBatch, and those of the input.
+// ReadBatch reads and decodes the next frame. It uses buf, and returns it, possibly grown, for the next call. The error is io.EOF if the
+// input ends between frames, else a *TruncatedError, one of ParseBatch or one of the input.
 func ReadBatch(in io.Reader, buf []byte) (Batch, []byte, error) {
 	var head [batchHeader]byte
 	if n, err := io.ReadFull(in, head[:]); err != nil {
@@ -109,11 +109,11 @@
 	if size < batchHeader || size > maxFrame {
 		return Batch{}, buf, &FrameError{"batch header", "length", lengthOffset, fmt.Sprintf("impossible length %d", size)}
 	}
-	// The buffer grows as the frame comes in, so that a false length does not allocate what never follows.
+	// The buffer grows as the frame is read, so that a wrong length does not allocate memory for bytes that never follow.
 	buf = append(buf[:0], head[:]...)
 	for len(buf) < int(size) {
 		read := len(buf)
-		buf = append(buf, make([]byte, min(readStep, int(size)-read))...)
+		buf = append(buf, make([]byte, min(allocationStep, int(size)-read))...)
 		if n, err := io.ReadFull(in, buf[read:]); err != nil {
 			return Batch{}, buf, &TruncatedError{"batch", read + n, int(size)}
 		}
--- a/internal/relay/wire/codes.go
+++ b/internal/relay/wire/codes.go
@@ -35,14 +35,14 @@
 
 // Flags of a Query.
 const (
-	FlagRetry     = 2  // submitted again, where clients mark it
-	FlagTakenOver = 16 // submitted again since its former forwarder died
+	FlagRetry     = 2  // submitted again, if clients mark that
+	FlagTakenOver = 16 // submitted again after the previous forwarder has died
 )
 
 // Modes of a Fleet event.
 const (
 	ModeDelta  = 0 // the list has changed
 	ModeFull   = 1 // the complete list
-	ModeCached = 2 // the list as it was known before the start
+	ModeCached = 2 // the list as known before the start
 	ModeFailed = 3 // the subscription was lost
 )
--- a/internal/relay/wire/errors.go
+++ b/internal/relay/wire/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// FrameError is a header field of a batch that does not fit its frame.
+// FrameError reports a header field of a batch that does not match its frame.
 type FrameError struct {
 	Part   string // of the input: "batch N", or "batch header"
 	Field  string
@@ -15,10 +15,10 @@
 	return fmt.Sprintf("%s: field %s at offset %d: %s", e.Part, e.Field, e.Offset, e.Reason)
 }
 
-// TruncatedError is an input that ends within a frame.
+// TruncatedError reports an input that ends within a frame.
 type TruncatedError struct {
 	Part         string // of the input: "batch", or "batch header"
-	Offset, Size int    // bytes that came, and that were expected
+	Offset, Size int    // bytes that were read, and that were expected
 }
 
 // Error names both sizes.
@@ -26,9 +26,9 @@
 	return fmt.Sprintf("%s: truncated at offset %d of %d", e.Part, e.Offset, e.Size)
 }
 
-// RecordError is a field of a record that can't be read.
+// RecordError reports a field of a record that can't be read.
 type RecordError struct {
-	Record int   // its place in the batch, from 0
+	Record int   // index in the batch
 	Code   uint8 // its event code
 	Field  string
 	Offset int // of the field, in bytes from the start of the frame
--- a/internal/relay/wire/reader.go
+++ b/internal/relay/wire/reader.go
@@ -6,23 +6,23 @@
 	"math"
 )
 
-// reader decodes the fields of a frame in their order. After the first one that can't be read all others are 0, and err says which that was.
+// reader decodes the fields of a frame in their order. After the first field that can't be read all others are 0, and err names that field.
 type reader struct {
 	frame  []byte
-	offset int   // of the next field
-	record int   // the record that is being read, from 0
+	offset int   // offset of the next field
+	record int   // index of the record being read
 	code   uint8 // its event code
-	err    error // a *RecordError; nil: none
+	err    error // nil or a *RecordError
 }
 
-// fail records why a field can't be read, unless an earlier one failed.
+// fail stores why a field can't be read, unless an earlier field has failed.
 func (r *reader) fail(field, reason string) {
 	if r.err == nil {
 		r.err = &RecordError{r.record, r.code, field, r.offset, reason}
 	}
 }
 
-// take returns the next n bytes, which are part of the frame; nil: they can't be read.
+// take returns the next n bytes, which share the frame's memory, or nil if they can't be read.
 func (r *reader) take(n int, field string) []byte {
 	if r.err != nil {
 		return nil
@@ -36,7 +36,7 @@
 	return taken
 }
 
-// u8 reads an unsigned number of 1 byte.
+// u8 reads an unsigned 8-bit number.
 func (r *reader) u8(field string) uint8 {
 	if v := r.take(1, field); v != nil {
 		return v[0]
@@ -44,7 +44,7 @@
 	return 0
 }
 
-// u16 reads an unsigned number of 2 bytes.
+// u16 reads an unsigned 16-bit number.
 func (r *reader) u16(field string) uint16 {
 	if v := r.take(2, field); v != nil {
 		return binary.BigEndian.Uint16(v)
@@ -52,7 +52,7 @@
 	return 0
 }
 
-// u32 reads an unsigned number of 4 bytes.
+// u32 reads an unsigned 32-bit number.
 func (r *reader) u32(field string) uint32 {
 	if v := r.take(4, field); v != nil {
 		return binary.BigEndian.Uint32(v)
@@ -60,7 +60,7 @@
 	return 0
 }
 
-// u64 reads an unsigned number of 8 bytes.
+// u64 reads an unsigned 64-bit number.
 func (r *reader) u64(field string) uint64 {
 	if v := r.take(8, field); v != nil {
 		return binary.BigEndian.Uint64(v)
@@ -68,7 +68,7 @@
 	return 0
 }
 
-// f32 reads a float of 4 bytes.
+// f32 reads a 32-bit float.
 func (r *reader) f32(field string) float32 { return math.Float32frombits(r.u32(field)) }
 
 // bytes returns a copy of the next n bytes.
@@ -79,11 +79,11 @@
 // memberBytes is the size of a Member on the wire.
 const memberBytes = 23
 
-// members reads a list, after its count.
+// members reads a list: its count, then its entries.
 func (r *reader) members() []Member {
 	n := int(r.u32("members"))
 	if r.err == nil && n > (len(r.frame)-r.offset)/memberBytes {
-		r.fail("members", fmt.Sprintf("%d entries do not fit", n))
+		r.fail("members", fmt.Sprintf("%d entries do not fit into the frame", n))
 	}
 	if r.err != nil {
 		return nil
@@ -97,7 +97,7 @@
 	return members
 }
 
-// gauge reads the values of a load report, after their count; nil: there are none.
+// gauge reads a load report: the count of its values, then the values; nil if there are none.
 func (r *reader) gauge() []float32 {
 	n := int(r.u8("gauge"))
 	if n == 0 {
@@ -110,7 +110,7 @@
 	return values
 }
 
-// next reads a record: its code, and the fields that the code has.
+// next reads a record: its code, then the fields that belong to the code.
 func (r *reader) next() Record {
 	r.code = r.u8("code")
 	rec := Record{Code: r.code}
--- a/internal/relay/wire/reply.go
+++ b/internal/relay/wire/reply.go
@@ -8,10 +8,10 @@
 // Reply builds one frame of actions; its zero value is ready for Begin. Times are microseconds. It is not safe for concurrent use.
 type Reply struct {
 	frame   []byte // reused for the next reply
-	actions uint32 // that are in it
+	actions uint32 // number of actions in the frame
 }
 
-// Begin starts the reply to the batch of that number; Bytes of the last one are invalid from then on.
+// Begin starts the reply to batch number seq, and invalidates what Bytes has returned for the previous reply.
 func (r *Reply) Begin(seq uint32) {
 	r.frame = binary.BigEndian.AppendUint32(r.frame[:0], seq)
 	r.frame = append(r.frame, make([]byte, replyHeader-4)...)
@@ -34,20 +34,20 @@
 
 func (r *Reply) u64(v uint64) { r.frame = binary.BigEndian.AppendUint64(r.frame, v) }
 
-// text appends a text after its length; what is longer than the length can say is cut off.
+// text appends a text after its 16-bit length; a longer text is truncated.
 func (r *Reply) text(s string) {
 	s = s[:min(len(s), math.MaxUint16)]
 	r.u16(uint16(len(s)))
 	r.frame = append(r.frame, s...)
 }
 
-// As says which instance the following actions are of.
+// As sets the instance that the following actions belong to.
 func (r *Reply) As(instance uint16) { r.code(AcAs); r.u16(instance) }
 
-// Defer asks for a Wake event with that nonce at a time.
+// Defer requests a Wake event with the nonce at a time.
 func (r *Reply) Defer(moment uint64, nonce uint32) { r.code(AcDefer); r.u64(moment); r.u32(nonce) }
 
-// Decline refuses a message, which may be submitted again after a time.
+// Decline refuses a message, which may be submitted again after retryAfter.
 func (r *Reply) Decline(ticket uint64, retryAfter uint32) {
 	r.code(AcDecline)
 	r.u64(ticket)
--- a/internal/relay/wire/settings.go
+++ b/internal/relay/wire/settings.go
@@ -11,8 +11,8 @@
 	"mastusher/control"
 )
 
-// setup is the JSON text of the settings; keys that are not here are ignored. Times are microseconds. Messages of encoding/json print the names
-// of these types, and the fields of those without a name: they must not change.
+// setup is the JSON form of the settings; unknown keys are ignored. Times are microseconds. The names of these types, and the fields of the
+// unnamed ones, must not change: they appear in error messages of encoding/json.
 type setup struct {
 	Index     int      `json:"me"`
 	Peers     int      `json:"peers_total"`
@@ -65,7 +65,7 @@
 	} `json:"rules"`
 }
 
-// lane is a class of messages; see control.Class.
+// lane is the JSON form of a class of messages; see control.Class.
 type lane struct {
 	Name          string  `json:"name"`
 	LatencyTarget float64 `json:"aim"`
@@ -78,10 +78,10 @@
 	InOrder       bool    `json:"sequential"`
 }
 
-// Reports are the indices of the values in a load report; -1: it has none.
+// Reports holds the indices of the values in a load report; -1 if a report does not have the value.
 type Reports struct{ Share, Limit int }
 
-// Settings are what an instance gets at its start: in a Hello by the simulator, in its configuration by the platform.
+// Settings are the settings of one instance, from the simulator's Hello event or from the relay's configuration.
 type Settings struct {
 	control.Settings
 	Reports        Reports
@@ -90,10 +90,10 @@
 	Zones          []string // names, by number
 	KindNames      []string // by number; see control.Settings.Kinds
 	TenantNames    []string // by number; see control.Settings.Tenants
-	Weights        bool     // the list's weights are rates that destinations take from all relays together
+	Weights        bool     // weights in the endpoint list are the rates that destinations accept from all relays together
 }
 
-// Weight converts a weight of the endpoint list to calls a second; 0: it means nothing, or can't be true.
+// Weight converts a weight of the endpoint list to calls per second; 0 if weights have no meaning or the value is implausible.
 func (s *Settings) Weight(w float64) float64 {
 	if !s.Weights || !(w > 0 && w <= 1e6) {
 		return 0
@@ -101,13 +101,14 @@
 	return w
 }
 
-// KeyError is a key of the settings whose value has no meaning.
+// KeyError reports a key of the settings with an invalid value.
 type KeyError struct{ Key, Reason string }
 
 // Error names the key and says why.
 func (e *KeyError) Error() string { return "field setup: key " + e.Key + ": " + e.Reason }
 
-// checkEnums checks the values that must be one of a few words. A missing key has the narrowest meaning; an unknown word is a *KeyError.
+// checkEnums checks that values of enumerations are known and names of classes unique; otherwise it returns a *KeyError. A missing key is
+// valid, and has the most restrictive meaning.
 func (in *setup) checkEnums() error {
 	type enum struct {
 		key, value string
@@ -121,19 +122,19 @@
 		all = append(all, enum{key + "effect", l.Effect, []string{"pure", "token", "side_effect"}},
 			enum{key + "group", l.Group, []string{"all", "zone", "cell"}})
 		if slices.ContainsFunc(in.Classes[:i], func(earlier lane) bool { return earlier.Name == l.Name }) {
-			return &KeyError{key + "name", fmt.Sprintf("%q is another class's too", l.Name)}
+			return &KeyError{key + "name", fmt.Sprintf("duplicate class name %q", l.Name)}
 		}
 	}
 	for _, w := range all {
 		if w.value != "" && !slices.Contains(w.known, w.value) {
-			return &KeyError{w.key, fmt.Sprintf("%q is none of %s", w.value, strings.Join(w.known, ", "))}
+			return &KeyError{w.key, fmt.Sprintf("%q is not one of %s", w.value, strings.Join(w.known, ", "))}
 		}
 	}
 	return nil
 }
 
-// ParseSettings parses the JSON text of the settings. Its error names the key at fault: a *KeyError where a value has no meaning, else one that
-// wraps encoding/json's.
+// ParseSettings parses the JSON text of the settings. Its error names the key or offset of the fault: a *KeyError for an invalid value,
+// otherwise an error that wraps one of encoding/json.
 func ParseSettings(text []byte) (Settings, error) {
 	var in setup
 	if err := json.Unmarshal(text, &in); err != nil {
@@ -158,7 +159,8 @@
 	}, nil
 }
 
-// kinds returns the kinds of endpoints that any key names; a call of one carries a single message unless per_call says otherwise.
+// kinds returns the kinds of endpoints, as many as the longest of the keys lists. A call carries one message unless per_call sets another
+// number.
 func (in *setup) kinds() (kinds []control.Kind) {
 	for i := range max(len(in.KindNames), len(in.FamilyInfo.KindApart), len(in.FamilyInfo.PerCall)) {
 		kind := control.Kind{PerCall: 1}
@@ -173,7 +175,7 @@
 	return kinds
 }
 
-// decodeError adds where a text of settings is not JSON, or which key has a value of another type.
+// decodeError adds to an error of encoding/json the key whose value has a wrong type, or the offset of the syntax error.
 func decodeError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	var syntax *json.SyntaxError
@@ -186,10 +188,10 @@
 	return fmt.Errorf("field setup: %w", err)
 }
 
-// microseconds converts a time of the settings.
+// microseconds converts a time of the settings to a duration.
 func microseconds(v float64) time.Duration { return time.Duration(v * float64(time.Microsecond)) }
 
-// module returns the decision module's settings, but for classes, kinds and tenants.
+// module returns the decision module's settings without classes, kinds and tenants.
 func (in *setup) module() control.Settings {
 	settings := control.Settings{
 		Peers: in.Peers, Index: in.Index, Zone: in.Zone,
@@ -207,7 +209,7 @@
 	return settings
 }
 
-// class returns a lane as the decision module's class. What the text leaves out has the narrowest meaning.
+// class converts a lane to the decision module's class. A missing effect or group has the most restrictive meaning.
 func (l *lane) class() control.Class {
 	class := control.Class{Name: l.Name, LatencyTarget: microseconds(l.LatencyTarget), Deadline: microseconds(l.Deadline), Value: l.Value,
 		LateValue: l.LateValue, Memory: microseconds(l.Memory), InOrder: l.InOrder}
--- a/internal/relay/wire/wire_test.go
+++ b/internal/relay/wire/wire_test.go
@@ -14,7 +14,7 @@
 	"mastusher/control"
 )
 
-// unhex decodes hexadecimal text with white space.
+// unhex decodes hexadecimal text that contains white space.
 func unhex(t testing.TB, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
@@ -24,7 +24,7 @@
 	return b
 }
 
-// The golden frames are the examples of the protocol's page.
+// Golden frames, the examples of the protocol's documentation.
 const (
 	emptyBatch = "00000001 0000000000805c5a 00000014 00000000"
 	emptyReply = "00000001 0000000c 00000000"
@@ -49,7 +49,7 @@
 	peer     = "09 0002 0004 68692037"
 )
 
-// frame puts records into a batch.
+// frame returns a batch of n records.
 func frame(t testing.TB, n int, records ...string) []byte {
 	body := unhex(t, strings.Join(records, ""))
 	head := unhex(t, "00000007 0000000000000064 00000000 00000000")
@@ -123,12 +123,12 @@
 		reply.Begin(0)
 		write()
 		if got := reply.Bytes()[replyHeader:]; !bytes.Equal(got, unhex(t, want)) {
-			t.Errorf("%x, want %s", got, want)
+			t.Errorf("action is written as %x, want %s", got, want)
 		}
 	}
 }
 
-// TestReadBatch_MalformedFrame_NamesField: each malformed frame is one error that names the field and its offset.
+// TestReadBatch_MalformedFrame_NamesField: the error of a malformed frame names the field and its offset.
 func TestReadBatch_MalformedFrame_NamesField(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   []byte
@@ -145,17 +145,17 @@
 	} {
 		_, _, err := ReadBatch(bytes.NewReader(c.in), nil)
 		if err == nil || err == io.EOF {
-			t.Errorf("%s: error %v", name, err)
+			t.Errorf("%s: error %v, want one that names the field", name, err)
 			continue
 		}
 		for _, w := range c.want {
 			if !strings.Contains(err.Error(), w) {
-				t.Errorf("%s: %q does not name %q", name, err, w)
+				t.Errorf("%s: error %q does not contain %q", name, err, w)
 			}
 		}
 	}
 	if _, _, err := ReadBatch(bytes.NewReader(nil), nil); err != io.EOF {
-		t.Errorf("end of input: %v", err)
+		t.Errorf("end of input: error %v, want io.EOF", err)
 	}
 }
 
@@ -183,7 +183,7 @@
 	for source, want := range map[string]float64{"nominal": 4, "rough": 4, "off": 0, "live": 0} {
 		w, err := ParseSettings(fmt.Appendf(nil, `{"weight_source": %q, "orgs": [{"name": "north", "quota_per_s": 3}]}`, source))
 		if err != nil || w.Weight(4) != want || w.Weight(-1)+w.Weight(0)+w.Weight(math.NaN())+w.Weight(1e9) != 0 {
-			t.Errorf("weights that are %s: %v, %v", source, w.Weight(4), err)
+			t.Errorf("weight_source %s: weight %v, error %v", source, w.Weight(4), err)
 		}
 		if !slices.Equal(w.TenantNames, []string{"north"}) || w.Tenants[0].Quota != 3 {
 			t.Errorf("tenants %v %v", w.TenantNames, w.Tenants)
@@ -208,7 +208,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		b, _, err := ReadBatch(bytes.NewReader(in), nil)
 		if err == nil && len(b.Records) > len(in) {
-			t.Errorf("%d records in %d bytes", len(b.Records), len(in))
+			t.Errorf("%d records parsed from %d bytes", len(b.Records), len(in))
 		}
 	})
 }
@@ -218,7 +218,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		if set, err := ParseSettings(in); err == nil {
 			if s, err := control.New(set.Settings, 1); err == nil && s == nil {
-				t.Error("neither a sender nor an error")
+				t.Error("control.New returns neither a sender nor an error")
 			}
 		}
 	})
