--- a/internal/relay/engine/attempt.go
+++ b/internal/relay/engine/attempt.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// applyOutcome journals the outcome of a message's attempt; m is nil where the message has ended meanwhile.
+// applyOutcome journals the outcome of a message's attempt; m is nil if the message has already ended.
 func (c *Core) applyOutcome(m *message, o Outcome, now time.Time) {
 	switch {
 	case m == nil || m.entry.NoticePending: // a late outcome: the message has already ended
@@ -171,7 +171,7 @@
 	}
 }
 
-// inFlightNumbers are the numbers of the attempts in flight, in ascending order.
+// inFlightNumbers returns the numbers of the attempts in flight, in ascending order.
 func (c *Core) inFlightNumbers() []uint64 {
 	return slices.Sorted(maps.Keys(c.inFlight))
 }
--- a/internal/relay/engine/attempt_test.go
+++ b/internal/relay/engine/attempt_test.go
@@ -21,20 +21,20 @@
 		in = append(in, a)
 	}
 	relay.turnAfter(0, in...)
-	step := <-relay.front.attempts
-	if len(step.Items) != 3 {
-		t.Fatalf("%d messages in the call, want the 3 that its kind carries", len(step.Items))
+	attempt := <-relay.front.attempts
+	if len(attempt.Items) != 3 {
+		t.Fatalf("%d messages in the call, want the 3 that its kind carries", len(attempt.Items))
 	}
-	if relay.core.joins(&Attempt{To: step.To}, &message{entry: &journal.Entry{Body: make([]byte, 60<<10)}}) {
+	if relay.core.joins(&Attempt{To: attempt.To}, &message{entry: &journal.Entry{Body: make([]byte, 60<<10)}}) {
 		t.Error("a message joins a call whose body in Base64 would become too large")
 	}
 	relay.front.accepts <- true
 	relay.answer(Outcome{Result: control.Delivered}, Outcome{Result: control.NotProcessed, Final: true},
 		Outcome{Result: control.Throttled, RetryAfter: 10 * time.Second})
-	if got := <-relay.front.notices; len(got) != 1 || got[0].ID != step.Items[0].ID || !got[0].Delivered {
+	if got := <-relay.front.notices; len(got) != 1 || got[0].ID != attempt.Items[0].ID || !got[0].Delivered {
 		t.Errorf("notices %+v, want one for the delivery", got)
 	}
-	if relay.core.messagesByID["platform "+step.Items[1].ID] != nil || relay.core.messagesByID["platform "+step.Items[2].ID] == nil {
+	if relay.core.messagesByID["platform "+attempt.Items[1].ID] != nil || relay.core.messagesByID["platform "+attempt.Items[2].ID] == nil {
 		t.Error("want the finished message forgotten and the throttled one pending")
 	}
 }
@@ -42,9 +42,9 @@
 // TestAttempt_RecalledBeforeFirstByte_WritesNothing: a call's connection is established only after its destination has throttled the relay
 // or started to drain. Nothing of the call may be written any more.
 func TestAttempt_RecalledBeforeFirstByte_WritesNothing(t *testing.T) {
-	for name, happens := range map[string]func(relay *harness, out, on *Attempt){
-		"destination throttles": func(relay *harness, out, _ *Attempt) {
-			relay.turnAfter(0, attemptEnded{out, []Outcome{{Result: control.Throttled, RetryAfter: time.Second}}})
+	for name, trigger := range map[string]func(relay *harness, first, second *Attempt){
+		"destination throttles": func(relay *harness, first, _ *Attempt) {
+			relay.turnAfter(0, attemptEnded{first, []Outcome{{Result: control.Throttled, RetryAfter: time.Second}}})
 		},
 		"destination drains": func(relay *harness, _, _ *Attempt) {
 			relay.turnAfter(0, listChanged{relay.core.frontsInOrder[0], relay.core.frontsInOrder[0].listReportedBy,
@@ -54,16 +54,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			relay := newHarness(t, t.TempDir(), time.Now())
-			var steps []*Attempt
+			var attempts []*Attempt
 			for _, id := range []string{"a", "b"} {
 				a, _ := relay.arrival(id, 1, 7, 20*time.Second)
 				relay.turnAfter(5*time.Millisecond, a)
-				steps = append(steps, <-relay.front.attempts)
+				attempts = append(attempts, <-relay.front.attempts)
 			}
-			if !steps[0].MayWrite() {
+			if !attempts[0].MayWrite() {
 				t.Fatal("MayWrite of the first call is false")
 			}
-			if happens(relay, steps[0], steps[1]); steps[1].MayWrite() || steps[0].progress.Load() != attemptStarted {
+			if trigger(relay, attempts[0], attempts[1]); attempts[1].MayWrite() || attempts[0].progress.Load() != attemptStarted {
 				t.Error("want only the second call recalled")
 			}
 		})
--- a/internal/relay/engine/core.go
+++ b/internal/relay/engine/core.go
@@ -48,9 +48,9 @@
 	lastRef            uint64
 	forgetAfter        time.Duration // how long after its removal a destination may still have unfinished attempts
 	lastAttempt        uint64
-	inFlight           map[uint64]*Attempt // by number
+	inFlight           map[uint64]*Attempt // by attempt number
 	submitted          uint64              // messages submitted so far
-	outstanding        int                 // notices that no client has accepted yet, of all fronts
+	outstanding        int                 // notices of all fronts that are not accepted yet
 
 	moduleEvents     []control.Event  // for the module's next step
 	moduleActions    []control.Action // of the module's last step
@@ -73,25 +73,25 @@
 	counters         counters                     // nil until Observe is called
 	mandate          *capture.Mandate             // what the fleet permits this relay to do; nil if it belongs to none
 	awaitingLease    []*Attempt                   // attempts that wait until the relay may act, oldest first
-	publishedMandate atomic.Pointer[frontMandate] // governor for the fronts' goroutines, set before the governor is
+	publishedMandate atomic.Pointer[frontMandate] // mandate for the fronts' goroutines; set before mandate is
 }
 
 // frontState is the core's state of one front. Only the core's goroutine may access it.
 type frontState struct {
-	name           string
-	number         int
-	Front          Front
-	listed         map[string]uint32 // numbers of its destinations, by name
-	listIndex      int64             // index of the newest endpoint list
-	lastWatch      int               // number of the watch that was started last
-	listReportedBy int               // number of the watch that reported the newest list; 0 if that is the list known at the start
-	stopWatch      func()            // ends the watch; nil if none is running
-	outstanding    []Notice          // notices to be sent, oldest first
-	sending        []Notice          // notices of the Notify call in flight
-	cancelNotify   func()            // cancels the Notify call; nil if none is in flight
-	movedMeanwhile bool              // discovery has moved during the Notify call in flight
-	retryAt        time.Time         // no notices are sent before that
-	backoff        time.Duration     // delay before the next Notify call after a failed one
+	name              string
+	number            int
+	Front             Front
+	listed            map[string]uint32 // numbers of its destinations, by name
+	listIndex         int64             // index of the newest endpoint list
+	lastWatch         int               // number of the watch that was started last
+	listReportedBy    int               // number of the watch that reported the newest list; 0 if that is the list known at the start
+	stopWatch         func()            // ends the watch; nil if none is running
+	outstanding       []Notice          // notices to be sent, oldest first
+	sending           []Notice          // notices of the Notify call in flight
+	cancelNotify      func()            // cancels the Notify call; nil if none is in flight
+	movedDuringNotify bool              // discovery has moved during the Notify call in flight
+	retryAt           time.Time         // no notices are sent before that
+	backoff           time.Duration     // delay before the next Notify call after a failed one
 }
 
 // event is posted to the core's queue by any goroutine, and applied by the core's goroutine in its next turn.
--- a/internal/relay/engine/core_test.go
+++ b/internal/relay/engine/core_test.go
@@ -37,7 +37,7 @@
 				t.Errorf("got %+v, want verdict %d, and RetryAfter if that is Busy", got, test.want)
 			}
 			if pending := len(relay.core.messages) == 1; pending != (test.want == Accepted) {
-				t.Errorf("message is pending: %v, want %v", pending, !pending)
+				t.Errorf("message is pending: %v", pending)
 			}
 		})
 	}
@@ -63,7 +63,7 @@
 	a, reply := relay.arrival("m", 0, 7, time.Second)
 	relay.turnAfter(0, a)
 	if got := <-reply; got.Verdict != Accepted {
-		t.Fatalf("got %+v", got)
+		t.Fatalf("the message is answered %+v, want Accepted", got)
 	}
 	attempt := <-relay.front.attempts
 	if len(attempt.Items) != 1 || string(attempt.Items[0].Body) != "body" || attempt.Items[0].Key != "k" {
@@ -153,7 +153,7 @@
 				}
 			}
 			if n := len(relay.core.inFlight); (n == 1) != test.sent {
-				t.Errorf("%d calls are in flight", n)
+				t.Errorf("%d calls are in flight, want one only if the message may be retried", n)
 			}
 		})
 	}
@@ -221,10 +221,10 @@
 	relay := newHarness(t, t.TempDir(), time.Now())
 	a, _ := relay.arrival("m", 0, 8, 2*time.Second)
 	relay.turnAfter(0, a)
-	step := <-relay.front.attempts
+	attempt := <-relay.front.attempts
 	relay.turnAfter(0, withdrawn{1})
 	relay.answer(Outcome{Result: control.Cancelled})
-	if len(relay.core.messages) != 0 || len(relay.front.attempts) != 0 || step.cancel == nil || len(relay.core.journal.Entries()) != 0 {
+	if len(relay.core.messages) != 0 || len(relay.front.attempts) != 0 || attempt.cancel == nil || len(relay.core.journal.Entries()) != 0 {
 		t.Error("the withdrawn message is still pending or journalled, or was sent again")
 	}
 }
@@ -236,12 +236,12 @@
 	relay.turnAfter(0, first)
 	relay.core.Drain()
 	if got := relay.core.Submit("platform", Message{}); got.Verdict != Busy {
-		t.Errorf("got %+v", got)
+		t.Errorf("a message is answered %+v while draining, want Busy", got)
 	}
 	second, reply := relay.arrival("n", 1, 8, time.Second)
 	relay.turnAfter(0, <-relay.core.queue, second)
 	if got := <-reply; got.Verdict != Busy {
-		t.Errorf("got %+v", got)
+		t.Errorf("a message is answered %+v while draining, want Busy", got)
 	}
 	ended := make(chan struct{})
 	go func() { relay.core.Run(); close(ended) }()
@@ -266,18 +266,18 @@
 	}
 }
 
-// TestSubmit_IDOfPendingMessage_OwnsNothingOfIt: if the answer to a duplicate of a pending message is lost, the first client's message must
-// not be withdrawn.
-func TestSubmit_IDOfPendingMessage_OwnsNothingOfIt(t *testing.T) {
+// TestSubmit_DuplicateOfPendingMessage_CannotWithdrawIt: if the answer to a duplicate of a pending message is lost, the first client's
+// message must not be withdrawn.
+func TestSubmit_DuplicateOfPendingMessage_CannotWithdrawIt(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	a, first := relay.arrival("m", 1, 8, 2*time.Second)
 	relay.turnAfter(0, a)
 	b, second := relay.arrival("m", 1, 8, 2*time.Second)
 	relay.turnAfter(0, b)
 	if got := <-second; got.Verdict != Accepted {
-		t.Fatalf("got %+v", got)
+		t.Fatalf("the duplicate is answered %+v, want Accepted", got)
 	} else if relay.core.Withdraw(got); len(relay.core.queue) != 0 {
-		t.Error("the second client withdraws the first one's message")
+		t.Error("the second client withdraws the first client's message")
 	}
 	if relay.core.Withdraw(<-first); len(relay.core.queue) != 1 {
 		t.Error("the first client can't withdraw its message")
@@ -317,12 +317,12 @@
 	if n := <-relay.front.notices; len(n) != 2 || n[0].ID != "of a class that is gone" || n[0].HandedBack || n[1].ID != "keyed" {
 		t.Errorf("notices %+v, want that of the message of an unknown class and that of the keyed one", n)
 	}
-	step := <-relay.front.attempts
-	if step.Items[0].ID != "safe" || len(relay.front.attempts) != 0 {
-		t.Errorf("%q is sent, and %d more: want only the safe one", step.Items[0].ID, len(relay.front.attempts))
+	attempt := <-relay.front.attempts
+	if attempt.Items[0].ID != "safe" || len(relay.front.attempts) != 0 {
+		t.Errorf("%q is sent, and %d more: want only the safe one", attempt.Items[0].ID, len(relay.front.attempts))
 	}
 	for _, m := range relay.core.messages {
-		if k := &relay.core.settings.Classes[min(m.entry.Class, 1)]; m.entry.Deadline.After(relay.now.Add(k.Deadline)) && !m.entry.NoticePending {
+		if class := &relay.core.settings.Classes[min(m.entry.Class, 1)]; m.entry.Deadline.After(relay.now.Add(class.Deadline)) && !m.entry.NoticePending {
 			t.Errorf("%s has deadline %v, later than its class permits", m.entry.ID, m.entry.Deadline)
 		}
 	}
--- a/internal/relay/engine/counters.go
+++ b/internal/relay/engine/counters.go
@@ -9,7 +9,7 @@
 // MaxCountedPartners bounds the partners that are counted individually: partner numbers from it on are counted together, as "others".
 const MaxCountedPartners = 10
 
-// Names in counters of what is counted besides ends.
+// Names of the counters other than those of ends.
 const (
 	countAccepted = "taken"
 	countRefused  = "refused"
--- a/internal/relay/engine/destinations.go
+++ b/internal/relay/engine/destinations.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/relay/capture"
 )
 
-// startWatches starts a startWatches for each front that has none.
+// startWatches starts a watch for each front that has none running.
 func (c *Core) startWatches() {
 	c.watchAt = time.Time{}
 	for _, f := range c.frontsInOrder {
@@ -34,8 +34,8 @@
 }
 
 func (l listChanged) apply(core *Core, now time.Time) {
-	// A report is outdated, even a complete list, once a later watch has reported; until then reports of the earlier watch are applied. A
-	// change with an older index than the list is already contained in it.
+	// A report, even a complete list, is outdated once a later watch has reported; until then it is applied. A change with an older index
+	// than the list is already contained in the list.
 	if l.watch < l.front.listReportedBy || !l.Complete && l.Index < l.front.listIndex {
 		return
 	}
@@ -137,7 +137,7 @@
 	c.recordNote(now, "discovery of "+v.front+" has moved")
 	if f.cancelNotify != nil {
 		f.cancelNotify() // its notices are reported as not accepted, and sent again
-		f.movedMeanwhile = true
+		f.movedDuringNotify = true
 	}
 	f.retryAt, f.backoff = now, 0
 }
--- a/internal/relay/engine/doc.go
+++ b/internal/relay/engine/doc.go
@@ -8,7 +8,7 @@
 //
 // A turn is deterministic: it reads no clock, and the iteration order of maps does not affect it. A Shell makes its calls and a Journal
 // keeps its records; both can be replaced. CoreReplay replaces them with a capture (package capture), and compares everything that the
-// core does with what was recorded.
+// core does with the recording.
 //
 // In a fleet of relays, Govern sets what the fleet permits this relay to do (a Mandate), and GrantQuota its share of the common limits.
 package engine
--- a/internal/relay/engine/ended.go
+++ b/internal/relay/engine/ended.go
@@ -11,11 +11,11 @@
 // endedMessages holds the answers to duplicates of messages that have ended recently, within Limits.EndedRetention and Limits.MaxEnded. A
 // client whose connection broke before it received its answer submits the message again under the same id: that must not run it twice.
 type endedMessages struct {
-	verdicts    map[string]Verdict // the answer to a duplicate, by front and id
+	verdicts    map[string]Verdict // answers to duplicates, by front name and message id
 	oldestFirst []endedMessage
 }
 
-// endedMessage is one message of endings.
+// endedMessage is one entry of endedMessages.
 type endedMessage struct {
 	key string    // front name and message id
 	at  time.Time // when it ended
--- a/internal/relay/engine/ended_test.go
+++ b/internal/relay/engine/ended_test.go
@@ -23,15 +23,15 @@
 	relay := newHarness(t, t.TempDir(), time.Now())
 	relay.core.limits.EndedRetention, relay.core.limits.MaxEnded = 5*time.Second, 9
 	relay.submitAndAnswer("m", Outcome{Result: control.Rejected})
-	for _, taken := range []bool{false, true} {
-		if taken {
+	for _, noticeAccepted := range []bool{false, true} {
+		if noticeAccepted {
 			relay.front.accepts <- true
 			relay.turnAfter(5*time.Millisecond, <-relay.core.queue)
 		}
 		b, second := relay.arrival("m", 0, 8, 10*time.Second)
 		relay.turnAfter(5*time.Millisecond, b)
 		if got := <-second; got.Verdict != Failed || len(relay.front.attempts) != 0 {
-			t.Errorf("given up, notice accepted %v: the duplicate is answered %+v, want Failed and no call", taken, got)
+			t.Errorf("given up, notice accepted %v: the duplicate is answered %+v, want Failed and no call", noticeAccepted, got)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 			return (<-second).Verdict == Accepted && len(relay.core.messages) == 0
 		}
 		if !resubmit(time.Second) || len(relay.front.attempts) != 0 {
-			t.Errorf("after %v the same id is a new message", outcome)
+			t.Errorf("right after the end %v the same id is a new message", outcome)
 		}
 		relay.core.remember(&message{front: relay.core.frontsInOrder[0], entry: &journal.Entry{ID: "other"}}, Accepted, relay.now.Add(6*time.Second))
 		if resubmit(time.Second) {
--- a/internal/relay/engine/governor.go
+++ b/internal/relay/engine/governor.go
@@ -36,16 +36,16 @@
 	if before := c.publishedMandate.Swap(next); before != nil {
 		close(before.changed)
 	}
-	c.queue <- governed{mandate, done}
+	c.queue <- mandateChanged{mandate, done}
 }
 
-// governed is the event that puts a mandate in force; done is called after the turn in which that happens.
-type governed struct {
+// mandateChanged is the event that puts a mandate in force; done is called after the turn in which that happens.
+type mandateChanged struct {
 	Mandate
 	done func()
 }
 
-func (g governed) apply(core *Core, now time.Time) {
+func (g mandateChanged) apply(core *Core, now time.Time) {
 	before := core.mandate
 	if before == nil {
 		before = &capture.Mandate{}
@@ -169,8 +169,8 @@
 	return time.Now().Before(mandate.until)
 }
 
-// hasLease reports whether this relay has a lease, or belongs to no fleet. A halt for a change of policy is not considered: clients should
-// not leave for it. It may be called from any goroutine.
+// hasLease reports whether this relay has a lease, or belongs to no fleet. A halt for a change of policy does not count as a
+// loss of the lease, so that clients are not sent elsewhere. It may be called from any goroutine.
 func (c *Core) hasLease() bool {
 	mandate := c.publishedMandate.Load()
 	return mandate == nil || time.Now().Before(mandate.until)
--- a/internal/relay/engine/governor_test.go
+++ b/internal/relay/engine/governor_test.go
@@ -62,11 +62,11 @@
 	relay := newHarness(t, t.TempDir(), time.Now())
 	relay.govern(capture.Mandate{}, 0)
 	if verdict, _ := relay.verdict("a", 0, 7); verdict != Busy {
-		t.Errorf("without a lease: %v", verdict)
+		t.Errorf("verdict without a lease: %v, want Busy", verdict)
 	}
 	relay.govern(capture.Mandate{Version: 3, Stamp: true}, time.Second)
 	if verdict, _ := relay.verdict("b", 0, 7); verdict != Accepted {
-		t.Errorf("under a lease: %v", verdict)
+		t.Errorf("verdict under a lease: %v, want Accepted", verdict)
 	}
 	attempt := <-relay.front.attempts
 	if attempt.PolicyVersion != 3 || attempt.WriteBefore.IsZero() || attempt.WriteBefore.After(relay.now.Add(time.Second)) {
@@ -78,18 +78,18 @@
 	relay.answer(Outcome{})
 	relay.turnAfter(2 * time.Second)
 	if verdict, _ := relay.verdict("c", 0, 7); verdict != Busy {
-		t.Errorf("after the lease: %v", verdict)
+		t.Errorf("verdict after the lease: %v, want Busy", verdict)
 	}
 	relay.govern(capture.Mandate{Version: 3, Closed: true}, time.Second)
 	if verdict, _ := relay.verdict("d", 0, 7); verdict != Busy {
-		t.Errorf("closed: %v", verdict)
+		t.Errorf("verdict under a closed mandate: %v, want Busy", verdict)
 	}
 	relay.govern(capture.Mandate{Version: 3, Shut: []int{7}}, time.Second)
 	if verdict, _ := relay.verdict("e", 0, 7); verdict != Busy {
-		t.Errorf("shut: %v", verdict)
+		t.Errorf("verdict for a partner that is shut: %v, want Busy", verdict)
 	}
 	if verdict, _ := relay.verdict("f", 1, 8); verdict != Accepted {
-		t.Errorf("another partner: %v", verdict)
+		t.Errorf("verdict for another partner: %v, want Accepted", verdict)
 	}
 }
 
@@ -101,8 +101,8 @@
 	a, _ := relay.arrival("a", 1, 8, 9*time.Second)
 	relay.turnAfter(5*time.Millisecond, a)
 	first := <-relay.front.attempts // connecting, nothing is written
-	stopped := relay.govern(capture.Mandate{Version: 1, Stamp: true, Halted: 2}, 5*time.Second)
-	if !*stopped {
+	halted := relay.govern(capture.Mandate{Version: 1, Stamp: true, Halted: 2}, 5*time.Second)
+	if !*halted {
 		t.Error("Govern's callback was not called after the relay was halted")
 	}
 	if first.MayWriteAt(relay.now) {
@@ -125,15 +125,15 @@
 	relay := newHarness(t, t.TempDir(), time.Now())
 	relay.govern(capture.Mandate{Version: 1}, time.Hour)
 	got := make(chan Reply)
-	hand := func(id string) {
+	submit := func(id string) {
 		got <- relay.core.Submit("platform", Message{ID: id, Key: "k", Class: 1, Partner: 8, Deadline: time.Now().Add(9 * time.Second),
 			Body: []byte("b")})
 	}
-	go hand("a")
+	go submit("a")
 	first := <-relay.core.queue // message a has passed Submit's check; its turn is taken when the relay is halted
 	relay.core.Govern(Mandate{capture.Mandate{Version: 1, Halted: 2}, relay.now.Add(time.Hour)}, nil)
 	relay.turnAfter(time.Millisecond, <-relay.core.queue, first)
-	go hand("b")
+	go submit("b")
 	relay.core.Govern(Mandate{capture.Mandate{Version: 2}, relay.now.Add(time.Hour)}, nil)
 	for answers := 0; answers < 2; {
 		select {
@@ -221,33 +221,33 @@
 	rateLimits := []capture.PartnerRateLimit{{Partner: 8, Limit: 4}} // one call per 250 ms, since the settings have one relay
 	relay.govern(capture.Mandate{Version: 1, Most: rateLimits}, 200*time.Millisecond)
 	calls, items := 0, 0
-	drain := func() {
+	answerPending := func() {
 		relay.answerCalls(10*time.Millisecond, func(attempt *Attempt) []Outcome {
 			calls, items = calls+1, items+len(attempt.Items)
 			return make([]Outcome, len(attempt.Items))
 		})
 	}
-	for i := range 4 { // the settings permit four pending messages; the first is in flight
+	for i := range 4 { // the settings permit at most four pending messages
 		a, _ := relay.arrival(string(rune('a'+i)), 1, 8, 15*time.Second)
 		relay.turnAfter(time.Millisecond, a)
 		if i == 0 {
-			drain()
+			answerPending()
 		}
 	}
 	for range 100 { // the lease ends, and the module continues to decide
 		relay.turnAfter(20 * time.Millisecond)
 	}
-	drain()
+	answerPending()
 	before := calls
 	relay.govern(capture.Mandate{Version: 1, Most: rateLimits}, time.Hour)
 	relay.turnAfter(time.Millisecond)
-	drain()
+	answerPending()
 	if burst := calls - before; burst > 1 {
 		t.Errorf("%d calls at once under the new lease, want at most 1", burst)
 	}
 	for range 300 {
 		relay.turnAfter(20 * time.Millisecond)
-		drain()
+		answerPending()
 	}
 	if items != 4 {
 		t.Errorf("%d messages were sent, want 4", items)
@@ -265,26 +265,26 @@
 		relay.core.GrantQuota(attempt, relay.now.Add(time.Hour), nil)
 		relay.turnAfter(time.Millisecond, <-relay.core.queue)
 	}
-	out := 0
-	drain := func() {
+	answered := 0
+	answerPending := func() {
 		relay.answerCalls(5*time.Millisecond, func(attempt *Attempt) []Outcome {
-			out += len(attempt.Items)
+			answered += len(attempt.Items)
 			return []Outcome{{Reported: true, Share: 1, Limit: 10}}
 		})
 	}
 	relay.govern(capture.Mandate{Version: 1}, time.Hour)
 	grant(limits)
-	taken := 0
-	for i := range 4 { // the settings permit four pending messages; the first is in flight
+	accepted := 0
+	for i := range 4 { // the settings permit at most four pending messages
 		if v, _ := relay.verdict(string(rune('a'+i)), 1, 8); v == Accepted {
-			taken++
+			accepted++
 		}
 		if i == 0 {
-			drain()
+			answerPending()
 		}
 	}
-	drain()
-	sent := out
+	answerPending()
+	sent := answered
 	if sent == 0 || sent > 2 {
 		t.Fatalf("%d calls before the halt, want one or two", sent)
 	}
@@ -299,15 +299,15 @@
 	grant(limits)
 	relay.govern(capture.Mandate{Version: 2}, time.Hour)
 	relay.turnAfter(time.Millisecond)
-	drain()
-	if burst := out - sent; burst > 1 {
+	answerPending()
+	if burst := answered - sent; burst > 1 {
 		t.Errorf("%d calls at once after the halt, want at most 1", burst)
 	}
 	for range 60 {
 		relay.turnAfter(20 * time.Millisecond)
-		drain()
+		answerPending()
 	}
-	if out != taken || taken < sent+2 {
-		t.Errorf("%d messages were sent, want all %d accepted, and at least two after the halt", out, taken)
+	if answered != accepted || accepted < sent+2 {
+		t.Errorf("%d messages were sent, want all %d accepted, and at least two after the halt", answered, accepted)
 	}
 }
--- a/internal/relay/engine/inspector_test.go
+++ b/internal/relay/engine/inspector_test.go
@@ -60,7 +60,7 @@
 					}
 				}
 				if len(relay.core.messages) != test.pending {
-					t.Errorf("%d messages are pending", len(relay.core.messages))
+					t.Errorf("wrong number of pending messages: %d", len(relay.core.messages))
 				}
 				if test.pending > 0 && test.rulings[0].Verdict == Accepted {
 					if d := cmp.Diff([]string{"X-Turn", "0"}, (<-relay.front.attempts).Items[0].Headers); d != "" {
--- a/internal/relay/engine/notices.go
+++ b/internal/relay/engine/notices.go
@@ -37,9 +37,9 @@
 
 func (n notifyCallEnded) apply(core *Core, now time.Time) {
 	f := n.front
-	sent, moved := f.sending, f.movedMeanwhile
+	sent, moved := f.sending, f.movedDuringNotify
 	f.cancelNotify()
-	f.cancelNotify, f.sending, f.movedMeanwhile = nil, nil, false
+	f.cancelNotify, f.sending, f.movedDuringNotify = nil, nil, false
 	if moved || !slices.Contains(n.accepted, false) { // after a move of discovery the next call goes to another address, and need not wait
 		f.backoff = 0
 	} else { // doubles with each failure in a row
--- a/internal/relay/engine/quota.go
+++ b/internal/relay/engine/quota.go
@@ -60,7 +60,7 @@
 	done  func()
 }
 
-// onModuleClock returns the grant with its expiry onModuleClock the module's clock.
+// onModuleClock returns the granted limits, with the lease's expiry on the module's clock.
 func (g quotaGranted) onModuleClock(c *Core) *control.SharedLimits {
 	limits := g.SharedLimits
 	limits.LeaseExpiry = c.moduleTime(g.until)
--- a/internal/relay/engine/random_run_test.go
+++ b/internal/relay/engine/random_run_test.go
@@ -78,21 +78,21 @@
 	}
 	v.in(took, func() { end(outs) })
 	return func() {
-		called := make([]Outcome, len(outs))
-		for i := range called {
-			called[i].Result = control.Cancelled
+		canceled := make([]Outcome, len(outs))
+		for i := range canceled {
+			canceled[i].Result = control.Cancelled
 		}
-		v.in(time.Millisecond, func() { end(called) })
+		v.in(time.Millisecond, func() { end(canceled) })
 	}
 }
 
 func (v *virtualShell) Notify(_ Front, n []Notice, _ time.Time, done func([]bool)) func() {
-	taken := make([]bool, len(n))
+	accepted := make([]bool, len(n))
 	ok := v.rng.IntN(3) > 0
-	for i := range taken {
-		taken[i] = ok && v.rng.IntN(9) > 0
+	for i := range accepted {
+		accepted[i] = ok && v.rng.IntN(9) > 0
 	}
-	v.in(time.Duration(20+v.rng.IntN(200))*time.Millisecond, func() { done(taken) })
+	v.in(time.Duration(20+v.rng.IntN(200))*time.Millisecond, func() { done(accepted) })
 	return func() {}
 }
 
@@ -248,7 +248,7 @@
 	}
 	rec.Close()
 	if err := rec.Err(); err != nil || rec.Lost.Load() != 0 {
-		t.Fatalf("%v, %d turns lost", err, rec.Lost.Load())
+		t.Fatalf("recorder: error %v, %d turns lost", err, rec.Lost.Load())
 	}
 	return dir, core
 }
@@ -264,7 +264,7 @@
 	t.Helper()
 	files, err := capture.Files(dir)
 	if err != nil || len(files) != 1 {
-		t.Fatalf("%v, %v", files, err)
+		t.Fatalf("captures %v, error %v, want one capture", files, err)
 	}
 	f, err := os.Open(files[0])
 	if err != nil {
--- a/internal/relay/engine/recording.go
+++ b/internal/relay/engine/recording.go
@@ -170,7 +170,7 @@
 		recorded = capture.CoreEvent{Kind: capture.Moved, Front: c.frontNumber(posted.front)}
 	case drain:
 		recorded.Kind = capture.DrainStarted
-	case governed:
+	case mandateChanged:
 		mandate := posted.Mandate.Mandate
 		if mandate.Until = 0; !posted.Mandate.Until.IsZero() {
 			mandate.Until = c.moduleTime(posted.Mandate.Until)
--- a/internal/relay/engine/replay.go
+++ b/internal/relay/engine/replay.go
@@ -18,7 +18,7 @@
 )
 
 // CoreReplay drives a complete core with a capture in place of its clock, fronts and journal, and compares everything the core does
-// with what was recorded. Record must be called with the capture's records in their order, by one goroutine. The zero value is ready for
+// with the recording. Record must be called with the capture's records in their order, by one goroutine. The zero value is ready for
 // use.
 type CoreReplay struct {
 	Turns int // replayed turns that matched their record
@@ -222,7 +222,7 @@
 	return difference
 }
 
-// nilIfEmpty makes no difference between an nilIfEmpty list and none.
+// nilIfEmpty returns nil for an empty slice, so that reflect.DeepEqual treats both alike.
 func nilIfEmpty[T any](all []T) []T {
 	if len(all) == 0 {
 		return nil
--- a/internal/relay/engine/replay_events.go
+++ b/internal/relay/engine/replay_events.go
@@ -31,7 +31,7 @@
 		if recorded.Mandate == nil {
 			return nil, errMandateMissing
 		}
-		return governed{Mandate{*recorded.Mandate, c.fromModuleTime(recorded.Mandate.Until)}, nil}, nil
+		return mandateChanged{Mandate{*recorded.Mandate, c.fromModuleTime(recorded.Mandate.Until)}, nil}, nil
 	case capture.QuotaGranted:
 		if recorded.Shared == nil {
 			return nil, errSharedLimitsMissing
--- a/internal/relay/engine/replay_test.go
+++ b/internal/relay/engine/replay_test.go
@@ -236,7 +236,7 @@
 			_, err = capture.Replay(r, capture.Options{Core: core.Record})
 		}
 		if err != nil || core.Turns < 100 {
-			t.Errorf("%s: %d turns of the core, %v", file, core.Turns, err)
+			t.Errorf("%s: %d turns of the core replayed, error %v", file, core.Turns, err)
 		}
 		_ = f.Close()
 	}
@@ -249,14 +249,14 @@
 	var window bytes.Buffer
 	turns, err := capture.Window(r, &window, 3*time.Second, 6*time.Second, &CoreReplay{})
 	if err != nil || turns < 50 {
-		t.Fatalf("%d turns, %v", turns, err)
+		t.Fatalf("window of %d turns, error %v, want at least 50", turns, err)
 	}
 	if r, err = capture.NewReader(bytes.NewReader(window.Bytes())); err != nil {
 		t.Fatal(err)
 	}
 	var core CoreReplay
 	if res, err := capture.Replay(r, capture.Options{Core: core.Record}); err != nil || res.Turns != turns || core.Turns < turns {
-		t.Errorf("%d turns, %d of the core, want %d: %v", res.Turns, core.Turns, turns, err)
+		t.Errorf("%d turns of the module and %d of the core replayed, want %d: error %v", res.Turns, core.Turns, turns, err)
 	}
 }
 
--- a/internal/relay/engine/shutdown.go
+++ b/internal/relay/engine/shutdown.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Drain refuses new messages from now on; see Drained. It may be called from any goroutine, and more than once.
+// Drain makes the core refuse new messages; see Drained. It may be called from any goroutine, and more than once.
 func (c *Core) Drain() {
 	c.ready.Store(false)
 	c.queue <- drain{}
--- a/internal/relay/engine/snapshot.go
+++ b/internal/relay/engine/snapshot.go
@@ -46,7 +46,7 @@
 func (c *Core) frontSnapshot(f *frontState) capture.FrontState {
 	return capture.FrontState{Name: f.name, NotifiesDeliveries: f.Front.NotifiesDeliveries(), List: slices.Sorted(maps.Values(f.listed)),
 		Index: f.listIndex, LastWatch: f.lastWatch, ListReportedBy: f.listReportedBy, Watching: f.stopWatch != nil,
-		Outstanding: noticeRefs(f.outstanding), Sending: noticeRefs(f.sending), Calling: f.cancelNotify != nil, MovedMeanwhile: f.movedMeanwhile,
+		Outstanding: noticeRefs(f.outstanding), Sending: noticeRefs(f.sending), Calling: f.cancelNotify != nil, MovedMeanwhile: f.movedDuringNotify,
 		RetryAt: c.moduleTimeOrZero(f.retryAt), Backoff: f.backoff}
 }
 
@@ -90,7 +90,7 @@
 	return 1
 }
 
-// fromModuleTime is the reverse of stamp.
+// fromModuleTime is the reverse of moduleTimeOrZero.
 func (c *Core) fromModuleTime(d time.Duration) time.Time {
 	if d == 0 {
 		return time.Time{}
@@ -132,7 +132,7 @@
 func (c *Core) restoreFronts(states []capture.FrontState, front func(capture.FrontState) Front) {
 	for _, s := range states {
 		f := &frontState{name: s.Name, number: len(c.frontsInOrder), Front: front(s), listed: map[string]uint32{}, listIndex: s.Index,
-			lastWatch: s.LastWatch, listReportedBy: s.ListReportedBy, movedMeanwhile: s.MovedMeanwhile, retryAt: c.fromModuleTime(s.RetryAt),
+			lastWatch: s.LastWatch, listReportedBy: s.ListReportedBy, movedDuringNotify: s.MovedMeanwhile, retryAt: c.fromModuleTime(s.RetryAt),
 			backoff: s.Backoff}
 		if s.Watching {
 			f.stopWatch = func() {}
--- a/internal/relay/httpwire/call.go
+++ b/internal/relay/httpwire/call.go
@@ -58,7 +58,7 @@
 	}
 	// mayWrite may write to a disk. If the peer meanwhile closes a reused connection, or sends unsolicited bytes on it, the connection is
 	// not used, and the call has not run.
-	if mayWrite != nil && !mayWrite() || reused && !isOpenAndUnread(conn.Conn) {
+	if mayWrite != nil && !mayWrite() || reused && !isOpenWithoutData(conn.Conn) {
 		_ = conn.Close()
 		return Withheld
 	}
--- a/internal/relay/httpwire/connection.go
+++ b/internal/relay/httpwire/connection.go
@@ -35,7 +35,7 @@
 func (c *serverConn) closable(now time.Time, timeout time.Duration) bool {
 	switch c.phase {
 	case idle: // a request may have arrived that is not read yet
-		return isOpenAndUnread(c.Conn)
+		return isOpenWithoutData(c.Conn)
 	case reading:
 		return now.Sub(c.since) > timeout
 	}
@@ -119,7 +119,7 @@
 	}
 	// The connection has been idle for too long. A request that has just arrived is still answered. One that arrives after this check is
 	// never read, so that the close resets the connection: only by a reset the client knows that it may submit the request again.
-	if errors.Is(err, os.ErrDeadlineExceeded) && !isOpenAndUnread(c.Conn) {
+	if errors.Is(err, os.ErrDeadlineExceeded) && !isOpenWithoutData(c.Conn) {
 		_ = c.SetReadDeadline(deadline)
 		err = c.reader.await()
 	}
--- a/internal/relay/httpwire/ends_test.go
+++ b/internal/relay/httpwire/connection_end_test.go
@@ -20,9 +20,9 @@
 func awaitUnread(t *testing.T, s *Server) {
 	t.Helper()
 	for range 2000 {
-		come := false
-		s.forEachConnection(func(f *serverConn) { come = !isOpenAndUnread(f.Conn) })
-		if come {
+		unread := false
+		s.forEachConnection(func(f *serverConn) { unread = !isOpenWithoutData(f.Conn) })
+		if unread {
 			return
 		}
 		time.Sleep(time.Millisecond)
@@ -113,7 +113,7 @@
 		served := server.admit(&racingConn{raw.(*net.TCPConn), func() {
 			_, _ = conn.Write([]byte("POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"))
 			for range 2000 {
-				if !isOpenAndUnread(raw) {
+				if !isOpenWithoutData(raw) {
 					return
 				}
 				time.Sleep(time.Millisecond)
@@ -158,7 +158,7 @@
 	_ = listener.Close()
 	server.Close(time.Millisecond) // closes connections that have not ended by then
 	if len(server.connections) != 0 {
-		t.Errorf("%d connections are left", len(server.connections))
+		t.Errorf("%d connections are left after Close", len(server.connections))
 	}
 }
 
@@ -173,14 +173,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			listener := wiretest.Listen(t)
-			came := make(chan net.Conn, 1)
+			connected := make(chan net.Conn, 1)
 			requests := make(chan string, 9)
 			go func() {
 				conn, err := listener.Accept()
 				if err != nil {
 					return
 				}
-				came <- conn
+				connected <- conn
 				for r := NewReader(conn, limits()); ; {
 					q, err := r.ReadRequest(nil)
 					if err != nil {
@@ -192,14 +192,14 @@
 			}()
 			pool, peer := NewPool(limits()), Peer{"s-1", listener.Addr().String()}
 			if got := pool.Do(t.Context(), peer, []byte("GET /1 HTTP/1.1\r\n\r\n"), nil, func(*Response) {}); got != Answered {
-				t.Fatalf("stage %d", got)
+				t.Fatalf("the first call ends at stage %d, want Answered", got)
 			}
 			reused := pool.idle[peer][0]
-			conn := <-came
+			conn := <-connected
 			mayWrite := func() bool {
 				act(conn)
 				for range 2000 {
-					if !isOpenAndUnread(reused.Conn) {
+					if !isOpenWithoutData(reused.Conn) {
 						break
 					}
 					time.Sleep(time.Millisecond)
@@ -233,7 +233,7 @@
 		return true
 	}, nil)
 	if got != Withheld || p.count != 0 {
-		t.Errorf("stage %d with %d connections idle", got, p.count)
+		t.Errorf("stage %d with %d idle connections, want Withheld with none", got, p.count)
 	}
 }
 
--- a/internal/relay/httpwire/httpwire_test.go
+++ b/internal/relay/httpwire/httpwire_test.go
@@ -185,7 +185,7 @@
 		got = append(got, string(received))
 	}
 	if strings.Join(got, "|") != "a||b" {
-		t.Errorf("lines %q", got)
+		t.Errorf("lines %q, want a, an empty one and b", got)
 	}
 }
 
--- a/internal/relay/httpwire/peek.go
+++ b/internal/relay/httpwire/peek.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// isOpenAndUnread reports whether a connection is open and has no bytes to read.
-func isOpenAndUnread(c net.Conn) bool {
+// isOpenWithoutData reports whether a connection is open and has no bytes to read.
+func isOpenWithoutData(c net.Conn) bool {
 	_, err := peek(c)
 	return errors.Is(err, syscall.EAGAIN)
 }
--- a/internal/relay/httpwire/pool.go
+++ b/internal/relay/httpwire/pool.go
@@ -68,7 +68,7 @@
 		list = list[:len(list)-1]
 		p.idle[peer] = list
 		p.count--
-		if time.Since(c.idleSince) < p.trustedIdle(time.Now()) && isOpenAndUnread(c.Conn) {
+		if time.Since(c.idleSince) < p.trustedIdle(time.Now()) && isOpenWithoutData(c.Conn) {
 			return c
 		}
 		_ = c.Close()
--- a/internal/relay/platform/platform_test.go
+++ b/internal/relay/platform/platform_test.go
@@ -155,7 +155,7 @@
 		request := &httpwire.Request{Method: "POST", Path: "/score-state", Header: map[string][]string{"X-Request-Id": {dest},
 			"X-Timeout": {"20000m"}, "X-Envelope": {dest}}}
 		if answer := front.Handle(request); answer.Status != 202 {
-			t.Fatalf("%s: status %d", dest, answer.Status)
+			t.Fatalf("%s: answered with status %d, want 202", dest, answer.Status)
 		}
 		for i == 0 && len(log.Entries()) > 0 { // until the message is delivered, and its connection idle
 			time.Sleep(time.Millisecond)
--- a/internal/relay/platform/submit.go
+++ b/internal/relay/platform/submit.go
@@ -42,8 +42,7 @@
 	}
 }
 
-// message converts a request to a message. If the request is invalid, it returns the status and reason of the answer; otherwise status is
-// 0.
+// message converts a request to a message. For an invalid request it returns the status and reason of the answer; otherwise status is 0.
 func (f *Front) message(request *httpwire.Request, path string, now time.Time) (m engine.Message, status int, reason string) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	m.Class = -1
--- a/internal/relay/wire/batch.go
+++ b/internal/relay/wire/batch.go
@@ -31,7 +31,7 @@
 // Record is one event of a batch. Its Code determines which fields are set; see reader.next.
 type Record struct {
 	Code      uint8
-	Instance  uint16 // of Context
+	Instance  uint16 // of a Context event
 	Seed      uint64
 	Setup     []byte
 	Roster    uint8
