--- a/internal/relay/engine/core.go
+++ b/internal/relay/engine/core.go
@@ -73,7 +73,7 @@
 	counters         counters                     // nil until Observe is called
 	mandate          *capture.Mandate             // what the fleet permits this relay to do; nil if it belongs to none
 	awaitingLease    []*Attempt                   // attempts that wait until the relay may act, oldest first
-	publishedMandate atomic.Pointer[frontMandate] // mandate for the fronts' goroutines; set before mandate is
+	publishedMandate atomic.Pointer[frontMandate] // the mandate as the fronts' goroutines see it; set before the core applies the mandate
 }
 
 // frontState is the core's state of one front. Only the core's goroutine may access it.
--- a/internal/relay/engine/governor.go
+++ b/internal/relay/engine/governor.go
@@ -89,7 +89,7 @@
 	}
 	c.moduleEvents = append(c.moduleEvents, listed)
 	for _, f := range c.frontsInOrder {
-		if f.stopWatch == nil && c.settings.MustSubscribe { // any list tells the module that a watch is open: correct that
+		if f.stopWatch == nil && c.settings.MustSubscribe { // after a list the module assumes an open watch: none is open
 			c.moduleEvents = append(c.moduleEvents, control.Event{Kind: control.ListFailed})
 			break
 		}
--- a/internal/relay/engine/governor_test.go
+++ b/internal/relay/engine/governor_test.go
@@ -254,8 +254,8 @@
 	}
 }
 
-// TestQuota_Halted_ModuleDecidesNoBurst: a relay that was halted, and was granted WithoutLease meanwhile, to a partner whose limit relays
-// share, does not send a burst after the halt, and still sends every message that it has accepted.
+// TestQuota_Halted_ModuleDecidesNoBurst: while a relay is halted and granted WithoutLease, calls to a partner with a shared limit must not
+// accumulate. After the halt there is no burst, and every accepted message is still sent.
 func TestQuota_Halted_ModuleDecidesNoBurst(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	endpoint := relay.core.fronts["platform"].listed["s-2"]
--- a/internal/relay/engine/inspector.go
+++ b/internal/relay/engine/inspector.go
@@ -42,8 +42,8 @@
 	Body   []byte // its first bytes, Inspector.SampleBytes at most
 }
 
-// ObserveAnswer stores a copy of what the inspector wants to see of an answer. The front must call it with each complete answer, on the
-// attempt's goroutine before Call returns.
+// ObserveAnswer stores a copy of the part of an answer that the inspector wants to see. The front must call it with each complete answer,
+// on the attempt's goroutine before Call returns.
 func (a *Attempt) ObserveAnswer(status int, header textproto.MIMEHeader, body []byte) {
 	if a.sampleBytes >= 0 {
 		a.sampled = &AnswerSample{status, header, bytes.Clone(body[:min(len(body), a.sampleBytes)])}
--- a/internal/relay/engine/quota.go
+++ b/internal/relay/engine/quota.go
@@ -47,7 +47,7 @@
 	o.report(all, core.counters)
 }
 
-// GrantQuota sets, from the next turn on, what the fleet has leased to this relay of the limits that relays share; the lease ends at until,
+// GrantQuota sets, from the next turn on, this relay's leased share of the limits that relays have in common. The lease ends at until,
 // which replaces limits.LeaseExpiry. done, unless nil, is called by the core's goroutine after that turn and must not block.
 func (c *Core) GrantQuota(limits control.SharedLimits, until time.Time, done func()) {
 	c.queue <- quotaGranted{limits, until, done}
--- a/internal/relay/httpwire/answer.go
+++ b/internal/relay/httpwire/answer.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Answer is what a handler returns.
+// Answer is a handler's response to a request.
 type Answer struct {
 	Status       int      // HTTP status
 	Header       []string // names and values alternating
