--- a/internal/tier/gossip/announce.go
+++ b/internal/tier/gossip/announce.go
@@ -6,7 +6,7 @@
 	"mastusher/internal/tier/view"
 )
 
-// announce sends the stamps that are new in this Step to a few random members, except those that have announced them all.
+// announce sends the stamps that are new in this Step to a few random members, except members that have announced them all.
 func (g *Gossiper) announce() {
 	if len(g.changedSections) == 0 {
 		return
@@ -20,7 +20,7 @@
 	}
 }
 
-// randomPeers returns up to count different random members that have not announced all changed sections.
+// randomPeers returns up to count distinct random members that have not announced the stamps of all changed sections.
 func (g *Gossiper) randomPeers(count int) []string {
 	const drawsPerPeer = 4
 	chosen := make([]string, 0, count)
@@ -36,7 +36,7 @@
 	return chosen
 }
 
-// hasAnnouncedChanges reports whether a member has announced everything that is new in this Step.
+// hasAnnouncedChanges reports whether a member has announced all stamps that are new in this Step, or newer ones.
 func (g *Gossiper) hasAnnouncedChanges(peer string) bool {
 	for _, section := range g.changedSections {
 		if !g.fetcher.hasAnnounced(section, g.store.Stamp(section), peer) {
--- a/internal/tier/gossip/cluster_test.go
+++ b/internal/tier/gossip/cluster_test.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/virtualtime"
 )
 
-// cluster is a set of hosts in virtual time, joined by an in-memory network.
+// cluster is a set of hosts in virtual time, connected by a simulated network.
 type cluster struct {
 	loop    virtualtime.Loop
 	random  *rand.Rand
@@ -18,9 +18,9 @@
 	byName  map[string]*host
 	options Options
 
-	loss      float64                   // share of datagrams that are lost
-	blocked   func(from, to *host) bool // a partition of one direction
-	violation error                     // the first violation that was seen
+	loss      float64                   // fraction of datagrams that are lost
+	blocked   func(from, to *host) bool // whether nothing gets from one host to the other
+	violation error                     // the first violation of the protocol
 
 	messages int
 	bytes    int
@@ -30,17 +30,17 @@
 // host is one member.
 type host struct {
 	address        string
-	gossiper       *Gossiper // nil: it is down
+	gossiper       *Gossiper // nil while the host is down
 	starts         int
-	version        uint64 // of the timer
-	immediateSteps int    // steps in a row that asked for the next one at once
-	hangs          bool   // accepts calls and never answers
-	fetching       map[view.Section]time.Duration
+	version        uint64                         // of the wake-up timer; timers of older versions are ignored
+	immediateSteps int                            // consecutive steps that asked for an immediate wake-up
+	hangs          bool                           // accepts calls and never answers
+	fetching       map[view.Section]time.Duration // start of the pending fetch
 	reported       map[view.Section]view.Stamp
-	at             map[view.Section]time.Duration // of the last report
+	reportedAt     map[view.Section]time.Duration
 }
 
-// newCluster starts size hosts that know one another.
+// newCluster starts size hosts that know each other.
 func newCluster(size int, seed uint64) *cluster {
 	c := &cluster{
 		random:  rand.New(rand.NewPCG(seed, 1)),
@@ -68,7 +68,7 @@
 	h.hangs = false
 	h.fetching = map[view.Section]time.Duration{}
 	h.reported = map[view.Section]view.Stamp{}
-	h.at = map[view.Section]time.Duration{}
+	h.reportedAt = map[view.Section]time.Duration{}
 	peers := make([]string, 0, len(c.hosts))
 	for _, other := range c.hosts {
 		if other != h {
@@ -111,7 +111,7 @@
 	})
 }
 
-// busy reports whether a host asks to be woken at once without end.
+// busy reports whether a host keeps asking for an immediate wake-up.
 func (c *cluster) busy(h *host, wake time.Duration) bool {
 	const maxImmediateSteps = 100
 	if wake > c.loop.Now() {
@@ -122,26 +122,26 @@
 	if h.immediateSteps < maxImmediateSteps {
 		return false
 	}
-	c.violate("%s asks to be woken at once without end", h.address)
+	c.violate("%s asked for an immediate wake-up in too many consecutive steps", h.address)
 	return true
 }
 
-// checkReport checks that each report is newer than the last.
+// checkReport checks that an update is newer than the last one that the host reported for the section.
 func (c *cluster) checkReport(h *host, update view.Update) {
 	last, found := h.reported[update.Section]
 	if found && !last.Less(update.Stamp) {
 		c.violate("%s reported %v of %s after %v", h.address, update.Stamp, update.Section, last)
 	}
 	h.reported[update.Section] = update.Stamp
-	h.at[update.Section] = c.loop.Now()
+	h.reportedAt[update.Section] = c.loop.Now()
 }
 
-// checkFetch checks that there is one fetch of a section at a time, unless the last one exceeded its time-out.
+// checkFetch checks that a host fetches a section only once at a time, unless the last fetch exceeded its timeout.
 func (c *cluster) checkFetch(h *host, fetch Fetch) {
 	for section := range fetch.Requested {
 		since, found := h.fetching[section]
 		if found && c.loop.Now()-since < h.gossiper.options.FetchTimeout {
-			c.violate("%s fetches %s twice", h.address, section)
+			c.violate("%s fetches %s while another fetch of it is pending", h.address, section)
 		}
 		h.fetching[section] = c.loop.Now()
 	}
@@ -175,7 +175,8 @@
 	})
 }
 
-// fetch requests updates over a connection: two ways for its handshake, one for the request, one for the response.
+// fetch requests updates over a new connection, with four one-way delays: two for the handshake, one for the request and one for
+// the response.
 func (c *cluster) fetch(from *host, fetch Fetch) {
 	c.fetches++
 	starts := from.starts
@@ -204,7 +205,7 @@
 	})
 }
 
-// write makes a host the author of an update.
+// write makes a host publish a new update.
 func (c *cluster) write(h *host, section view.Section, epoch, sequence uint64) view.Update {
 	update := view.Update{
 		Section: section,
@@ -215,7 +216,7 @@
 	return update
 }
 
-// countReached counts the running hosts that have a stamp of a section or a newer one, and all running ones.
+// countReached counts the running hosts that have the given stamp of a section or a newer one, and all running hosts.
 func (c *cluster) countReached(section view.Section, stamp view.Stamp) (reached, running int) {
 	for _, h := range c.hosts {
 		if h.gossiper == nil {
@@ -229,7 +230,7 @@
 	return reached, running
 }
 
-// expectAll runs until all running hosts have an update.
+// expectAll runs until all running hosts have an update or a newer one, for at most the limit.
 func (c *cluster) expectAll(update view.Update, limit time.Duration) error {
 	end := c.loop.Now() + limit
 	for {
@@ -238,7 +239,7 @@
 			return c.violation
 		}
 		if c.loop.Now() >= end {
-			return fmt.Errorf("%d of %d hold %s %v after %v", reached, running, update.Section, update.Stamp, limit)
+			return fmt.Errorf("%d of %d hosts have section %s with stamp %v after %v, want all", reached, running, update.Section, update.Stamp, limit)
 		}
 		c.runFor(20 * time.Millisecond)
 	}
--- a/internal/tier/gossip/digest.go
+++ b/internal/tier/gossip/digest.go
@@ -6,8 +6,8 @@
 	"mastusher/internal/tier/view"
 )
 
-// handleDigest compares a digest with the store: newer stamps there make the sender a source to fetch from, newer stamps
-// here are sent back.
+// handleDigest compares a received digest with the store. For sections with newer stamps in the digest the sender becomes a source
+// to fetch from; newer stamps in the store are sent back.
 func (g *Gossiper) handleDigest(received Datagram) {
 	for _, section := range sortedSections(received.Message.Digest) {
 		stamp := received.Message.Digest[section]
@@ -20,7 +20,7 @@
 	}
 }
 
-// sendDigest sends the complete digest to one random member when it is due.
+// sendDigest sends the complete digest to one random member if one is due.
 func (g *Gossiper) sendDigest() {
 	if g.options.DigestInterval < 0 || len(g.peers) == 0 || g.now < g.nextDigest {
 		return
@@ -29,10 +29,10 @@
 	g.send(g.peers[g.random.IntN(len(g.peers))], g.CompleteDigest())
 }
 
-// CompleteDigest returns the message with all stamps of the store. Callers may send it by other means, as on probes.
+// CompleteDigest returns a message with all stamps of the store. Callers may send it by other means, such as on probes.
 func (g *Gossiper) CompleteDigest() Message { return Message{Digest: g.store.Digest(), Complete: true} }
 
-// sortedSections returns the sections of a digest in a fixed order, so that effects do not depend on that of a map.
+// sortedSections returns the sections of a digest in a fixed order, so that effects do not depend on map order.
 func sortedSections(digest view.Digest) []view.Section {
 	sections := make([]view.Section, 0, len(digest))
 	for section := range digest {
--- a/internal/tier/gossip/fetch.go
+++ b/internal/tier/gossip/fetch.go
@@ -8,43 +8,43 @@
 	"mastusher/internal/tier/view"
 )
 
-// Fetch asks a member for the sections of Requested, with those stamps or newer ones, over a reliable connection. The caller
-// of Step must return its outcome as a FetchResult with the same token.
+// Fetch requests sections from a member over a reliable connection, with the stamps in Requested or newer ones. The caller of Step
+// must pass the outcome to a later Step as a FetchResult with the same token.
 type Fetch struct {
 	Token     uint64
 	Address   string
 	Requested view.Digest
 }
 
-// FetchResult is the outcome of a Fetch. Without updates it has failed.
+// FetchResult is the outcome of a Fetch. Without updates the fetch has failed.
 type FetchResult struct {
 	Token   uint64
 	Updates []view.Update
 }
 
-// maxSources bounds the sources that are remembered per section.
+// maxSources bounds the sources per section.
 const maxSources = 8
 
-// maxSourceFailures is how often a source may fail until it is forgotten.
+// maxSourceFailures is the number of failed fetches after which a source is removed.
 const maxSourceFailures = 3
 
-// fetcher is the state of the fetches, one per section.
+// fetcher is the state of the fetches of all sections.
 type fetcher struct {
-	sections []*sectionFetch // by section
+	sections []*sectionFetch // sorted by section
 	token    uint64          // of the last fetch
 }
 
-// sectionFetch is the state of a section of which a newer update has been announced. It stays after the fetch, so that its
-// sources do not get an announcement of what they have.
+// sectionFetch is the fetch state of a section for which a newer update has been announced. It is kept after the fetch, so that the
+// update is not announced to its sources.
 type sectionFetch struct {
 	section view.Section
 	sources []source
 
 	token     uint64 // of the pending fetch; 0: none
-	source    string // address that it asks
+	source    string // address of the pending fetch
 	requested view.Stamp
 	deadline  time.Duration
-	retryAt   time.Duration // backoff of a source that failed
+	retryAt   time.Duration // end of the backoff after a failure
 }
 
 // source is a member that has announced a stamp of a section.
@@ -54,7 +54,7 @@
 	failures int
 }
 
-// find returns the state of a section; nil: no newer update of it was announced yet.
+// find returns the state of a section, or nil if no newer update of the section was announced.
 func (f *fetcher) find(section view.Section) *sectionFetch {
 	for _, state := range f.sections {
 		if state.section == section {
@@ -75,7 +75,7 @@
 	state.addSource(stamp, address)
 }
 
-// hasAnnounced reports whether a member has announced that stamp of a section or a newer one.
+// hasAnnounced reports whether a member has announced the given stamp of a section or a newer one.
 func (f *fetcher) hasAnnounced(section view.Section, stamp view.Stamp, address string) bool {
 	state := f.find(section)
 	return state != nil && slices.ContainsFunc(state.sources, func(s source) bool {
@@ -83,7 +83,7 @@
 	})
 }
 
-// addSource adds a source; beyond maxSources it replaces the one with the oldest stamp, if that is older.
+// addSource adds or updates a source. At maxSources a new source replaces the one with the oldest stamp, if that stamp is older.
 func (f *sectionFetch) addSource(stamp view.Stamp, address string) {
 	position := slices.IndexFunc(f.sources, func(s source) bool { return s.address == address })
 	if position >= 0 {
@@ -107,8 +107,8 @@
 	}
 }
 
-// bestSource returns the source to ask next of those with a newer stamp than current: with the fewest failures, then the
-// newest stamp, then the latest announcement. Nil: there is none.
+// bestSource returns the source to fetch from next, or nil if none has a newer stamp than current: the one with the fewest failures,
+// then the newest stamp, then the latest position in the list.
 func (f *sectionFetch) bestSource(current view.Stamp) *source {
 	var best *source
 	for i := range f.sources {
@@ -124,7 +124,7 @@
 	return best
 }
 
-// recordFailure ends the pending fetch without result. The backoff grows with the failures of its source.
+// recordFailure ends the pending fetch as failed. The backoff grows with the failures of the source.
 func (f *sectionFetch) recordFailure(now, backoff time.Duration) {
 	f.token = 0
 	position := slices.IndexFunc(f.sources, func(s source) bool { return s.address == f.source })
@@ -138,7 +138,7 @@
 	}
 }
 
-// handleFetchResult applies the updates of a fetch. Sections that are still older than requested count as failed.
+// handleFetchResult applies the updates of a fetch. The fetch has failed for sections that are still older than requested.
 func (g *Gossiper) handleFetchResult(fetched FetchResult) {
 	for _, update := range fetched.Updates {
 		g.apply(update)
@@ -155,7 +155,7 @@
 	}
 }
 
-// expireFetches counts fetches that exceed their time-out as failed. Updates that arrive later are still applied.
+// expireFetches marks fetches that exceed their timeout as failed. Updates that arrive later are still applied.
 func (g *Gossiper) expireFetches() {
 	for _, state := range g.fetcher.sections {
 		if state.token != 0 && g.now >= state.deadline {
@@ -164,7 +164,7 @@
 	}
 }
 
-// startFetches fetches the sections that have a source and no pending fetch, with one fetch per source.
+// startFetches fetches the sections that have a source and no pending fetch, combined into one fetch per source.
 func (g *Gossiper) startFetches() {
 	first := len(g.effects.Fetches)
 	for _, state := range g.fetcher.sections {
@@ -175,7 +175,7 @@
 		if chosen == nil || chosen.failures > 0 && g.now < state.retryAt {
 			continue
 		}
-		fetch := g.fetchOf(chosen.address, first)
+		fetch := g.fetchFrom(chosen.address, first)
 		fetch.Requested[state.section] = chosen.stamp
 		state.token = fetch.Token
 		state.source = chosen.address
@@ -184,8 +184,8 @@
 	}
 }
 
-// fetchOf returns the fetch of this Step from a source; those of this Step start at index first.
-func (g *Gossiper) fetchOf(address string, first int) *Fetch {
+// fetchFrom returns the fetch from an address among the effects from index first on, or adds one.
+func (g *Gossiper) fetchFrom(address string, first int) *Fetch {
 	for i := first; i < len(g.effects.Fetches); i++ {
 		if g.effects.Fetches[i].Address == address {
 			return &g.effects.Fetches[i]
@@ -196,7 +196,7 @@
 	return &g.effects.Fetches[len(g.effects.Fetches)-1]
 }
 
-// nextFetch returns when a pending fetch expires or a failed one may be retried.
+// nextFetch returns when a pending fetch expires or a failed one may be retried, or never if there is neither.
 func (g *Gossiper) nextFetch() time.Duration {
 	next := never
 	for _, state := range g.fetcher.sections {
--- a/internal/tier/gossip/figures_test.go
+++ b/internal/tier/gossip/figures_test.go
@@ -9,14 +9,15 @@
 	"mastusher/internal/tier/view"
 )
 
-// Bounds on the figures.
+// Bounds on the measurements.
 const (
-	maxMessagesCalm = 1.2 // for each member and second
-	maxBytesCalm    = 300.0
+	maxMessagesCalm = 1.2   // per member and second
+	maxBytesCalm    = 300.0 // per member and second
 	maxSpread       = 4 * time.Second
 )
 
-// TestCluster_SpreadAndCost_WithinTheBounds measures how long a new update needs and what it costs, with 2 % loss.
+// TestCluster_SpreadAndCost_WithinTheBounds measures, with 2 % datagram loss, the messages and bytes of an idle cluster and the time
+// in which a new update reaches all hosts.
 func TestCluster_SpreadAndCost_WithinTheBounds(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{16, 100, 380, 1000} {
@@ -35,9 +36,9 @@
 			fleet.runFor(calmSeconds * time.Second)
 			perSecond := 1 / float64(size*calmSeconds)
 			calmMessages, calmBytes := float64(fleet.messages-messages)*perSecond, float64(fleet.bytes-bytes)*perSecond
-			t.Logf("calm, for each member and second: %.2f messages, %.0f bytes", calmMessages, calmBytes)
+			t.Logf("idle, per member and second: %.2f messages, %.0f bytes", calmMessages, calmBytes)
 			if calmMessages > maxMessagesCalm || calmBytes > maxBytesCalm {
-				t.Error("a calm fleet costs too much")
+				t.Error("an idle cluster exceeds maxMessagesCalm or maxBytesCalm")
 			}
 
 			var times []time.Duration
@@ -51,7 +52,7 @@
 				times = append(times, fleet.spreadTimes(t, view.Stamp{Term: 1, Sequence: 2 + i}, started)...)
 			}
 			slices.Sort(times)
-			t.Logf("a new update arrives after: median %v, 99 %% %v, longest %v; each write costs a member %.2f messages and %.2f fetches",
+			t.Logf("a new update arrives after: median %v, 99 %% %v, longest %v; each write takes %.2f messages and %.2f fetches per member",
 				times[len(times)/2], times[len(times)*99/100], times[len(times)-1],
 				float64(fleet.messages-messages)/float64(size*writes)-calmMessages*maxSpread.Seconds(),
 				float64(fleet.fetches-fetches)/float64(size*writes))
@@ -62,15 +63,15 @@
 	}
 }
 
-// spreadTimes lists how long each host waited for a stamp of the endpoints.
+// spreadTimes returns how long each host waited for an update of the endpoints.
 func (c *cluster) spreadTimes(t *testing.T, stamp view.Stamp, started time.Duration) []time.Duration {
 	var times []time.Duration
 	for _, h := range c.hosts {
 		if h.reported[view.EndpointsSection] != stamp {
-			t.Errorf("%s does not hold %v after %v", h.address, stamp, maxSpread)
+			t.Errorf("%s does not have stamp %v after %v", h.address, stamp, maxSpread)
 			continue
 		}
-		times = append(times, (h.at[view.EndpointsSection] - started).Round(time.Millisecond))
+		times = append(times, (h.reportedAt[view.EndpointsSection] - started).Round(time.Millisecond))
 	}
 	return times
 }
--- a/internal/tier/gossip/gossiper.go
+++ b/internal/tier/gossip/gossiper.go
@@ -9,7 +9,7 @@
 	"mastusher/internal/tier/view"
 )
 
-// Input is what has happened since the last Step.
+// Input holds the events since the last Step.
 type Input struct {
 	Peers     []string      // addresses of the other members; nil: unchanged
 	Updates   []view.Update // published by this process
@@ -17,12 +17,12 @@
 	Fetched   []FetchResult
 }
 
-// Effects is what the caller of Step must do.
+// Effects holds the actions that the caller of Step must carry out.
 type Effects struct {
 	Datagrams []Datagram
 	Fetches   []Fetch
-	Updated   []view.Update // new in the store, in order; each once
-	NextWake  time.Duration // when Step is to be called again at the latest
+	Updated   []view.Update // new in the store, in the order in which they were stored
+	NextWake  time.Duration // the latest time at which Step must be called again
 }
 
 // Gossiper runs the protocol for one member.
@@ -36,13 +36,13 @@
 	peers           []string
 	nextDigest      time.Duration // when the next complete digest is sent
 	fetcher         fetcher
-	changedSections []view.Section // in this Step
+	changedSections []view.Section // sections with a new update in this Step
 }
 
-// New returns a gossiper over a store, which may have updates already and must be changed by Step only.
+// New returns a gossiper for a store, which may already have updates and must then be changed only by Step.
 func New(options Options, store *Store) *Gossiper {
 	options = withDefaults(options)
-	const stream = 1 // of the random generator
+	const stream = 1 // second half of the generator's seed
 	return &Gossiper{
 		options: options,
 		store:   store,
@@ -50,11 +50,11 @@
 	}
 }
 
-// never is a deadline that does not pass.
+// never is a deadline that is never reached.
 const never = time.Duration(math.MaxInt64)
 
-// Step handles what has happened up to now and returns what must be done. now is a monotonic clock; the caller must call
-// Step again at NextWake at the latest, also without input.
+// Step handles the input and the timers that are due, and returns the resulting effects. now is the time of a monotonic clock. The
+// caller must call Step again by NextWake, even without input.
 func (g *Gossiper) Step(now time.Duration, input Input) Effects {
 	g.now = now
 	g.effects = Effects{}
@@ -79,7 +79,7 @@
 	return g.effects
 }
 
-// setPeers replaces the members. When there were none, a complete digest is due at once.
+// setPeers replaces the peers. If there were none, a complete digest is due immediately.
 func (g *Gossiper) setPeers(peers []string) {
 	if len(g.peers) == 0 {
 		g.nextDigest = g.now
@@ -87,7 +87,7 @@
 	g.peers = peers
 }
 
-// apply stores an update if it is newer than the one of its section.
+// apply stores an update if it is newer than the stored one of its section.
 func (g *Gossiper) apply(update view.Update) {
 	if !g.store.Put(update) {
 		return
@@ -103,7 +103,7 @@
 	g.effects.Datagrams = append(g.effects.Datagrams, Datagram{address, message})
 }
 
-// nextWake returns when a fetch or the next complete digest is due; never: neither is.
+// nextWake returns when a fetch or the next complete digest is due, or never if neither is.
 func (g *Gossiper) nextWake() time.Duration {
 	next := g.nextFetch()
 	if g.options.DigestInterval > 0 && len(g.peers) > 0 {
@@ -112,7 +112,7 @@
 	return next
 }
 
-// jittered returns a duration within a tenth of the one given, so that members do not synchronise.
+// jittered changes a duration randomly by up to a tenth, so that the timers of members do not synchronise.
 func (g *Gossiper) jittered(duration time.Duration) time.Duration {
 	const fraction = 10
 	return duration - duration/fraction + time.Duration(g.random.Int64N(int64(2*duration/fraction)+1))
--- a/internal/tier/gossip/message.go
+++ b/internal/tier/gossip/message.go
@@ -5,10 +5,10 @@
 // Message is one datagram: an announcement of some sections, or a complete digest.
 type Message struct {
 	Digest   view.Digest `json:"d"`
-	Complete bool        `json:"w,omitempty"` // the sender has nothing of the sections that are not named
+	Complete bool        `json:"w,omitempty"` // the sender has no update of the sections that Digest does not contain
 }
 
-// Datagram is a message with the address (host:port) that it goes to or came from.
+// Datagram is a message with the address (host:port) of its receiver or sender.
 type Datagram struct {
 	Address string
 	Message Message
--- a/internal/tier/gossip/mutants_test.go
+++ b/internal/tier/gossip/mutants_test.go
@@ -7,7 +7,7 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// Scenarios that detect the mutants.
+// Patterns of the scenarios that detect the mutants.
 const (
 	formerLeaders  = "^TestScenarios$/given_a_leader_that_was_replaced"
 	duplicates     = "^TestScenarios$/given_an_update_that_comes_twice"
@@ -17,7 +17,7 @@
 	dyingSources   = "^TestScenarios$/given_a_source_that_dies"
 )
 
-// storeMutants break which updates a store takes and what it answers.
+// storeMutants break which updates are stored and which digests are sent.
 var storeMutants = []mutation.Mutant{
 	{
 		Name: "older updates are applied",
@@ -65,7 +65,7 @@
 	},
 }
 
-// fetchMutants break when a section is fetched again.
+// fetchMutants break the rules for fetching a section again.
 var fetchMutants = []mutation.Mutant{
 	{
 		Name: "fetches never expire",
--- a/internal/tier/gossip/norace_test.go
+++ b/internal/tier/gossip/norace_test.go
@@ -3,6 +3,6 @@
 package gossip
 
 const (
-	campaignSeeds = 20   // with which each scenario is run
-	largestFleet  = 1000 // members that figures are taken with
+	campaignSeeds = 20   // number of seeds with which each scenario runs
+	largestFleet  = 1000 // members in the largest measured cluster
 )
--- a/internal/tier/gossip/options.go
+++ b/internal/tier/gossip/options.go
@@ -10,26 +10,26 @@
 	DefaultRetryBackoff   = 100 * time.Millisecond
 )
 
-// Options configures a Gossiper. A zero value means the default; none is bounded here.
+// Options configures a Gossiper. A zero value selects the default; the values are not validated.
 type Options struct {
-	// Fanout is how many random members a new update is announced to; default 4. A larger value spreads faster and bears
-	// more loss, and costs as many more datagrams per member and update.
+	// Fanout is the number of random members to which a new update is announced; default 4. A larger value spreads updates
+	// faster and tolerates more loss, and costs as many more datagrams per member and update.
 	Fanout int
 
-	// DigestInterval is the time between complete digests to a random member; default one second. Negative: none are
-	// sent, because digests travel by other means, see Gossiper.CompleteDigest. A larger value saves datagrams, and
-	// delays the repair of lost announcements.
+	// DigestInterval is the time between complete digests to a random member; default one second. If it is negative none
+	// are sent, and the caller sends digests by other means, see Gossiper.CompleteDigest. A larger value saves datagrams,
+	// and delays the repair of lost announcements.
 	DigestInterval time.Duration
 
-	// FetchTimeout is the time until another source is asked; default 400 ms. It must exceed a connect and a round trip.
-	// A larger value bears slower sources, and delays an update whose source hangs.
+	// FetchTimeout is the time after which a fetch has failed and another source is asked; default 400 ms. It must exceed
+	// a connect and a round trip. A larger value tolerates slower sources, and delays an update whose source hangs.
 	FetchTimeout time.Duration
 
-	// RetryBackoff is the time until a source that failed is asked again, times its failures; default 100 ms. A larger
-	// value saves calls to a failing source, and delays an update that nobody else has.
+	// RetryBackoff, multiplied by the failures of a source, is the delay after its failed fetch; default 100 ms. A larger
+	// value saves calls to a failing source, and delays an update that no other member has.
 	RetryBackoff time.Duration
 
-	// Seed is that of all random choices. It must differ between members, or they choose the same peers.
+	// Seed seeds all random choices. It must differ between members, or they choose the same peers.
 	Seed uint64
 }
 
--- a/internal/tier/gossip/properties_test.go
+++ b/internal/tier/gossip/properties_test.go
@@ -19,8 +19,8 @@
 	})
 )
 
-// Given any updates in any order, when they are put into a store, then it has the newest of each section, and Put
-// reported only those that were newer.
+// Given any updates in any order, when they are put into a store, then the store has the newest update of each section, and Put
+// returned true only for newer updates.
 func TestStore_AnyUpdates_KeepsTheNewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := NewStore()
@@ -30,7 +30,7 @@
 			current, found := newest[update.Section]
 			newer := !found || current.Less(update.Stamp)
 			if store.Put(update) != newer {
-				t.Fatalf("put %v over %v", update.Stamp, current)
+				t.Fatalf("Put of %v over %v returned the wrong result", update.Stamp, current)
 			}
 			if newer {
 				newest[update.Section] = update.Stamp
@@ -42,13 +42,13 @@
 	})
 }
 
-// fault is one write or fault that is injected into a cluster.
+// fault is a write or fault to inject into a cluster.
 type fault struct {
 	Kind     string
 	Host     int
 	Section  view.Section
 	Sequence uint64
-	Delay    time.Duration // until the next one
+	Delay    time.Duration // until the next fault
 }
 
 var faults = rapid.Custom(func(t *rapid.T) fault {
@@ -61,12 +61,12 @@
 	}
 })
 
-func (c *cluster) inject(happens fault) {
-	h := c.hosts[happens.Host%len(c.hosts)]
-	switch happens.Kind {
+func (c *cluster) inject(injected fault) {
+	h := c.hosts[injected.Host%len(c.hosts)]
+	switch injected.Kind {
 	case "write":
 		if h.gossiper != nil {
-			c.write(h, happens.Section, 1, happens.Sequence)
+			c.write(h, injected.Section, 1, injected.Sequence)
 		}
 	case "kill":
 		c.kill(h)
@@ -94,15 +94,15 @@
 	}
 }
 
-// Given any writes and faults, when they are over, then all members have the newest update that a running one has, no
-// stamp ever went back, and no section was fetched twice at a time.
+// Given any writes and faults, when they are over, then all members have the newest update of any running member, no section ever
+// reverted to an older stamp, and no section was fetched twice at a time.
 func TestCluster_AnyFaults_ConvergesOnTheNewest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := newCluster(rapid.IntRange(2, 10).Draw(t, "size"), rapid.Uint64().Draw(t, "seed"))
 		fleet.loss = rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "loss")
-		for _, happens := range rapid.SliceOfN(faults, 1, 20).Draw(t, "faults") {
-			fleet.inject(happens)
-			fleet.runFor(happens.Delay)
+		for _, injected := range rapid.SliceOfN(faults, 1, 20).Draw(t, "faults") {
+			fleet.inject(injected)
+			fleet.runFor(injected.Delay)
 		}
 		fleet.loss = min(fleet.loss, 0.02)
 		fleet.healAll()
@@ -117,7 +117,7 @@
 	})
 }
 
-// newest returns the newest stamps that a running host has.
+// newest returns the newest stamp of each section at any host. All hosts must be running.
 func (c *cluster) newest() view.Digest {
 	newest := view.Digest{}
 	for _, h := range c.hosts {
@@ -130,7 +130,7 @@
 	return newest
 }
 
-// Given one seed, when a run is repeated, then all figures are the same.
+// Given a seed, when a run is repeated, then the messages, bytes, fetches and times of reports are the same.
 func TestCluster_SameSeed_GivesTheSameRun(t *testing.T) {
 	run := func() []any {
 		fleet := newCluster(20, 3)
@@ -140,7 +140,7 @@
 		}
 		figures := []any{fleet.messages, fleet.bytes, fleet.fetches}
 		for _, h := range fleet.hosts {
-			figures = append(figures, h.at)
+			figures = append(figures, h.reportedAt)
 		}
 		return figures
 	}
--- a/internal/tier/gossip/scenario_test.go
+++ b/internal/tier/gossip/scenario_test.go
@@ -8,17 +8,17 @@
 	"mastusher/internal/tier/view"
 )
 
-// scenario returns an error when the protocol violates what its name says.
+// scenario is a test case whose run returns an error if the protocol violates the behaviour in its name.
 type scenario struct {
 	name string
 	run  func(seed uint64) error
 }
 
 var scenarios = []scenario{
-	{"given a calm network, when an update is written, then all get it soon", written},
-	{"given many writes, when they follow one another, then all end with the newest", manyWrites},
-	{"given a leader that was replaced, when it still writes, then nobody goes back", formerLeader},
-	{"given a member that restarts empty, when it sends its digest, then it gets all", restartsEmpty},
+	{"given a calm network, when an update is written, then all members get it soon", written},
+	{"given many writes, when they follow each other, then all members end with the newest", manyWrites},
+	{"given a leader that was replaced, when it still writes, then no member reverts to its update", formerLeader},
+	{"given a member that restarts empty, when it sends its digest, then it gets all updates", restartsEmpty},
 	{"given a partitioned member, when the partition heals, then it catches up", partitioned},
 	{"given a source that hangs, when others have announced, then they are asked", hangingSource},
 	{"given a source that dies, when others have announced, then they are asked", dyingSource},
@@ -56,7 +56,7 @@
 	fleet.runFor(5 * time.Second)
 	for _, h := range fleet.hosts {
 		if stamp := h.gossiper.store.Stamp(view.PlacementSection); stamp != newer.Stamp {
-			return fmt.Errorf("%s holds %v", h.address, stamp)
+			return fmt.Errorf("%s has stamp %v, want that of the newer leader", h.address, stamp)
 		}
 	}
 	return fleet.violation
@@ -83,13 +83,13 @@
 	update := fleet.write(fleet.hosts[0], view.ConfigurationSection, 1, 1)
 	fleet.runFor(10 * time.Second)
 	if reached, running := fleet.countReached(update.Section, update.Stamp); reached != running-1 {
-		return fmt.Errorf("%d have it during the partition", reached)
+		return fmt.Errorf("%d members have the update during the partition, want all but one", reached)
 	}
 	fleet.blocked = func(_, _ *host) bool { return false }
 	return fleet.expectAll(update, 4*time.Second)
 }
 
-// announceTo announces an update to a host from several that have it.
+// announceTo announces an update to a host in the name of several holders.
 func (c *cluster) announceTo(h *host, update view.Update, holders ...*host) {
 	for _, holder := range holders {
 		message := Message{Digest: view.Digest{update.Section: update.Stamp}}
@@ -97,10 +97,10 @@
 	}
 }
 
-// announcedUpdate is the update that is announced in clusters without digests.
+// announcedUpdate is the update that scenarios in clusters without digests use.
 var announcedUpdate = view.Update{Section: view.EndpointsSection, Stamp: view.Stamp{Term: 1, Sequence: 1}}
 
-// clusterWithoutDigests starts a cluster in which nobody sends complete digests.
+// clusterWithoutDigests starts a cluster whose hosts do not send complete digests periodically.
 func clusterWithoutDigests(size int, seed uint64) *cluster {
 	fleet := newCluster(size, seed)
 	fleet.options.DigestInterval = -1
@@ -119,7 +119,7 @@
 	fleet.announceTo(fleet.hosts[2], announcedUpdate, fleet.hosts[0], fleet.hosts[1])
 	fleet.runFor(time.Second)
 	if fleet.hosts[2].gossiper.store.Stamp(announcedUpdate.Section) != announcedUpdate.Stamp {
-		return fmt.Errorf("the other source was not asked")
+		return fmt.Errorf("the update was not fetched from the other source")
 	}
 	return fleet.violation
 }
@@ -132,7 +132,7 @@
 	fleet.announceTo(fleet.hosts[2], announcedUpdate, fleet.hosts[0], fleet.hosts[1])
 	fleet.runFor(300 * time.Millisecond)
 	if fleet.hosts[2].gossiper.store.Stamp(announcedUpdate.Section) != announcedUpdate.Stamp {
-		return fmt.Errorf("the other source was not asked")
+		return fmt.Errorf("the update was not fetched from the other source")
 	}
 	return fleet.violation
 }
@@ -145,7 +145,7 @@
 	fleet.step(fleet.hosts[0], Input{Datagrams: []Datagram{{fleet.hosts[1].address, fleet.hosts[1].gossiper.CompleteDigest()}}})
 	fleet.runFor(100 * time.Millisecond)
 	if fleet.hosts[1].gossiper.store.Stamp(announcedUpdate.Section) != announcedUpdate.Stamp {
-		return fmt.Errorf("the stale member was not answered")
+		return fmt.Errorf("the stale member did not get the update")
 	}
 	return fleet.violation
 }
--- a/internal/tier/gossip/store.go
+++ b/internal/tier/gossip/store.go
@@ -6,17 +6,16 @@
 	"mastusher/internal/tier/view"
 )
 
-// Store has the newest update of each section. The stamp of a section must never go back. The zero stamp means that there
-// is no update.
+// Store holds the newest update of each section. The stamp of a section must never decrease. The zero stamp stands for no update.
 type Store struct {
-	sections []view.Section // sorted, so that nothing depends on the order of a map
+	sections []view.Section // sorted, so that results do not depend on map order
 	updates  map[view.Section]view.Update
 }
 
 // NewStore returns an empty store.
 func NewStore() *Store { return &Store{updates: map[view.Section]view.Update{}} }
 
-// Put stores an update if it is newer than the one of its section, and reports whether it was.
+// Put stores an update if it is newer than the stored one of its section, and reports whether it did.
 func (s *Store) Put(update view.Update) bool {
 	current, found := s.updates[update.Section]
 	if found && !current.Stamp.Less(update.Stamp) {
@@ -30,13 +29,13 @@
 	return true
 }
 
-// Get returns the update of a section; false: there is none.
+// Get returns the update of a section, or false if there is none.
 func (s *Store) Get(section view.Section) (view.Update, bool) {
 	update, found := s.updates[section]
 	return update, found
 }
 
-// Stamp returns the stamp of a section; zero: there is no update.
+// Stamp returns the stamp of a section, or zero if there is no update.
 func (s *Store) Stamp(section view.Section) view.Stamp { return s.updates[section].Stamp }
 
 // Digest returns the stamps of all sections. The caller owns the result.
@@ -48,7 +47,7 @@
 	return digest
 }
 
-// AtLeast returns the updates that answer a fetch: those of the requested sections with that stamp or a newer one.
+// AtLeast returns the updates of the requested sections that have the requested stamp or a newer one.
 func (s *Store) AtLeast(requested view.Digest) []view.Update {
 	var updates []view.Update
 	for _, section := range s.sections {
@@ -60,8 +59,8 @@
 	return updates
 }
 
-// newerThan returns the stamps of the sections that are newer than in a digest; nil: none. A section that a complete digest
-// does not name is missing there; another digest says nothing about it.
+// newerThan returns the stamps that are newer than in a digest, or nil if there are none. The sender of a complete digest lacks the
+// sections that the digest does not contain; any other digest says nothing about them.
 func (s *Store) newerThan(digest view.Digest, complete bool) view.Digest {
 	var newer view.Digest
 	for _, section := range s.sections {
--- a/internal/tier/gossip/wire_test.go
+++ b/internal/tier/gossip/wire_test.go
@@ -9,8 +9,8 @@
 	"mastusher/internal/tier/view"
 )
 
-// TestWireFormat_MessagesOfEarlierVersions_ReadAndWrittenAsTheyWere compares messages with bytes that an earlier version
-// wrote: members of both versions run side by side during an upgrade.
+// TestWireFormat_MessagesOfEarlierVersions_ReadAndWrittenAsTheyWere compares messages with the bytes that an earlier version wrote,
+// as members of both versions run side by side during an upgrade.
 func TestWireFormat_MessagesOfEarlierVersions_ReadAndWrittenAsTheyWere(t *testing.T) {
 	t.Parallel()
 	digest := view.Digest{
--- a/internal/tier/membership/cluster_test.go
+++ b/internal/tier/membership/cluster_test.go
@@ -8,28 +8,28 @@
 	"mastusher/internal/virtualtime"
 )
 
-// cluster is a set of hosts in virtual time, joined by an in-memory network.
+// cluster is a set of hosts in virtual time, connected by a simulated network.
 type cluster struct {
 	loop      virtualtime.Loop
 	random    *rand.Rand
 	hosts     []*host
 	byAddress map[string]*host
 
-	loss      float64 // share of datagrams that are lost
+	loss      float64 // fraction of datagrams that are lost
 	duplicate float64
-	shortest  time.Duration // delay of one way
+	shortest  time.Duration // minimum one-way delay
 	longest   time.Duration
-	blocked   func(from, to *host) bool // a partition of one direction
-	measure   bool                      // encode each datagram
+	blocked   func(from, to *host) bool // whether nothing gets from one host to the other
+	measure   bool                      // encode each message and count its bytes
 
 	tombstoneTimeout time.Duration
-	largest          int // bytes of the largest datagram
+	largest          int // size of the largest datagram in bytes
 	calls            int
 	callBytes        int
 	routes           []replyRoute
 }
 
-// newCluster returns size hosts that are down. The first three are the controllers and seeds.
+// newCluster returns a cluster of size hosts that are down. The first three are controllers and seeds.
 func newCluster(size int, seed uint64) *cluster {
 	c := &cluster{
 		random:    rand.New(rand.NewPCG(seed, 1)),
@@ -71,10 +71,10 @@
 	return added
 }
 
-// epochMs is the time of day at the start of virtual time, in ms since 1970.
+// epochMs is the Unix time at the start of virtual time, in ms.
 const epochMs = 1_764_651_362_000
 
-// start starts the process of a host, with an incarnation by the time of day.
+// start starts the process of a host; its incarnation is the current time.
 func (c *cluster) start(h *host) {
 	h.starts++
 	h.member.Incarnation = uint64(epochMs + c.loop.Now().Milliseconds())
@@ -89,7 +89,7 @@
 	c.step(h, Input{})
 }
 
-// startAll starts all hosts within 0.3 s in any order.
+// startAll starts all hosts within 0.3 s in random order.
 func (c *cluster) startAll() {
 	for _, h := range c.hosts {
 		c.after(time.Duration(c.random.Int64N(int64(300*time.Millisecond))), func() { c.start(h) })
@@ -110,7 +110,7 @@
 		h.frozen = false
 		pending := h.pending
 		h.pending = Input{}
-		c.step(h, Input{}) // its timer fires before it reads what has arrived
+		c.step(h, Input{}) // the timer fires before the process reads what has arrived
 		c.step(h, pending)
 	})
 }
@@ -119,7 +119,7 @@
 
 func (c *cluster) runFor(duration time.Duration) { c.loop.RunFor(duration) }
 
-// runUntil runs until the condition holds, looking every 100 ms, and returns how long that took.
+// runUntil runs until the condition holds, checking every 100 ms, and returns the elapsed time and whether the condition holds.
 func (c *cluster) runUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
 	started := c.loop.Now()
 	for c.loop.Now()-started < limit {
@@ -138,7 +138,7 @@
 	}
 }
 
-// deliver steps a host with an input at once, or later when it is slow or frozen.
+// deliver steps a host with an input, later if the host is slow or frozen.
 func (c *cluster) deliver(to *host, input Input) {
 	if to.lag > 0 {
 		starts := to.starts
@@ -177,7 +177,7 @@
 		c.call(stepped, call)
 	}
 	for _, reply := range effects.Replies {
-		c.replies(stepped, reply)
+		c.sendReply(stepped, reply)
 	}
 	stepped.version++
 	version := stepped.version
@@ -189,7 +189,7 @@
 	}
 	stepped.immediateSteps++
 	if stepped.immediateSteps > maxImmediateSteps {
-		panic(stepped.member.Name + " asks to be woken at once without end")
+		panic(stepped.member.Name + " asked for an immediate wake-up in too many consecutive steps")
 	}
 	c.after(effects.NextWake-c.loop.Now()+stepped.lag, func() {
 		if stepped.version == version && stepped.node != nil && !stepped.frozen {
--- a/internal/tier/membership/clusterhost_test.go
+++ b/internal/tier/membership/clusterhost_test.go
@@ -10,13 +10,13 @@
 type host struct {
 	member         Member
 	seeds          []string
-	node           *Node // nil: it is down
+	node           *Node // nil while the host is down
 	starts         int
-	version        uint64 // of the timer
-	immediateSteps int    // steps in a row that wanted the next one at once
+	version        uint64 // of the wake-up timer; timers of older versions are ignored
+	immediateSteps int    // consecutive steps that asked for an immediate wake-up
 	frozen         bool
-	pending        Input         // arrived while it was frozen
-	lag            time.Duration // how late a slow process does everything
+	pending        Input         // arrived while the host was frozen
+	lag            time.Duration // delay of all input and timers of a slow process
 	events         []timedEvent
 	suspicions     []timedSuspicion
 	sent           int
@@ -24,7 +24,7 @@
 	steps          int
 }
 
-// maxImmediateSteps bounds the steps in a row that ask for the next one at once, as they might never end.
+// maxImmediateSteps bounds the consecutive steps that ask for an immediate wake-up, to detect an endless loop.
 const maxImmediateSteps = 1000
 
 type timedEvent struct {
@@ -32,14 +32,14 @@
 	Event
 }
 
-// timedSuspicion is the first time that a host itself suspects a member.
+// timedSuspicion records when a host itself first suspected a member.
 type timedSuspicion struct {
 	at          time.Duration
 	name        string
 	incarnation uint64
 }
 
-// recordSuspicions records whom a host suspects itself. Suspicions that it only forwards are not its own.
+// recordSuspicions records the suspicions that a host originates, not those that it forwards.
 func (h *host) recordSuspicions(at time.Duration, updates []Update) {
 	for _, update := range updates {
 		if update.State != StateSuspect || update.From != h.member.Name {
@@ -86,7 +86,7 @@
 	}
 	slices.Sort(names)
 	for _, h := range group {
-		if h.node.table.liveCount+1 != len(names) { // quicker than names
+		if h.node.table.liveCount+1 != len(names) { // cheaper than comparing names
 			return false
 		}
 	}
@@ -98,7 +98,7 @@
 	return true
 }
 
-// disagreements describes what is not converged.
+// disagreements lists the number of live members at each running host.
 func (c *cluster) disagreements() string {
 	text := ""
 	for _, h := range c.running() {
@@ -109,7 +109,7 @@
 	return text
 }
 
-// died lists the deaths that running hosts have reported since a time, without those of the names expected.
+// died lists the deaths that hosts have reported since a time, except those of the expected members.
 func (c *cluster) died(since time.Duration, expected ...string) []string {
 	var deaths []string
 	for _, h := range c.hosts {
--- a/internal/tier/membership/clusterlinks_test.go
+++ b/internal/tier/membership/clusterlinks_test.go
@@ -20,13 +20,13 @@
 		from.bytes += len(encoded)
 		c.largest = max(c.largest, len(encoded))
 	}
-	c.carry(from, datagram)
+	c.transmit(from, datagram)
 	if c.random.Float64() < c.duplicate {
-		c.carry(from, datagram)
+		c.transmit(from, datagram)
 	}
 }
 
-func (c *cluster) carry(from *host, datagram Datagram) {
+func (c *cluster) transmit(from *host, datagram Datagram) {
 	to := c.byAddress[datagram.Address]
 	if to == nil || c.random.Float64() < c.loss {
 		return
@@ -38,7 +38,7 @@
 	})
 }
 
-// replyRoute is where the reply to a PushPullArrival goes.
+// replyRoute is the destination of the reply to a PushPullArrival.
 type replyRoute struct {
 	caller *host
 	starts int
@@ -78,7 +78,7 @@
 	})
 }
 
-func (c *cluster) replies(from *host, reply PushPullReply) {
+func (c *cluster) sendReply(from *host, reply PushPullReply) {
 	route := c.routes[reply.Token-1]
 	if c.measure {
 		encoded, _ := json.Marshal(reply.Message)
--- a/internal/tier/membership/detection_test.go
+++ b/internal/tier/membership/detection_test.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// detections are the sizes of fleets, and how many failures are measured for each.
-var detections = []struct {
+// detectionCases lists the cluster sizes, and for each the number of failures to measure.
+var detectionCases = []struct {
 	size  int
 	seeds uint64
 }{{19, 42}, {73, 14}}
 
-// Bounds on the time until a controller suspects a member with replicas that has lost power, with 2 % of the datagrams lost.
+// Bounds on the time until a controller suspects a member with replicas that has lost power, at 2 % datagram loss.
 const (
-	maxMedianSuspicion = 1500 * time.Millisecond // for half of the controllers
-	maxSuspicion99     = 2 * time.Second         // for all but one of a hundred
+	maxMedianSuspicion = 1500 * time.Millisecond
+	maxSuspicion99     = 2 * time.Second // 99th percentile
 )
 
-// TestControllers_MemberWithReplicasDies_SuspectItWithinTheBound measures after which time the controllers suspect that a machine with replicas has lost
-// power, and declare it dead: placement counts from the suspicion where a successor runs.
+// TestControllers_MemberWithReplicasDies_SuspectItWithinTheBound measures how soon the controllers suspect, and declare dead, a
+// machine with replicas that has lost power. Where a successor is running, placement counts from the suspicion.
 func TestControllers_MemberWithReplicasDies_SuspectItWithinTheBound(t *testing.T) {
 	t.Parallel()
-	for _, tc := range detections {
+	for _, tc := range detectionCases {
 		if tc.size > largestFleet/2 {
 			continue
 		}
@@ -31,24 +31,25 @@
 			t.Parallel()
 			var suspected, died []time.Duration
 			for seed := range tc.seeds {
-				suspicion, death := failureOf(t, tc.size, seed)
+				suspicion, death := measureFailure(t, tc.size, seed)
 				suspected = append(suspected, suspicion...)
 				died = append(died, death...)
 			}
 			report(t, "suspected", suspected)
 			report(t, "dead", died)
 			if percentile(suspected, 50) > maxMedianSuspicion || percentile(suspected, 99) > maxSuspicion99 {
-				t.Error("suspicions come too late")
+				t.Error("suspicions exceed maxMedianSuspicion or maxSuspicion99")
 			}
 		})
 	}
 }
 
-// hostsWithReplicas is how many hosts of a cluster are controllers and stores; they come first.
+// hostsWithReplicas is the number of controllers and stores in a cluster, which are the first hosts.
 const hostsWithReplicas = 7
 
-// failureOf kills a host with replicas in a calm fleet, and returns when each controller suspected it and declared it dead.
-func failureOf(t *testing.T, size int, seed uint64) (suspected, died []time.Duration) {
+// measureFailure kills a host with replicas in an idle cluster, and returns how long each controller took to suspect the host and to
+// declare it dead.
+func measureFailure(t *testing.T, size int, seed uint64) (suspected, died []time.Duration) {
 	t.Helper()
 	fleet := newCluster(size, seed+1)
 	fleet.startAll()
@@ -57,7 +58,7 @@
 	killedAt := fleet.loop.Now()
 	fleet.kill(victim)
 	if _, done := fleet.runUntil(maxDetection, fleet.converged); !done {
-		t.Fatalf("seed %d: not all members know of the death", seed)
+		t.Fatalf("seed %d: not all members know of the death within maxDetection", seed)
 	}
 	for _, h := range fleet.running() {
 		if h.member.Role != Controller {
@@ -80,7 +81,7 @@
 	return suspected, died
 }
 
-// percentile is the value that so many of a hundred don't exceed.
+// percentile returns a percentile of the times, which it sorts.
 func percentile(times []time.Duration, percent int) time.Duration {
 	slices.Sort(times)
 	return times[(len(times)-1)*percent/100]
--- a/internal/tier/membership/event.go
+++ b/internal/tier/membership/event.go
@@ -1,22 +1,22 @@
 package membership
 
-// EventKind says what happened to a member. The text stands in log lines.
+// EventKind is what happened to a member. Log lines contain its text.
 type EventKind string
 
 // The kinds of event.
 const (
-	MemberJoined    EventKind = "joined"    // it was not known, or it was dead or had left
-	MemberUpdated   EventKind = "updated"   // it refuted a suspicion, or another process has its name now
-	MemberSuspected EventKind = "suspected" // it became StateSuspect
-	MemberDied      EventKind = "died"      // it became StateDead
-	MemberLeft      EventKind = "departed"  // it became StateLeft
+	MemberJoined    EventKind = "joined"    // the member was unknown, dead or had left
+	MemberUpdated   EventKind = "updated"   // the member refuted a suspicion, or a new process has its name
+	MemberSuspected EventKind = "suspected" // the state became StateSuspect
+	MemberDied      EventKind = "died"      // the state became StateDead
+	MemberLeft      EventKind = "departed"  // the state became StateLeft
 )
 
 // Event reports a member whose state or description has changed.
 type Event struct {
 	Kind     EventKind
 	Previous Member // zero when the member was not known
-	Member   Member // as it is now
+	Member   Member // after the change
 }
 
 // emit adds an event to the effects of this Step.
--- a/internal/tier/membership/figures_test.go
+++ b/internal/tier/membership/figures_test.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// Bounds on the figures, in units of time or per member and second.
+// Bounds on measurements; those without a unit of time are per member and second.
 const (
-	maxMeeting      = 15 * time.Second // until all that started at once know all
-	maxDetection    = 15 * time.Second // until all know of a death
+	maxConvergence  = 15 * time.Second // until hosts that started together all know each other
+	maxDetection    = 15 * time.Second // until all members know of a death
 	maxMessagesCalm = 5.0
 	maxBytesCalm    = 3000.0
 	maxStepsCalm    = 5.0
 )
 
-// TestFleet_CostAndDetection_WithinTheBounds measures what a fleet of each size costs, and how long it takes to meet and to see a death, with 2 % loss.
+// TestFleet_CostAndDetection_WithinTheBounds measures, for clusters of several sizes with 2 % datagram loss, the messages, bytes and
+// steps, and the time until all members know each other and until all know of a death.
 func TestFleet_CostAndDetection_WithinTheBounds(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{16, 100, 380, 1000} {
@@ -26,16 +27,16 @@
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
 			fleet := newCluster(size, 7)
-			const quietSeconds = 12 // until the updates of the start are no longer broadcast
+			const quietSeconds = 12 // until the updates of the start are not broadcast any more
 			fleet.measure = true
 			fleet.startAll()
 			fleet.runFor(300 * time.Millisecond)
-			met, done := fleet.runUntil(maxMeeting, fleet.converged)
+			met, done := fleet.runUntil(maxConvergence, fleet.converged)
 			if !done {
-				t.Fatalf("not all know all after %v", met)
+				t.Fatalf("not all members know each other after %v", met)
 			}
 			start := fleet.totals()
-			t.Logf("all met after %v; in that time %.0f bytes a member in datagrams, %.0f in %.1f calls",
+			t.Logf("all members known after %v; until then, per member: %.0f bytes in datagrams, %.0f bytes in %.1f calls",
 				met, start.bytes, start.callBytes, start.calls)
 
 			fleet.runFor(quietSeconds * time.Second)
@@ -43,31 +44,31 @@
 			const calmSeconds = 10
 			fleet.runFor(calmSeconds * time.Second)
 			calm := fleet.totals().since(before, calmSeconds)
-			t.Logf("calm, for each member and second: %.2f messages, %.0f bytes, %.2f steps, %.3f calls",
+			t.Logf("idle, per member and second: %.2f messages, %.0f bytes, %.2f steps, %.3f calls",
 				calm.messages, calm.bytes, calm.steps, calm.calls)
 			if calm.messages > maxMessagesCalm || calm.bytes > maxBytesCalm || calm.steps > maxStepsCalm || calm.calls > 0.1 {
-				t.Error("a calm fleet costs too much")
+				t.Error("an idle cluster exceeds the bounds on messages, bytes, steps or calls")
 			}
 
 			killedAt := fleet.loop.Now()
 			victim := fleet.hosts[size/2]
 			fleet.kill(victim)
 			if took, done := fleet.runUntil(maxDetection, fleet.converged); !done {
-				t.Errorf("not all see the death after %v", took)
+				t.Errorf("not all members know of the death after %v", took)
 			}
 			took := fleet.deathTimes(victim, killedAt)
-			t.Logf("death seen after: median %v, 99 %% %v, longest %v", took[len(took)/2], took[len(took)*99/100], took[len(took)-1])
+			t.Logf("death reported after: median %v, 99 %% %v, longest %v", took[len(took)/2], took[len(took)*99/100], took[len(took)-1])
 			if deaths := fleet.died(0, victim.member.Name); len(deaths) > 0 {
 				t.Errorf("%d false deaths, first: %s", len(deaths), deaths[0])
 			}
 			if fleet.largest > MaxDatagramBytes {
-				t.Errorf("a datagram of %d bytes", fleet.largest)
+				t.Errorf("a datagram has %d bytes, more than MaxDatagramBytes", fleet.largest)
 			}
 		})
 	}
 }
 
-// totals are sums over all hosts, divided by their number.
+// totals holds averages over all hosts.
 type totals struct{ messages, bytes, steps, calls, callBytes float64 }
 
 func (c *cluster) totals() totals {
@@ -91,7 +92,7 @@
 	}
 }
 
-// deathTimes lists, in order, how long after a kill each host reported the death.
+// deathTimes returns the sorted times from a kill until each host reported the death.
 func (c *cluster) deathTimes(victim *host, killedAt time.Duration) []time.Duration {
 	var times []time.Duration
 	for _, h := range c.running() {
--- a/internal/tier/membership/gossip.go
+++ b/internal/tier/membership/gossip.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// gossipNodes is how many random members get a gossip message at once when something has changed; the others get the
-// updates with the probes.
+// gossipNodes is the number of random members that are sent a gossip message immediately after a change. The other members
+// receive the updates piggybacked on probes.
 const gossipNodes = 3
 
-// gossipsPerProbeInterval bounds the rounds of gossip messages per probe interval.
+// gossipsPerProbeInterval bounds the rounds of gossip messages in one probe interval.
 const gossipsPerProbeInterval = 5
 
-// leaveGossipNodes is how many members get a gossip message when this one leaves: it has no later probes to carry that.
+// leaveGossipNodes is the number of members that are sent a gossip message when this node leaves, as it sends no further probes.
 const leaveGossipNodes = 6
 
-// broadcast queues an update in place of all older ones about the same member.
+// broadcast queues an update and drops queued older updates about the same member from both queues.
 func (n *Node) broadcast(queue *transmitLimitedQueue, update Update) {
 	n.priority.invalidate(update.Name)
 	n.broadcasts.invalidate(update.Name)
 	queue.queueBroadcast(update)
 }
 
-// gossip sends the queued updates to a few random members at once (SWIM section 4.1 waits for the next probe), at most
+// gossip sends the queued updates to a few random members without waiting for the next probe as SWIM section 4.1 does, at most
 // once per gossipInterval.
 func (n *Node) gossip() {
 	if !n.gossipDue || n.now < n.lastGossip+n.gossipInterval() {
@@ -40,8 +40,8 @@
 	return n.options.ProbeInterval / gossipsPerProbeInterval
 }
 
-// randomAlive returns up to count different random members in StateAlive, without the one named. It draws a few times, and
-// walks the table from a random place when that did not find enough.
+// randomAlive returns up to count distinct random members in StateAlive other than excluded. It samples a few times and, if that
+// finds too few, scans the table from a random position.
 func (n *Node) randomAlive(count int, excluded string) []*entry {
 	const drawsPerMember = 4
 	chosen := make([]*entry, 0, count)
--- a/internal/tier/membership/hash.go
+++ b/internal/tier/membership/hash.go
@@ -1,7 +1,7 @@
 package membership
 
-// recordHash hashes what must agree between nodes about a member. A suspicion is left out, as it is temporary. The hashes
-// travel in messages, so the function must not change.
+// recordHash hashes the parts of a member's record on which nodes must agree. A suspicion is temporary and is left out. The hashes
+// are sent in messages, so the function must not change.
 func recordHash(member Member) uint64 {
 	hash := uint64(fnvOffset)
 	hash = hashString(hash, member.Name)
@@ -22,7 +22,7 @@
 	fnvPrime  = 1099511628211
 )
 
-// hashString continues an FNV-1a hash with a text and a byte that occurs in none, so that the end of each text counts.
+// hashString continues an FNV-1a hash with a text and a terminator, 0xff, which does not occur in UTF-8.
 func hashString(hash uint64, text string) uint64 {
 	for i := range len(text) {
 		hash = (hash ^ uint64(text[i])) * fnvPrime
@@ -30,7 +30,7 @@
 	return (hash ^ 0xff) * fnvPrime
 }
 
-// hashUint64 continues an FNV-1a hash with a number, its lowest byte first.
+// hashUint64 continues an FNV-1a hash with a number in little-endian order.
 func hashUint64(hash, number uint64) uint64 {
 	for range hashBytes {
 		hash = (hash ^ number&0xff) * fnvPrime
@@ -39,7 +39,7 @@
 	return hash
 }
 
-// mixBits is the finalizer of MurmurHash3. It spreads the bits, so that hashes may be combined by exclusive or.
+// mixBits is the finalizer of MurmurHash3. It distributes the bits, so that hashes can be combined by XOR.
 func mixBits(hash uint64) uint64 {
 	hash ^= hash >> 33
 	hash *= 0xff51afd7ed558ccd
--- a/internal/tier/membership/indirect.go
+++ b/internal/tier/membership/indirect.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// maxIndirectProbes bounds the probes that this node makes for others at one time; requests beyond it are dropped.
+// maxIndirectProbes bounds the pending probes that this node makes for other members; requests beyond it are dropped.
 const maxIndirectProbes = 64
 
-// indirectProbe is a probe that this node makes for another (SWIM section 3.1).
+// indirectProbe is a probe that this node makes for another member, the requester (SWIM section 3.1).
 type indirectProbe struct {
 	sequence          uint64 // of this node's ping to the target
 	target            string // name
 	requester         string // name
 	requesterAddress  string
-	requesterSequence uint64        // of the request, returned with the ack or nack
-	deadline          time.Duration // when the requester gets a nack
+	requesterSequence uint64        // of the ping request, returned with the ack or nack
+	deadline          time.Duration // when a nack is sent to the requester
 }
 
-// sendIndirectProbes asks random helpers to probe a member that has not answered in time.
+// sendIndirectProbes asks random helpers to probe a member that has not acknowledged the ping in time.
 func (n *Node) sendIndirectProbes(pending *probe) {
 	pending.indirectAt = never
 	helpers := n.randomAlive(n.options.IndirectProbes, pending.target.Name)
@@ -34,7 +34,7 @@
 	}
 }
 
-// nackProbe records that a helper is reachable and got no answer from the target either (Lifeguard's nack).
+// nackProbe records a nack (Lifeguard): the helper is reachable, but the target has not answered it either.
 func (n *Node) nackProbe(sequence uint64, helper string) {
 	for i := range n.prober.pending {
 		if pending := &n.prober.pending[i]; pending.sequence == sequence {
@@ -43,7 +43,7 @@
 	}
 }
 
-// handlePingReq probes a member for another one.
+// handlePingReq starts an indirect probe at the request of another member.
 func (n *Node) handlePingReq(address string, message *Message) {
 	if message.TargetAddress == "" || len(n.indirect) >= maxIndirectProbes {
 		return
@@ -60,7 +60,7 @@
 	n.send(message.TargetAddress, Message{Kind: MsgPing, To: message.Target, Sequence: sequence})
 }
 
-// expireIndirectProbes sends a nack to each requester whose target has not answered in time.
+// expireIndirectProbes drops the indirect probes whose target has not answered in time, and sends a nack to each requester.
 func (n *Node) expireIndirectProbes() {
 	n.indirect = slices.DeleteFunc(n.indirect, func(r indirectProbe) bool {
 		if n.now < r.deadline {
@@ -71,7 +71,7 @@
 	})
 }
 
-// nextIndirectExpiry returns when the next nack is due; never: no probe for another member is pending.
+// nextIndirectExpiry returns when the next nack is due, or never if no indirect probe is pending.
 func (n *Node) nextIndirectExpiry() time.Duration {
 	next := never
 	for i := range n.indirect {
--- a/internal/tier/membership/join.go
+++ b/internal/tier/membership/join.go
@@ -2,24 +2,23 @@
 
 import "time"
 
-// The backoff between attempts to join: doubled from the minimum to the maximum, each drawn between a half and the full
-// value.
+// The backoff between attempts to join doubles from the minimum to the maximum; jitter subtracts up to half.
 const (
 	minJoinBackoff = 100 * time.Millisecond
 	maxJoinBackoff = 2 * time.Second
 )
 
-// initialSeedProbeInterval is the time between probes of seeds at which no member is known, while the node has recently
-// started: groups of members that each joined by other seeds must meet well before a member counts as lost.
+// initialSeedProbeInterval is the interval at which a recently started node pings seeds at whose addresses no member is known.
+// Groups of members that joined through different seeds must merge well before a missing member is treated as lost.
 const initialSeedProbeInterval = 250 * time.Millisecond
 
-// joiner is the state of the join, and of the probes of seeds after it.
+// joiner is the state of the join and of the later probes of seeds.
 type joiner struct {
 	joined        bool
-	nextAttempt   time.Duration // until joined
+	nextAttempt   time.Duration // when the next push-pull with a seed starts; unused once joined
 	attempts      int
-	seed          int           // index of the next seed, modulo their number; 0: none was tried
-	nextSeedProbe time.Duration // when seeds at which no live member is known are pinged
+	seedIndex     int           // of the next seed, modulo the number of seeds; 0: none was tried
+	nextSeedProbe time.Duration // when probeUnknownSeeds runs next
 }
 
 // join starts a push-pull with the next seed.
@@ -31,25 +30,25 @@
 	}
 }
 
-// joinBackoff draws the time until the next attempt to join.
+// joinBackoff returns the randomized time until the next attempt to join.
 func (n *Node) joinBackoff() time.Duration {
 	const maxDoublings = 5
 	backoff := min(minJoinBackoff<<min(n.joiner.attempts, maxDoublings), maxJoinBackoff)
 	return backoff/2 + time.Duration(n.random.Int64N(int64(backoff/2)+1))
 }
 
-// nextSeed returns the seeds in turn, from a random one on, without this node; empty: there is none.
+// nextSeed returns the seeds in rotation, starting at a random one and skipping this node; empty if there is no other.
 func (n *Node) nextSeed() string {
 	if len(n.seeds) == 0 {
 		return ""
 	}
 	joiner := &n.joiner
-	if joiner.seed == 0 {
-		joiner.seed = 1 + n.random.IntN(len(n.seeds))
+	if joiner.seedIndex == 0 {
+		joiner.seedIndex = 1 + n.random.IntN(len(n.seeds))
 	}
 	for range n.seeds {
-		seed := n.seeds[joiner.seed%len(n.seeds)]
-		joiner.seed++
+		seed := n.seeds[joiner.seedIndex%len(n.seeds)]
+		joiner.seedIndex++
 		if seed != n.self.Address {
 			return seed
 		}
@@ -57,7 +56,7 @@
 	return ""
 }
 
-// seedProbeInterval draws the time until the next probe of seeds.
+// seedProbeInterval returns the randomized time until the next probe of seeds.
 func (n *Node) seedProbeInterval() time.Duration {
 	if n.recentlyStarted() {
 		return n.jittered(initialSeedProbeInterval)
@@ -65,8 +64,8 @@
 	return n.jittered(n.options.PushPullInterval)
 }
 
-// probeUnknownSeeds pings the seeds at whose addresses no live member is known, so that partitions that do not know or
-// remember each other meet.
+// probeUnknownSeeds pings the seeds at whose addresses no live member is known, so that partitions whose members have never known
+// or have forgotten each other merge.
 func (n *Node) probeUnknownSeeds() {
 	for _, seed := range n.seeds {
 		if seed != n.self.Address && !n.isKnownAddress(seed) {
@@ -75,7 +74,7 @@
 	}
 }
 
-// isKnownAddress reports whether a live member is known at the address.
+// isKnownAddress reports whether a live member has the address.
 func (n *Node) isKnownAddress(address string) bool {
 	for _, e := range n.table.sorted {
 		if e.Address == address && !e.DeadOrLeft() {
--- a/internal/tier/membership/member.go
+++ b/internal/tier/membership/member.go
@@ -10,18 +10,18 @@
 	Store      Role = "store"
 )
 
-// State is what a node believes of a member. Within one incarnation it must only grow.
+// State is a member's state as a node knows it. Within one incarnation it must only increase.
 type State uint8
 
 // The states.
 const (
 	StateAlive   State = iota
-	StateSuspect       // did not answer a probe; it may still refute
+	StateSuspect       // did not answer a probe; may still refute the suspicion
 	StateDead          // did not refute the suspicion in time
-	StateLeft          // announced its end
+	StateLeft          // announced that it leaves
 )
 
-// stateNames has the names that log lines and the operators' API show.
+// stateNames lists the names that log lines and the operators' API show.
 var stateNames = [...]string{"alive", "suspect", "dead", "left"}
 
 // String returns the state's name, or "unknown".
@@ -32,23 +32,22 @@
 	return stateNames[s]
 }
 
-// Member is one process as the others know it. It travels in datagrams; the tags are short because several members share
-// one.
+// Member is the record of one process. The JSON keys are short because one datagram carries several records.
 type Member struct {
-	Name        string `json:"n"`           // machine and role, joined by a slash; unique in the system
-	ID          string `json:"d,omitempty"` // from its disk, or drawn at its start where it has none
+	Name        string `json:"n"`           // machine/role; unique in the system
+	ID          string `json:"d,omitempty"` // stored on the process' disk, or random at each start if it has no disk
 	Role        Role   `json:"r,omitempty"`
 	Zone        string `json:"z,omitempty"`
-	Address     string `json:"a,omitempty"` // host:port, the same for datagrams and connections
-	Control     string `json:"c,omitempty"` // host:port of the operator's API; controllers only
-	Incarnation uint64 `json:"i"`           // time of day of its start in ms, raised by one with each refutation
+	Address     string `json:"a,omitempty"` // host:port for both datagrams and connections
+	Control     string `json:"c,omitempty"` // host:port of the operators' API; controllers only
+	Incarnation uint64 `json:"i"`           // Unix time of the start in ms, incremented with each refutation
 	State       State  `json:"s,omitempty"`
 }
 
 // DeadOrLeft reports whether the member is dead or has left.
 func (m Member) DeadOrLeft() bool { return m.State == StateDead || m.State == StateLeft }
 
-// sameProcess reports whether both describe one start of a process.
+// sameProcess reports whether both records describe the same run of a process.
 func (m Member) sameProcess(other Member) bool {
 	return m.ID == other.ID && m.Address == other.Address && m.Control == other.Control &&
 		m.Zone == other.Zone && m.Role == other.Role
--- a/internal/tier/membership/mutants_test.go
+++ b/internal/tier/membership/mutants_test.go
@@ -7,7 +7,7 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// Scenarios that detect the mutants.
+// Patterns of the scenarios that detect the mutants.
 const (
 	refutations      = "^TestScenarios$/given_a_healthy_member"
 	staleRecords     = "^TestScenarios$/given_a_new_process"
@@ -19,7 +19,7 @@
 	healedPartitions = "^TestScenarios$/given_two_halves"
 )
 
-// detectionMutants break the failure detector: who is probed, and who is taken for dead.
+// detectionMutants break the failure detector: which members are probed, and which are considered dead.
 var detectionMutants = []mutation.Mutant{
 	{
 		Name:   "controllers probe replicas only in the round",
@@ -81,7 +81,7 @@
 	},
 }
 
-// disseminationMutants break what the members know of one another: datagrams, tombstones, seeds and the reconciliation of tables.
+// disseminationMutants break what members know of each other: datagrams, tombstones, seeds and the reconciliation of tables.
 var disseminationMutants = []mutation.Mutant{
 	{
 		Name: "datagrams are not bounded",
--- a/internal/tier/membership/node.go
+++ b/internal/tier/membership/node.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// Input is what has happened since the last Step.
+// Input holds the events since the last Step.
 type Input struct {
 	Datagrams []Datagram        // received
-	Arrivals  []PushPullArrival // received, each to be answered
+	Arrivals  []PushPullArrival // received; Effects.Replies answers each
 	Results   []PushPullResult  // of earlier calls
 	Seeds     []string          // replaces the seeds; nil: unchanged
 	Payload   json.RawMessage   // attached to pings and acks from now on; nil: unchanged
-	Leave     bool              // the process is about to end
+	Leave     bool              // the process is about to exit
 }
 
-// Effects is what the caller of Step must do.
+// Effects holds the actions that the caller of Step must carry out.
 type Effects struct {
-	Datagrams []Datagram      // to be sent
-	Calls     []PushPullCall  // to be made
-	Replies   []PushPullReply // to be sent
+	Datagrams []Datagram      // to send
+	Calls     []PushPullCall  // to make
+	Replies   []PushPullReply // to send
 	Events    []Event         // in the order in which they happened
 	Payloads  []Payload       // received from other members
-	NextWake  time.Duration   // when Step is to be called again at the latest
+	NextWake  time.Duration   // the latest time at which Step must be called again
 }
 
-// Payload is what the application of another member attached to a ping or ack.
+// Payload is application data that another member attached to a ping or ack.
 type Payload struct {
 	Name    string // of the sender
 	Address string // of the sender
@@ -40,9 +40,9 @@
 	self    Member
 	random  *rand.Rand
 
-	now        time.Duration // of the present Step
+	now        time.Duration // of the current Step
 	started    time.Duration // time of the first Step
-	nextWakeAt time.Duration // last NextWake; zero before the first Step
+	nextWakeAt time.Duration // NextWake of the last Step; zero before the first
 	effects    Effects
 
 	table      *table
@@ -52,16 +52,16 @@
 	seeds      []string
 
 	prober     prober
-	suspects   []*entry // those in StateSuspect
+	suspects   []*entry // entries in StateSuspect
 	indirect   []indirectProbe
 	awareness  awareness
 	pushPull   pushPullState
 	joiner     joiner
-	gossipDue  bool          // an update must be gossiped without waiting for a probe
-	lastGossip time.Duration // time of the last gossip messages
+	gossipDue  bool          // an update is to be sent without waiting for a probe
+	lastGossip time.Duration // time of the last round of gossip messages
 }
 
-// New returns a node. The first Step starts it.
+// New returns a node, which starts with its first Step.
 func New(options Options) *Node {
 	options = withDefaults(options)
 	self := options.Self
@@ -79,9 +79,9 @@
 	return n
 }
 
-// Step handles what has happened up to now and returns what must be done. now is a monotonic clock; the caller must call
-// Step again at NextWake at the latest, also without input. A call that comes later by more than ProbeTimeout is taken for a
-// process that was frozen.
+// Step handles the input and the timers that are due, and returns the resulting effects. now is the time of a monotonic clock. The
+// caller must call Step again by NextWake, even without input. If a call is more than ProbeTimeout late, the node assumes that the
+// process was frozen.
 func (n *Node) Step(now time.Duration, input Input) Effects {
 	n.now = now
 	n.effects = Effects{}
@@ -121,7 +121,7 @@
 	n.broadcasts.queueBroadcast(updateOf(n.self))
 }
 
-// configure takes new seeds and a new payload.
+// configure applies new seeds and a new payload.
 func (n *Node) configure(input Input) {
 	if input.Seeds != nil {
 		n.seeds = input.Seeds
@@ -135,7 +135,7 @@
 	}
 }
 
-// runTimers does what is due. A node that has left only finishes the probes that it makes for others.
+// runTimers handles the timers that are due. A node that has left only completes its indirect probes.
 func (n *Node) runTimers() {
 	if n.self.State == StateLeft {
 		n.expireIndirectProbes()
@@ -150,7 +150,7 @@
 	n.gossip()
 }
 
-// never is a deadline that does not pass.
+// never is a deadline that is never reached.
 const never = time.Duration(math.MaxInt64)
 
 // nextWake returns the earliest time at which a timer of runTimers is due.
@@ -169,14 +169,14 @@
 	return next
 }
 
-// jittered returns a duration within a tenth of the one given, so that members do not synchronise.
+// jittered changes a duration randomly by up to a tenth, so that the timers of members do not synchronise.
 func (n *Node) jittered(duration time.Duration) time.Duration {
 	const fraction = 10
 	return duration - duration/fraction + time.Duration(n.random.Int64N(int64(2*duration/fraction)+1))
 }
 
-// Members returns all known members, this node and those with a tombstone included, sorted by name. The slice must not be
-// changed.
+// Members returns all known members sorted by name, including this node and members with a tombstone. The caller must not modify
+// the slice.
 func (n *Node) Members() []Member {
 	if n.table.members != nil {
 		return n.table.members
@@ -197,11 +197,11 @@
 	return members
 }
 
-// Self returns this node's record with its present incarnation.
+// Self returns this node's record with its current incarnation.
 func (n *Node) Self() Member { return n.self }
 
 // Joined reports whether a push-pull with another member has succeeded since the start.
 func (n *Node) Joined() bool { return n.joiner.joined }
 
-// HealthScore returns Lifeguard's local health score, from 0 (healthy) to 5; time-outs are one more times as long.
+// HealthScore returns Lifeguard's local health score, from 0 (healthy) to 5; timeouts are multiplied by 1 + score.
 func (n *Node) HealthScore() int { return n.awareness.score }
--- a/internal/tier/membership/norace_test.go
+++ b/internal/tier/membership/norace_test.go
@@ -3,6 +3,6 @@
 package membership
 
 const (
-	campaignSeeds = 10   // with which each scenario is run
-	largestFleet  = 1000 // members that figures are taken with
+	campaignSeeds = 10   // number of seeds with which each scenario runs
+	largestFleet  = 1000 // members in the largest measured cluster
 )
--- a/internal/tier/membership/options.go
+++ b/internal/tier/membership/options.go
@@ -12,46 +12,47 @@
 	DefaultIndirectProbes   = 3
 )
 
-// Options configures a Node. A zero duration or count means the default; none is bounded here.
+// Options configures a Node. A zero duration or count selects the default; the values are not validated.
 type Options struct {
-	// Self describes this process. Its Incarnation must be the time of day in milliseconds at the start, so that a
-	// restarted process supersedes the records of the one before; its State is ignored.
+	// Self describes this process. Incarnation must be the Unix time of the start in milliseconds, so that a restarted
+	// process supersedes the record of the previous one; State is ignored.
 	Self Member
 
-	// Seeds are the addresses (host:port) that are asked for the members until one answers. Later they are pinged while
-	// no live member is known there, so that partitions that have forgotten each other meet again. More seeds make a
-	// join succeed while some are down, and cost one datagram each per PushPullInterval while they are.
+	// Seeds are the addresses (host:port) that a joining node asks for the members until one answers. Later, seeds at
+	// whose addresses no live member is known are pinged, so that partitions that have forgotten each other merge. More
+	// seeds let a join succeed while some are down; each seed that is down costs one datagram per PushPullInterval.
 	Seeds []string
 
-	// ProbeInterval is the time from one probe to the next; default one second. A larger value saves datagrams and
-	// wake-ups, and delays the detection of a failure and the spread of updates in proportion.
+	// ProbeInterval is the time between probes; default one second. A larger value saves datagrams and wake-ups, and
+	// proportionally delays failure detection and the dissemination of updates.
 	ProbeInterval time.Duration
 
-	// ProbeTimeout is the time until helpers are asked to probe a member that has not answered; default 300 ms. It must
-	// exceed the round trip between any two members, and three of it must fit into ProbeInterval. A larger value bears
-	// slower networks, and delays each suspicion by three times the increase.
+	// ProbeTimeout is the time after which helpers are asked to probe a member that has not answered; default 300 ms. It
+	// must exceed the round-trip time between any two members, and three times ProbeTimeout must fit into ProbeInterval.
+	// A larger value tolerates slower networks, and delays each suspicion by three times the increase.
 	ProbeTimeout time.Duration
 
-	// SuspicionTimeout is the time that a suspected member has to refute once enough members confirm the suspicion;
-	// default two seconds. It holds for up to sixteen members and grows with the logarithm of their number; without
-	// confirmations it is suspicionMaxTimeoutMult times as long. A larger value avoids false deaths, and delays true ones.
+	// SuspicionTimeout is the time in which a suspected member can refute a suspicion that enough members confirm;
+	// default two seconds. The value applies to up to sixteen members and grows with the logarithm of their number. A
+	// suspicion without confirmations lasts suspicionMaxTimeoutMult times as long. A larger value avoids declaring live
+	// members dead, and delays the detection of dead ones.
 	SuspicionTimeout time.Duration
 
-	// PushPullInterval is the time after which tables that keep differing are reconciled, between probes of seeds at
-	// which no member is known, and for which a node counts as recently started; default ten seconds. A larger value
-	// saves connections, and delays the repair of lost updates and the meeting of healed partitions.
+	// PushPullInterval is the time after which tables that keep differing are reconciled, the interval between probes of
+	// seeds at which no member is known, and the time for which a node counts as recently started; default ten seconds. A
+	// larger value saves connections, and delays the repair of lost updates and the merging of healed partitions.
 	PushPullInterval time.Duration
 
-	// TombstoneTimeout is how long a member that is dead or has left is remembered; default two minutes. It must be well
-	// above the time in which an update reaches all members, as a forgotten member can be revived by a stale update. A
-	// larger value lets longer partitions heal without seeds, and costs memory and bytes in each push-pull.
+	// TombstoneTimeout is how long a member that is dead or has left is remembered; default two minutes. It must be much
+	// longer than an update takes to reach all members, as a stale update can revive a forgotten member. A larger value
+	// lets longer partitions heal without seeds, and costs memory and bytes in each push-pull.
 	TombstoneTimeout time.Duration
 
-	// IndirectProbes is how many helpers probe a member that has not answered (SWIM's k); default 3. A larger value
-	// bears more loss and more one-way partitions, and costs up to four datagrams per helper and unanswered ping.
+	// IndirectProbes is the number of helpers that probe a member that has not answered (SWIM's k); default 3. A larger
+	// value tolerates more loss and more one-way partitions, and costs up to four datagrams per helper and unanswered ping.
 	IndirectProbes int
 
-	// Seed is that of all random choices. Nodes differ also by Self.Name, so all may be given the same one.
+	// Seed seeds all random choices, together with Self.Name; nodes may therefore share one value.
 	Seed uint64
 }
 
@@ -67,8 +68,8 @@
 }
 
 // orDefault sets a zero value to its default.
-func orDefault[T int | time.Duration](value *T, standard T) {
+func orDefault[T int | time.Duration](value *T, defaultValue T) {
 	if *value == 0 {
-		*value = standard
+		*value = defaultValue
 	}
 }
--- a/internal/tier/membership/probe.go
+++ b/internal/tier/membership/probe.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// probeTimeouts is how many ProbeTimeouts a probe lasts: for the ping, for the pings of the helpers, and for their answers.
+// probeTimeouts is the duration of a probe in multiples of ProbeTimeout: one each for the direct ping, the helpers' pings and the
+// helpers' answers.
 const probeTimeouts = 3
 
-// maxVerifications bounds the pings of one Step to members on whose state nodes disagree.
+// maxVerifications bounds the pings that verifyNode sends in one Step.
 const maxVerifications = 8
 
 // prober is the state of the failure detector.
 type prober struct {
 	nextProbe     time.Duration // when the next member is probed
-	rotation      []string      // names in random order; each is probed once per round (SWIM section 4.3)
-	position      int           // in rotation, of the next target
+	rotation      []string      // member names in random order; each is probed once per round (SWIM section 4.3)
+	position      int           // index in rotation of the next target
 	pending       []probe
 	sequence      uint64 // of the last ping
-	verifications int    // in this Step
+	verifications int    // pings that verifyNode has sent in this Step
 
-	tombstones    []*entry // those that are dead or have left and are not reaped yet
+	tombstones    []*entry // dead or left members that are not reaped yet
 	nextDeadProbe time.Duration
 }
 
-// probe is a ping that must be answered.
+// probe is a pending ping; its target is suspected if no ack arrives before the deadline.
 type probe struct {
 	sequence      uint64
 	target        *entry
-	indirectAt    time.Duration // when helpers are asked; never: they were, or will not be
+	indirectAt    time.Duration // when helpers are asked; never if they have been or will not be
 	deadline      time.Duration
-	nacks         []string // names of helpers that got no answer either
-	expectedNacks int      // helpers asked
+	nacks         []string // names of the helpers that sent a nack
+	expectedNacks int      // number of helpers asked
 }
 
-// probe starts the probes of one interval when it is due.
+// probe starts the probes of an interval if they are due.
 func (n *Node) probe() {
 	if n.now < n.prober.nextProbe {
 		return
@@ -48,7 +49,7 @@
 	n.reapTombstones()
 }
 
-// probeNode pings a member. If it does not answer it is probed indirectly, and then suspected.
+// probeNode pings a member. If the member does not answer, it is probed indirectly and then suspected.
 func (n *Node) probeNode(target *entry) {
 	started := probe{
 		sequence:   n.nextSequence(),
@@ -60,9 +61,9 @@
 	n.send(target.Address, Message{Kind: MsgPing, To: target.Name, Sequence: started.sequence})
 }
 
-// verifyNode pings a member on whose state nodes disagree. The ping carries the update that it is dead in that incarnation,
-// so that it can refute it. A member that has a tombstone here may stay silent; another one is suspected without indirect
-// probes.
+// verifyNode pings a member on whose state nodes disagree. The ping carries an update that declares the member dead in the given
+// incarnation, which a running member refutes. A live member that does not answer is suspected without indirect probes; one with
+// a tombstone needs no answer.
 func (n *Node) verifyNode(target *entry, incarnation uint64) {
 	if n.prober.verifications >= maxVerifications || n.isProbing(target) {
 		return
@@ -82,25 +83,25 @@
 	n.send(target.Address, ping)
 }
 
-// isProbing reports whether a probe of that member is pending.
+// isProbing reports whether a probe of the member is pending.
 func (n *Node) isProbing(target *entry) bool {
 	return slices.ContainsFunc(n.prober.pending, func(p probe) bool { return p.target == target })
 }
 
-// nextSequence returns a number that no earlier ping of this node has.
+// nextSequence returns the sequence number of this node's next ping.
 func (n *Node) nextSequence() uint64 {
 	n.prober.sequence++
 	return n.prober.sequence
 }
 
-// expireProbes starts the indirect probes that are due, and suspects members that nobody reached.
+// expireProbes starts the indirect probes that are due, and fails the probes whose deadline has passed.
 func (n *Node) expireProbes() {
 	for i := 0; i < len(n.prober.pending); {
 		pending := &n.prober.pending[i]
 		if n.now >= pending.deadline {
 			expired := *pending
 			n.prober.pending = slices.Delete(n.prober.pending, i, i+1)
-			n.probeFailed(expired)
+			n.handleProbeFailure(expired)
 			continue
 		}
 		if n.now >= pending.indirectAt {
@@ -110,14 +111,15 @@
 	}
 }
 
-// probeFailed suspects the target. If no helper has sent even a nack, this node may be the one that is slow or partitioned.
-func (n *Node) probeFailed(failed probe) {
+// handleProbeFailure suspects the target of a failed probe. If helpers were asked and none has sent a nack, this node itself may be slow or
+// partitioned.
+func (n *Node) handleProbeFailure(failed probe) {
 	if failed.expectedNacks > 0 && len(failed.nacks) == 0 {
 		n.awareness.applyDelta(1)
 	}
 	if failed.target.State == StateAlive {
 		n.startSuspicion(failed.target, Update{From: n.self.Name})
-		n.send(failed.target.Address, Message{Kind: MsgGossip, To: failed.target.Name}) // so that it may refute at once
+		n.send(failed.target.Address, Message{Kind: MsgGossip, To: failed.target.Name}) // lets the target refute the suspicion immediately
 	}
 	changed := failed.target.suspicion.confirm(n.self.Name)
 	for _, helper := range failed.nacks {
@@ -128,7 +130,7 @@
 	}
 }
 
-// ackProbe ends the probe with that sequence if it was of the member named, and reports whether there was one.
+// ackProbe ends the probe of the named member with that sequence, and reports whether there was one.
 func (n *Node) ackProbe(sequence uint64, name string) bool {
 	for i, pending := range n.prober.pending {
 		if pending.sequence == sequence && pending.target.Name == name {
@@ -139,7 +141,7 @@
 	return false
 }
 
-// cancelProbes drops all pending probes: none of their targets is suspected for it.
+// cancelProbes drops all pending probes without suspecting their targets.
 func (n *Node) cancelProbes() { n.prober.pending = n.prober.pending[:0] }
 
 // cancelProbe drops the pending probes of a member.
@@ -147,7 +149,7 @@
 	n.prober.pending = slices.DeleteFunc(n.prober.pending, func(p probe) bool { return p.target.Name == name })
 }
 
-// nextProbeExpiry returns when expireProbes has something to do; never: no probe is pending.
+// nextProbeExpiry returns when expireProbes must run next, or never if no probe is pending.
 func (n *Node) nextProbeExpiry() time.Duration {
 	next := never
 	for i := range n.prober.pending {
--- a/internal/tier/membership/properties_test.go
+++ b/internal/tier/membership/properties_test.go
@@ -12,12 +12,12 @@
 	"pgregory.net/rapid"
 )
 
-// fault is one fault that is injected into a cluster.
+// fault is a fault to inject into a cluster.
 type fault struct {
 	Kind     string
 	Host     int
 	Duration time.Duration
-	Delay    time.Duration // until the next one
+	Delay    time.Duration // until the next fault
 }
 
 var faults = rapid.Custom(func(t *rapid.T) fault {
@@ -29,18 +29,18 @@
 	}
 })
 
-func (c *cluster) inject(happens fault) {
-	h := c.hosts[happens.Host%len(c.hosts)]
-	switch happens.Kind {
+func (c *cluster) inject(injected fault) {
+	h := c.hosts[injected.Host%len(c.hosts)]
+	switch injected.Kind {
 	case "kill":
 		c.kill(h)
 	case "restart":
 		c.kill(h)
 		c.start(h)
 	case "freeze":
-		c.freeze(h, happens.Duration)
+		c.freeze(h, injected.Duration)
 	case "lag":
-		h.lag = happens.Duration / 10
+		h.lag = injected.Duration / 10
 	case "partition":
 		c.blocked = func(from, to *host) bool { return (from == h) != (to == h) }
 	case "one way":
@@ -55,7 +55,7 @@
 	}
 }
 
-// healAll ends all faults but freezes, which end by themselves, and starts what is down.
+// healAll ends all faults except freezes, which end by themselves, and starts the hosts that are down.
 func (c *cluster) healAll() {
 	c.blocked = func(_, _ *host) bool { return false }
 	for _, h := range c.hosts {
@@ -66,8 +66,8 @@
 	}
 }
 
-// Given any faults, when they are over, then all running members agree on who is running, and no record of a member has ever
-// gone back.
+// Given any faults, when they are over, then all running members agree on who is running, and no member's record ever reverted to
+// an older incarnation or state.
 func TestFleet_AnyFaults_ConvergesAfterwards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := newCluster(rapid.IntRange(2, 9).Draw(t, "size"), rapid.Uint64().Draw(t, "seed"))
@@ -75,36 +75,36 @@
 		fleet.duplicate = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "duplicate")
 		fleet.startAll()
 		fleet.runFor(5 * time.Second)
-		for _, happens := range rapid.SliceOfN(faults, 0, 8).Draw(t, "faults") {
-			fleet.inject(happens)
-			fleet.runFor(happens.Delay)
+		for _, injected := range rapid.SliceOfN(faults, 0, 8).Draw(t, "faults") {
+			fleet.inject(injected)
+			fleet.runFor(injected.Delay)
 		}
 		fleet.loss = min(fleet.loss, 0.02)
 		fleet.healAll()
-		fleet.runFor(12 * time.Second) // the longest freeze ends
+		fleet.runFor(12 * time.Second) // until the longest freeze has ended
 		if _, done := fleet.runUntil(40*time.Second, fleet.converged); !done {
 			t.Fatalf("not converged:\n%s", fleet.disagreements())
 		}
 		for _, h := range fleet.hosts {
-			checkNeverBack(t, h)
+			checkRecordsNeverRevert(t, h)
 		}
 	})
 }
 
-// checkNeverBack checks that no event of a host has an older incarnation than the one before.
-func checkNeverBack(t *rapid.T, h *host) {
+// checkRecordsNeverRevert checks that no event of a host reverts a member to an older incarnation, or to an earlier state of the same one.
+func checkRecordsNeverRevert(t *rapid.T, h *host) {
 	for _, change := range h.events {
 		before, after := change.Previous, change.Member
 		if before.Name == "" {
 			continue
 		}
 		if after.Incarnation < before.Incarnation || after.Incarnation == before.Incarnation && after.State < before.State {
-			t.Fatalf("%s went back from %v to %v", h.member.Name, before, after)
+			t.Fatalf("%s reverted a record from %v to %v", h.member.Name, before, after)
 		}
 	}
 }
 
-// Given one seed, when a run is repeated, then all events are the same.
+// Given a seed, when a run is repeated, then all events are the same.
 func TestNetwork_SameSeed_GivesTheSameEvents(t *testing.T) {
 	run := func() [][]timedEvent {
 		fleet := newCluster(12, 5)
@@ -150,7 +150,7 @@
 			for _, datagram := range effects.Datagrams {
 				encoded, err := json.Marshal(datagram.Message)
 				if err != nil || len(encoded) > MaxDatagramBytes {
-					t.Fatalf("%d bytes, %v: %s", len(encoded), err, encoded)
+					t.Fatalf("datagram has %d bytes, want at most MaxDatagramBytes; error %v: %s", len(encoded), err, encoded)
 				}
 			}
 			now = effects.NextWake
@@ -159,7 +159,7 @@
 	})
 }
 
-// Given two tables, when one requests and the other answers and gets what it requested, then both have the same records.
+// Given two tables, when one node completes a push-pull with the other, then both tables have the same records.
 func TestPushPull_AnyTwoTables_AreTheSameAfterOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := twoNodes(t)
@@ -170,16 +170,16 @@
 			outcome := PushPullResult{Token: calls[0].Token, Response: replies[0].Message}
 			calls = first.Step(time.Second, Input{Results: []PushPullResult{outcome}}).Calls
 		}
-		if difference := cmp.Diff(names(first), names(second)); difference != "" {
+		if difference := cmp.Diff(membersOf(first), membersOf(second)); difference != "" {
 			t.Fatal(difference)
 		}
 		if first.table.hash != second.table.hash {
-			t.Fatal("the lists are the same, the hashes are not")
+			t.Fatal("the tables have the same records but different hashes")
 		}
 	})
 }
 
-// twoNodes returns nodes that each know some members which the other may not.
+// twoNodes returns two nodes, each of which knows some members that the other may not know.
 func twoNodes(t *rapid.T) (first, second *Node) {
 	nodes := make([]*Node, 2)
 	for i := range nodes {
@@ -200,7 +200,7 @@
 	return nodes[0], nodes[1]
 }
 
-func names(node *Node) []Member {
+func membersOf(node *Node) []Member {
 	members := slices.Clone(node.Members())
 	return members
 }
--- a/internal/tier/membership/pushpull.go
+++ b/internal/tier/membership/pushpull.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// maxPendingPushPulls bounds the calls whose result is awaited; the oldest is given up beyond it.
+// maxPendingPushPulls bounds the pending calls; beyond it the result of the oldest is ignored.
 const maxPendingPushPulls = 16
 
 // pushPullState decides when and with whom this node reconciles its table over a reliable connection.
@@ -16,51 +16,51 @@
 	token     uint64 // of the last call
 	lastStart time.Duration
 
-	target            string        // address of the member to reconcile with; empty: none
-	targetDue         time.Duration // when to reconcile with target
-	divergedUnchanged time.Duration // since when hashes differ with no change of this table; zero: they do not
-	divergedSince     time.Duration // since when hashes differ; zero: they do not
-	agreements        int           // pings with the same hash since the table last changed
-	resumed           bool          // the process was frozen and must reconcile at once
+	target              string        // address of the member to reconcile with; empty: none
+	targetDue           time.Duration // when the push-pull with target starts
+	divergedSinceChange time.Duration // like divergedSince, but restarted when this node's table changes
+	divergedSince       time.Duration // when a received hash first differed from this table's; zero if they agree
+	agreements          int           // pings received with this table's hash since the table last changed
+	resumed             bool          // the process was frozen and must reconcile immediately
 }
 
-// pendingPushPull is a PushPullCall whose result is awaited.
+// pendingPushPull is a PushPullCall without a result yet.
 type pendingPushPull struct {
 	token   uint64
 	address string
 }
 
-// recentlyStarted reports whether the node started less than a PushPullInterval ago: tables differ a lot then.
+// recentlyStarted reports whether the node started less than PushPullInterval ago, while tables still differ much.
 func (n *Node) recentlyStarted() bool { return n.now-n.started < n.options.PushPullInterval }
 
-// compareHash compares the hashes of both tables. Tables differ for a moment with every change, so only a difference that
-// outlasts the spread of updates, or PushPullInterval, leads to a push-pull.
+// compareHash compares this table's hash with the sender's. As tables differ briefly after every change, a push-pull is scheduled
+// only if the difference persists for convergenceTime without a change here, or for PushPullInterval in total.
 func (n *Node) compareHash(address string, message *Message) {
 	if message.Hash == 0 {
 		return
 	}
 	state := &n.pushPull
 	if message.Hash == n.table.hash {
-		state.divergedUnchanged = 0
+		state.divergedSinceChange = 0
 		state.divergedSince = 0
 		n.recordAgreement(message.Kind)
 		return
 	}
-	if state.divergedUnchanged == 0 {
-		state.divergedUnchanged = n.now
+	if state.divergedSinceChange == 0 {
+		state.divergedSinceChange = n.now
 	}
 	if state.divergedSince == 0 {
 		state.divergedSince = n.now
 	}
-	converged := n.now-state.divergedUnchanged >= n.convergenceTime()
+	converged := n.now-state.divergedSinceChange >= n.convergenceTime()
 	overdue := n.now-state.divergedSince >= n.options.PushPullInterval
 	if n.recentlyStarted() || converged || overdue {
 		n.schedulePushPull(address)
 	}
 }
 
-// recordAgreement drops the queued joins, deaths and leaves once pings of enough members have shown the same table: most
-// members then know them, and push-pull reaches the others.
+// recordAgreement counts a ping with the same table hash. After enough of them most members know the queued joins, deaths and
+// leaves, so these are dropped; push-pull informs the rest.
 func (n *Node) recordAgreement(kind MessageKind) {
 	if kind != MsgPing {
 		return
@@ -71,15 +71,15 @@
 	}
 }
 
-// convergenceTime is about the time in which an update reaches all members: it grows with the logarithm of their number
-// (SWIM section 4.1).
+// convergenceTime estimates how long an update takes to reach all members; it grows with the logarithm of their number (SWIM
+// section 4.1).
 func (n *Node) convergenceTime() time.Duration {
 	doublings := bits.Len(uint(n.table.liveCount + 1))
 	return n.options.ProbeInterval * time.Duration(2+doublings) / 2
 }
 
-// schedulePushPull plans a push-pull with a member, at least one or two probe intervals after the last one. The last
-// member that asked for it is the one.
+// schedulePushPull schedules a push-pull with the member at an address, about two probe intervals after the last push-pull or one
+// if the node has recently started. A later call replaces the address and keeps the time.
 func (n *Node) schedulePushPull(address string) {
 	spacing := 2 * n.options.ProbeInterval
 	if n.recentlyStarted() {
@@ -91,7 +91,7 @@
 	n.pushPull.target = address
 }
 
-// runPushPull makes the calls and probes of seeds that are due.
+// runPushPull starts the push-pulls and the probes of seeds that are due.
 func (n *Node) runPushPull() {
 	state := &n.pushPull
 	if state.resumed {
@@ -110,7 +110,7 @@
 	}
 }
 
-// nextPushPull returns when runPushPull has something to do.
+// nextPushPull returns when runPushPull must run next.
 func (n *Node) nextPushPull() time.Duration {
 	state := &n.pushPull
 	next := n.joiner.nextSeedProbe
@@ -123,7 +123,7 @@
 	return next
 }
 
-// pushPullAfterFreeze reconciles with a random live member, or with a seed when there is none.
+// pushPullAfterFreeze reconciles with a random live member, or with a seed if none is known.
 func (n *Node) pushPullAfterFreeze() {
 	if chosen := n.randomAlive(1, ""); len(chosen) > 0 {
 		n.startPushPull(chosen[0].Address)
@@ -134,17 +134,17 @@
 	}
 }
 
-// startPushPull requests the records that this node lacks.
+// startPushPull sends this table's digest to request the records that this node lacks.
 func (n *Node) startPushPull(address string) {
 	state := &n.pushPull
 	state.target = ""
-	state.divergedUnchanged = 0
+	state.divergedSinceChange = 0
 	state.divergedSince = 0
 	state.lastStart = n.now
 	n.sendPushPull(address, PushPullMessage{Kind: PushPullRequest, Digest: n.table.digest(n.self)})
 }
 
-// sendPushPull makes a call and remembers it until its result comes.
+// sendPushPull makes a call and records it as pending.
 func (n *Node) sendPushPull(address string, message PushPullMessage) {
 	state := &n.pushPull
 	state.token++
@@ -156,7 +156,8 @@
 	n.effects.Calls = append(n.effects.Calls, PushPullCall{state.token, address, message})
 }
 
-// handlePushPullResult merges a response and pushes what it requested. A failure makes the next attempt to join earlier.
+// handlePushPullResult merges a response and pushes the records that it requests. After a failure the next attempt to join comes
+// earlier.
 func (n *Node) handlePushPullResult(result PushPullResult) {
 	state := &n.pushPull
 	position := slices.IndexFunc(state.pending, func(c pendingPushPull) bool { return c.token == result.Token })
@@ -177,8 +178,8 @@
 	}
 }
 
-// handlePushPull merges the records of a request or push, and answers it. The response is made of the table before the
-// merge, so that it does not return the records just received.
+// handlePushPull merges the records of a request or push, and answers it. The response is built from the table before the merge, so
+// that it does not return the records just received.
 func (n *Node) handlePushPull(arrival PushPullArrival) {
 	response := PushPullMessage{Kind: PushPullResponse}
 	if arrival.Message.Kind == PushPullRequest {
@@ -191,7 +192,7 @@
 	n.effects.Replies = append(n.effects.Replies, PushPullReply{arrival.Token, response})
 }
 
-// mergeRecords applies the records of a message like updates of any other source.
+// mergeRecords applies the records of a message as updates.
 func (n *Node) mergeRecords(message PushPullMessage) {
 	n.applyUpdate(Update{Member: message.From})
 	for _, record := range message.Records {
@@ -199,7 +200,7 @@
 	}
 }
 
-// recordsMissing lists the records whose hashes are not among the sorted ones. This node's own record is sent as From.
+// recordsMissing lists the records whose hashes are not among the sorted hashes. This node's own record is sent as From.
 func (n *Node) recordsMissing(hashes []uint64) []Member {
 	var records []Member
 	for _, e := range n.table.sorted {
@@ -225,7 +226,7 @@
 	return records
 }
 
-// pushPullRecord leaves a suspicion out: it is temporary, and travels with the probes.
+// pushPullRecord returns a record without a suspicion, which is temporary and is disseminated with the probes.
 func pushPullRecord(member Member) Member {
 	if member.State == StateSuspect {
 		member.State = StateAlive
@@ -233,7 +234,7 @@
 	return updateOf(member).Member
 }
 
-// unknownHashes lists the hashes that belong to no record of this node.
+// unknownHashes encodes those of the hashes that belong to no record of this node.
 func (n *Node) unknownHashes(hashes []uint64) []byte {
 	own := sortedHashes(n.table.digest(n.self))
 	var unknown []byte
@@ -245,7 +246,7 @@
 	return unknown
 }
 
-// sortedHashes decodes a digest, see table.digest. Bytes behind the last complete hash are ignored.
+// sortedHashes decodes a digest, see table.digest. An incomplete hash at the end is ignored.
 func sortedHashes(digest []byte) []uint64 {
 	hashes := make([]uint64, 0, len(digest)/hashBytes)
 	for ; len(digest) >= hashBytes; digest = digest[hashBytes:] {
--- a/internal/tier/membership/pushpullmessage.go
+++ b/internal/tier/membership/pushpullmessage.go
@@ -1,12 +1,12 @@
 package membership
 
-// PushPullKind is the step of a reconciliation that a message makes.
+// PushPullKind is the step of a reconciliation that a message belongs to.
 type PushPullKind string
 
 // The steps of a push-pull. Requests and pushes are each answered by a response.
 const (
-	PushPullRequest  PushPullKind = "request" // Digest lists what the caller has
-	PushPullResponse PushPullKind = "answer"  // Records that the caller lacks, and Requested of its digest
+	PushPullRequest  PushPullKind = "request" // Digest lists the caller's records
+	PushPullResponse PushPullKind = "answer"  // Records that the caller lacks, and Requested from its digest
 	PushPullPush     PushPullKind = "push"    // Records that the response requested
 )
 
@@ -15,12 +15,12 @@
 type PushPullMessage struct {
 	Kind      PushPullKind `json:"kind"`
 	From      Member       `json:"from"`
-	Digest    []byte       `json:"digest,omitempty"` // hashes of the records known, eight bytes each
+	Digest    []byte       `json:"digest,omitempty"` // hashes of the sender's records, eight bytes each
 	Records   []Member     `json:"records,omitempty"`
-	Requested []byte       `json:"wanted,omitempty"` // hashes of the digest that the responder lacks
+	Requested []byte       `json:"wanted,omitempty"` // hashes in the digest whose records the responder lacks
 }
 
-// PushPullCall is a PushPullMessage to be sent to Address (host:port). The caller of Step must return its outcome as a
+// PushPullCall is a PushPullMessage to send to Address (host:port). The caller of Step must pass the outcome to a later Step as a
 // PushPullResult with the same token.
 type PushPullCall struct {
 	Token   uint64
@@ -32,11 +32,10 @@
 type PushPullResult struct {
 	Token    uint64
 	Failed   bool
-	Response PushPullMessage // unless Failed
+	Response PushPullMessage // valid unless Failed
 }
 
-// PushPullArrival is a PushPullMessage from another member. Its PushPullReply has the same token, which the caller of Step
-// chooses.
+// PushPullArrival is a PushPullMessage from another member. The caller of Step chooses the token, which the PushPullReply repeats.
 type PushPullArrival struct {
 	Token   uint64
 	Message PushPullMessage
--- a/internal/tier/membership/queue.go
+++ b/internal/tier/membership/queue.go
@@ -5,32 +5,32 @@
 	"slices"
 )
 
-// retransmitMult is how many times one member sends an update per doubling of the number of members (SWIM's lambda). More
-// makes it less likely that an update misses a member, and costs bytes in the datagrams.
+// retransmitMult is how often a member sends an update per doubling of the number of members (SWIM's lambda). A larger value makes
+// it less likely that an update misses a member, and costs bytes in the datagrams.
 const retransmitMult = 3
 
-// minUpdateBytes is a lower bound of an update's encoding, in bytes: with less room none is looked for.
+// minUpdateBytes is a lower bound of an update's encoded size; with a smaller budget the queue is not searched.
 const minUpdateBytes = 20
 
 // broadcast is an update that is piggybacked on messages.
 type broadcast struct {
 	update      Update
-	size        int  // encoded, in bytes; 0: not measured yet
+	size        int  // encoded size in bytes; 0: not computed yet
 	invalidated bool // a newer update about the same member has replaced it
 }
 
-// transmitLimitedQueue holds the updates to be piggybacked, by how often each was sent. Those sent least often go first (SWIM
-// section 4.1), and the newest of them. An update leaves the queue after retransmitLimit transmits.
+// transmitLimitedQueue holds the updates to piggyback. Those sent least often come first (SWIM section 4.1), and among these the
+// newest. An update is dropped after retransmitLimit transmits.
 type transmitLimitedQueue struct {
-	tiers    [][]*broadcast // the index is the number of transmits
+	tiers    [][]*broadcast // by number of transmits
 	byName   map[string]*broadcast
-	selected []selection // scratch of getBroadcasts
+	selected []selection // buffer that getBroadcasts reuses
 }
 
 // selection is a broadcast that getBroadcasts has chosen.
 type selection struct {
 	item      *broadcast
-	transmits int // before this one
+	transmits int // before this selection
 }
 
 // newTransmitLimitedQueue returns an empty queue.
@@ -38,7 +38,7 @@
 	return &transmitLimitedQueue{byName: map[string]*broadcast{}}
 }
 
-// queueBroadcast queues an update in place of any older one about the same member.
+// queueBroadcast queues an update and drops an older one about the same member.
 func (q *transmitLimitedQueue) queueBroadcast(update Update) {
 	q.invalidate(update.Name)
 	added := &broadcast{update: update}
@@ -54,7 +54,7 @@
 	}
 }
 
-// push adds a broadcast to the tier of those sent so many times.
+// push adds a broadcast to the tier for its number of transmits.
 func (q *transmitLimitedQueue) push(transmits int, item *broadcast) {
 	for len(q.tiers) <= transmits {
 		q.tiers = append(q.tiers, nil)
@@ -62,8 +62,8 @@
 	q.tiers[transmits] = append(q.tiers[transmits], item)
 }
 
-// getBroadcasts appends updates that fit into budget bytes and counts a transmit of each; one that reaches limit transmits
-// is dropped. It also returns the bytes that are left.
+// getBroadcasts appends updates that fit into budget bytes and counts a transmit of each; an update that reaches limit transmits is
+// dropped. It also returns the remaining budget.
 func (q *transmitLimitedQueue) getBroadcasts(updates []Update, budget, limit int) ([]Update, int) {
 	if len(q.byName) == 0 {
 		return updates, budget
@@ -83,7 +83,7 @@
 	return updates, budget
 }
 
-// selectTier takes broadcasts from the end of one tier, the newest first, until one does not fit.
+// selectTier selects broadcasts from one tier, newest first, until one exceeds the budget, and returns the remaining budget.
 func (q *transmitLimitedQueue) selectTier(transmits, budget int) int {
 	items := q.tiers[transmits]
 	for len(items) > 0 {
@@ -124,5 +124,5 @@
 	}
 }
 
-// retransmitLimit is how often each of so many members sends an update.
+// retransmitLimit returns how often each member sends an update in a group of the given size.
 func retransmitLimit(members int) int { return retransmitMult * bits.Len(uint(members)) }
--- a/internal/tier/membership/race_test.go
+++ b/internal/tier/membership/race_test.go
@@ -2,7 +2,7 @@
 
 package membership
 
-// Under the race detector everything is some ten times slower, so campaigns are smaller.
+// The race detector makes tests about ten times slower, so fewer seeds and smaller clusters are used.
 const (
 	campaignSeeds = 1
 	largestFleet  = 100
--- a/internal/tier/membership/receive.go
+++ b/internal/tier/membership/receive.go
@@ -11,7 +11,7 @@
 		n.applyUpdate(update)
 	}
 	if message.To != "" && message.To != n.self.Name {
-		return // meant for a process that had this address before
+		return // addressed to an earlier process with this address
 	}
 	n.checkSender(address, message)
 	n.deliverPayload(address, message)
@@ -29,7 +29,7 @@
 	}
 }
 
-// checkSender compares the sender with its record, and both tables when they agree on it.
+// checkSender compares the sender's incarnation with its record and, if the record is current, the hashes of both tables.
 func (n *Node) checkSender(address string, message *Message) {
 	if n.self.State == StateLeft {
 		return
@@ -46,14 +46,14 @@
 	}
 }
 
-// deliverPayload hands the payload of a message to the application.
+// deliverPayload passes the payload of a message to the application.
 func (n *Node) deliverPayload(address string, message *Message) {
 	if len(message.Payload) > 0 {
 		n.effects.Payloads = append(n.effects.Payloads, Payload{message.From, address, message.Payload})
 	}
 }
 
-// handleAck ends the probe that the ack answers: one of this node, or one that it makes for another.
+// handleAck ends the direct or indirect probe that the ack answers.
 func (n *Node) handleAck(message *Message) {
 	if n.ackProbe(message.Sequence, message.From) {
 		n.awareness.applyDelta(-1)
--- a/internal/tier/membership/scenario_test.go
+++ b/internal/tier/membership/scenario_test.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// scenario returns an error when the protocol violates what its name says.
+// scenario is a test case whose run returns an error if the protocol violates the behaviour in its name.
 type scenario struct {
 	name string
 	run  func(seed uint64) error
 }
 
-// startedCluster returns a network whose hosts have all started and met.
+// startedCluster returns a cluster whose hosts have all started and know each other.
 func startedCluster(size int, seed uint64) (*cluster, error) {
 	fleet := newCluster(size, seed)
 	fleet.startAll()
 	fleet.runFor(300 * time.Millisecond)
 	if _, done := fleet.runUntil(15*time.Second, fleet.converged); !done {
-		return fleet, fmt.Errorf("not all members met:\n%s", fleet.disagreements())
+		return fleet, fmt.Errorf("not all members know each other:\n%s", fleet.disagreements())
 	}
 	return fleet, nil
 }
 
-// expectConverged runs until all running hosts agree.
+// expectConverged runs until all running hosts agree on who is running, for at most the limit.
 func expectConverged(fleet *cluster, limit time.Duration) error {
 	if _, done := fleet.runUntil(limit, fleet.converged); !done {
 		return fmt.Errorf("not converged after %v:\n%s", limit, fleet.disagreements())
@@ -39,20 +39,20 @@
 
 var scenarios = []scenario{
 	{"given loss and duplicates, when nothing else happens, then nobody dies", calm},
-	{"given a calm network, when a member is killed, then all see it dead", killed},
+	{"given a calm network, when a member is killed, then all declare it dead", killed},
 	{"given a killed member, when it restarts, then all know the new process", restarts},
 	{"given a killed member, when it restarts with its clock set back, then all know it", clockBack},
 	{"given a pending probe, when the member freezes, then it suspects nobody", frozenMember},
 	{"given a calm network, when a member is slow, then nobody else dies", slowMember},
 	{"given a one-way partition, when probes are lost, then indirect probes reach the target", oneWayPartition},
 	{"given an isolated member, when it is back, then it declares nobody dead", isolatedMember},
-	{"given two halves, when the partition heals, then they meet again", halves},
-	{"given two partitions that have forgotten each other, when they heal, then they meet", forgottenPartitions},
+	{"given two halves, when the partition heals, then they merge again", halves},
+	{"given two partitions that have forgotten each other, when they heal, then they merge", forgottenPartitions},
 	{"given a healthy member, when it is suspected, then it refutes", suspected},
 	{"given a new process, when a stale update arrives, then the record stays", staleUpdate},
 	{"given a calm network, when a member leaves, then all know and nobody declares it dead", gracefulLeave},
-	{"given stale seeds, when one is right or is replaced, then the member joins", staleSeeds},
-	{"given seeds that are down, when they start, then all meet", seedsDown},
+	{"given stale seeds, when one is valid or is replaced, then the member joins", staleSeeds},
+	{"given seeds that are down, when they start, then all members know each other", seedsDown},
 	{"given a hundred members, when they start at once, then datagrams stay small", manyJoin},
 	{"given a dead member, when its tombstone expires, then it is reaped", reaped},
 }
@@ -109,7 +109,7 @@
 		return fleet.converged()
 	}
 	if _, done := fleet.runUntil(10*time.Second, knowNewID); !done {
-		return fmt.Errorf("the new process is not known to all")
+		return fmt.Errorf("not all members know the new process")
 	}
 	fleet.runFor(20 * time.Second)
 	for _, h := range fleet.hosts {
@@ -147,8 +147,8 @@
 		fleet.runUntilProbing(victim)
 		fleet.freeze(victim, 8*time.Second)
 		fleet.runFor(8*time.Second + 50*time.Millisecond)
-		if accused := suspectedBy(victim, fleet.loop.Now()-51*time.Millisecond); accused > 0 {
-			return fmt.Errorf("%d suspected by the frozen member right after its freeze", accused)
+		if count := suspectedBy(victim, fleet.loop.Now()-51*time.Millisecond); count > 0 {
+			return fmt.Errorf("the frozen member suspected %d members right after its freeze, want 0", count)
 		}
 		fleet.runFor(4 * time.Second)
 	}
@@ -158,11 +158,11 @@
 	return expectConverged(fleet, 10*time.Second)
 }
 
-// suspectedBy counts the members that a host has suspected by itself since a time.
+// suspectedBy counts the suspicions that a host has originated since a time.
 func suspectedBy(h *host, since time.Duration) int {
 	count := 0
-	for _, accusation := range h.suspicions {
-		if accusation.at >= since {
+	for _, recorded := range h.suspicions {
+		if recorded.at >= since {
 			count++
 		}
 	}
@@ -194,7 +194,7 @@
 	fleet.runFor(120 * time.Second)
 	for _, h := range []*host{first, second} {
 		if count := suspectedBy(h, 0); count > 2 {
-			return fmt.Errorf("%s suspected others %d times in spite of indirect probes", h.member.Name, count)
+			return fmt.Errorf("%s suspected members %d times despite indirect probes, want at most 2", h.member.Name, count)
 		}
 	}
 	if err := expectNoDeath(fleet, 0); err != nil {
@@ -243,7 +243,7 @@
 	fleet.runFor(30 * time.Second)
 	for _, h := range fleet.hosts {
 		if len(h.live()) != len(fleet.hosts)/2 {
-			return fmt.Errorf("%s has %d live members during the partition", h.member.Name, len(h.live()))
+			return fmt.Errorf("%s has %d live members during the partition, want half of all", h.member.Name, len(h.live()))
 		}
 	}
 	fleet.blocked = func(_, _ *host) bool { return false }
@@ -270,12 +270,12 @@
 		return err
 	}
 	fleet.runFor(3 * time.Second)
-	victim, liar := fleet.hosts[4].member, fleet.hosts[5]
-	accusation := Update{Member: liar.node.table.entries[victim.Name].Member, From: "edge-nowhere/agent"}
-	accusation.State = StateSuspect
+	victim, sender := fleet.hosts[4].member, fleet.hosts[5]
+	falseSuspicion := Update{Member: sender.node.table.entries[victim.Name].Member, From: "edge-nowhere/agent"}
+	falseSuspicion.State = StateSuspect
 	for _, h := range fleet.hosts[:4] {
-		message := Message{Kind: MsgGossip, From: liar.member.Name, Incarnation: liar.node.self.Incarnation, Updates: []Update{accusation}}
-		fleet.step(h, Input{Datagrams: []Datagram{{liar.member.Address, message}}})
+		message := Message{Kind: MsgGossip, From: sender.member.Name, Incarnation: sender.node.self.Incarnation, Updates: []Update{falseSuspicion}}
+		fleet.step(h, Input{Datagrams: []Datagram{{sender.member.Address, message}}})
 	}
 	fleet.runFor(20 * time.Second)
 	if err := expectNoDeath(fleet, 0); err != nil {
@@ -299,7 +299,7 @@
 	message := Message{Kind: MsgGossip, From: fleet.hosts[0].member.Name, Updates: []Update{{Member: old}}}
 	fleet.step(observer, Input{Datagrams: []Datagram{{fleet.hosts[0].member.Address, message}}})
 	if known := observer.node.table.entries[victim.member.Name]; known.ID != "second" {
-		return fmt.Errorf("the record went back to %v", known.Member)
+		return fmt.Errorf("the record reverted to %v", known.Member)
 	}
 	return nil
 }
@@ -359,7 +359,7 @@
 		return err
 	}
 	if fleet.largest > MaxDatagramBytes {
-		return fmt.Errorf("a datagram of %d bytes", fleet.largest)
+		return fmt.Errorf("a datagram has %d bytes, more than MaxDatagramBytes", fleet.largest)
 	}
 	return expectNoDeath(fleet, 0)
 }
@@ -373,7 +373,7 @@
 	fleet.runFor(40 * time.Second)
 	for _, h := range fleet.running() {
 		if members := h.node.Members(); len(members) != 7 {
-			return fmt.Errorf("%s still has %d members", h.member.Name, len(members))
+			return fmt.Errorf("%s has %d members, want 7 after the tombstone is reaped", h.member.Name, len(members))
 		}
 	}
 	return nil
--- a/internal/tier/membership/send.go
+++ b/internal/tier/membership/send.go
@@ -1,16 +1,16 @@
 package membership
 
-// send completes a message and piggybacks the updates that fit.
+// send completes a message with piggybacked updates and queues it for sending.
 func (n *Node) send(address string, message Message) { n.sendMessage(address, message, false) }
 
-// sendAck answers a ping. A sender with the same table gets no joins, deaths and leaves, which it knows.
+// sendAck answers a ping. A sender with the same table knows the queued joins, deaths and leaves, so these are left out.
 func (n *Node) sendAck(address string, ping *Message) {
 	sameTable := ping.Hash == n.table.hash
 	n.sendMessage(address, Message{Kind: MsgAck, To: ping.From, Sequence: ping.Sequence}, sameTable)
 }
 
-// sendMessage completes a message. Updates that the caller has set come first, else what this node believes of the receiver
-// if that is not alive (Lifeguard's Buddy System), so that it can refute; then the queued broadcasts.
+// sendMessage completes a message and queues it for sending. Its updates are those set by the caller or else, if the receiver is not
+// considered alive, the receiver's own state, so that it can refute (Lifeguard's Buddy System). Queued broadcasts follow.
 func (n *Node) sendMessage(address string, message Message, sameTable bool) {
 	message.From = n.self.Name
 	message.Incarnation = n.self.Incarnation
@@ -22,7 +22,7 @@
 	}
 	receiver := n.table.entries[message.To]
 	if receiver != nil && receiver.State != StateAlive && len(message.Updates) == 0 {
-		message.Updates = append(message.Updates, n.beliefAbout(receiver))
+		message.Updates = append(message.Updates, n.receiverUpdate(receiver))
 	}
 	budget := MaxDatagramBytes - envelopeSize(&message) - len(message.Payload)
 	for _, update := range message.Updates {
@@ -36,8 +36,8 @@
 	n.effects.Datagrams = append(n.effects.Datagrams, Datagram{address, message})
 }
 
-// beliefAbout returns the update by which a member learns that it is suspected, dead or taken to have left.
-func (n *Node) beliefAbout(subject *entry) Update {
+// receiverUpdate returns the update that tells a receiver that this node considers it suspect, dead or left.
+func (n *Node) receiverUpdate(subject *entry) Update {
 	update := updateOf(subject.Member)
 	if subject.State == StateSuspect {
 		update.From = subject.suspicion.from[0]
--- a/internal/tier/membership/state.go
+++ b/internal/tier/membership/state.go
@@ -1,6 +1,6 @@
 package membership
 
-// applyUpdate applies an update about one member, of whatever source. An update of an older incarnation never takes effect.
+// applyUpdate applies an update about one member. An update of an older incarnation has no effect.
 func (n *Node) applyUpdate(update Update) {
 	if update.Name == "" {
 		return
@@ -21,8 +21,8 @@
 	}
 }
 
-// aliveNode handles the update that a member is alive. Another incarnation or a new member is taken over; a member that is
-// dead here in the same incarnation is asked itself.
+// aliveNode handles an update that a member is alive. It adds an unknown member and applies a newer incarnation. A member that this
+// node considers dead in the same incarnation is pinged.
 func (n *Node) aliveNode(update Update) {
 	known := n.table.entries[update.Name]
 	switch {
@@ -35,7 +35,7 @@
 	}
 }
 
-// addMember adds an unknown member as alive. Without an address it is ignored: nil.
+// addMember adds an unknown member as alive. A record without an address is ignored, and nil returned.
 func (n *Node) addMember(member Member) *entry {
 	if member.Address == "" {
 		return nil
@@ -50,8 +50,8 @@
 	return added
 }
 
-// renewMember takes over a newer incarnation of a known member, which ends any suspicion. The end of a suspicion is urgent
-// and broadcast first, as others may still be counting down.
+// renewMember applies a newer incarnation of a known member, which ends any suspicion. The end of a suspicion is broadcast with
+// priority, as other members' suspicion timers may still be running.
 func (n *Node) renewMember(known *entry, member Member) {
 	if member.Address == "" {
 		return
@@ -78,8 +78,7 @@
 	}
 }
 
-// suspectNode handles the update that another member suspects one: it starts a suspicion here, or confirms the one that
-// runs.
+// suspectNode handles an update that a member is suspected: it starts a suspicion, or confirms the current one.
 func (n *Node) suspectNode(update Update) {
 	known := n.table.entries[update.Name]
 	if known == nil {
@@ -100,9 +99,9 @@
 	}
 }
 
-// deadNode handles the update that others consider a member dead. Unlike in SWIM this is not believed as it is: a node that
-// suspects the member lets the suspicion expire after its minimum time-out; one that does not probes the member itself,
-// because those others may be the ones that are partitioned or slow.
+// deadNode handles an update that another member has declared a member dead. Unlike in SWIM, the update alone does not make it
+// dead, as the other member may be partitioned or slow. If this node suspects the member, the suspicion expires after its minimum
+// timeout; otherwise this node probes the member.
 func (n *Node) deadNode(update Update) {
 	known := n.table.entries[update.Name]
 	if known == nil || update.Incarnation < known.Incarnation || known.State == StateLeft {
@@ -114,25 +113,25 @@
 	case StateSuspect:
 		known.suspicion.useMinTimeout()
 	case StateDead:
-		n.raiseTombstone(known, update)
+		n.updateTombstone(known, update)
 	}
 }
 
-// leftNode handles the update that a member has left, which is believed, as only the member itself says so.
+// leftNode handles an update that a member has left. The update is accepted, as only the member itself originates it.
 func (n *Node) leftNode(update Update) {
 	known := n.table.entries[update.Name]
 	if known == nil || update.Incarnation < known.Incarnation || known.State == StateLeft {
 		return
 	}
 	if known.State == StateDead {
-		n.raiseTombstone(known, update)
+		n.updateTombstone(known, update)
 		return
 	}
 	n.markDeadOrLeft(known, StateLeft, update.Incarnation)
 	n.gossipDue = true
 }
 
-// markDeadOrLeft gives a live member a tombstone.
+// markDeadOrLeft replaces the record of a live member by a tombstone.
 func (n *Node) markDeadOrLeft(known *entry, state State, incarnation uint64) {
 	previous := known.Member
 	member := previous
@@ -151,14 +150,14 @@
 	n.emit(kind, previous, member)
 }
 
-// tableChanged records that this node's table is new: the others need convergenceTime before a difference means anything.
+// tableChanged resets the comparison of table hashes after a change of the table, which takes convergenceTime to reach the others.
 func (n *Node) tableChanged() {
-	n.pushPull.divergedUnchanged = 0
+	n.pushPull.divergedSinceChange = 0
 	n.pushPull.agreements = 0
 }
 
-// refute handles an update about this node. One that is not true, a suspicion or a record of an earlier process of that
-// name, is refuted by an incarnation above it (SWIM section 4.2).
+// refute handles an update about this node. A suspicion, a death or the record of an earlier process with this name is refuted with a
+// higher incarnation (SWIM section 4.2).
 func (n *Node) refute(update Update) {
 	if n.self.State == StateLeft || update.Incarnation < n.self.Incarnation {
 		return
@@ -173,7 +172,7 @@
 	n.setSelf(update.Incarnation+1, StateAlive)
 }
 
-// setSelf changes this node's record and broadcasts it.
+// setSelf changes and broadcasts this node's record.
 func (n *Node) setSelf(incarnation uint64, state State) {
 	n.table.hash ^= recordHash(n.self)
 	n.self.Incarnation = incarnation
@@ -185,7 +184,7 @@
 	n.gossipDue = true
 }
 
-// leave announces that this process ends.
+// leave announces that this node leaves.
 func (n *Node) leave() {
 	if n.self.State == StateLeft {
 		return
--- a/internal/tier/membership/suspicion.go
+++ b/internal/tier/membership/suspicion.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// suspicionMaxTimeoutMult is the time-out of a suspicion without confirmations, in multiples of the minimum.
+// suspicionMaxTimeoutMult is the timeout of a suspicion without confirmations, in multiples of the minimum timeout.
 const suspicionMaxTimeoutMult = 3
 
-// suspicionConfirmations is how many other members must confirm a suspicion for the minimum time-out (Lifeguard's K).
+// suspicionConfirmations is the number of other members that must confirm a suspicion to apply the minimum timeout (Lifeguard's K).
 const suspicionConfirmations = 2
 
-// suspicion is the timer between suspect and dead (Lifeguard's LHA-Suspicion): the more members confirm it, the shorter.
+// suspicion is the timer between suspect and dead (Lifeguard's LHA-Suspicion). Confirmations by other members shorten it.
 type suspicion struct {
-	from       []string // names of the members that suspect it
-	required   int      // confirmations for the minimum time-out
+	from       []string // names of the members that suspect the entry's member
+	required   int      // number of confirmations that apply the minimum timeout
 	started    time.Duration
 	minTimeout time.Duration
 	deadline   time.Duration // when the member is declared dead
 }
 
-// merge takes in an update that another member suspects the same one, and reports whether to broadcast it.
+// merge applies another member's update about the same suspicion, and reports whether to broadcast the change.
 func (s *suspicion) merge(update Update) bool {
 	changed := s.confirm(update.From)
 	if update.Confirmed && !s.isConfirmed() {
@@ -33,8 +33,8 @@
 	return changed
 }
 
-// confirm counts one more member that suspects it, and reports whether to broadcast that. Only confirmations up to the
-// required number are broadcast, so that their number stays bounded.
+// confirm adds a member's confirmation, and reports whether to broadcast it. Confirmations beyond the required number are not
+// broadcast, which bounds the messages.
 func (s *suspicion) confirm(name string) bool {
 	if s.isConfirmed() || slices.Contains(s.from, name) {
 		return false
@@ -44,19 +44,19 @@
 	return true
 }
 
-// isConfirmed reports whether enough members confirm it for the minimum time-out.
+// isConfirmed reports whether enough members confirm the suspicion to apply the minimum timeout.
 func (s *suspicion) isConfirmed() bool { return len(s.from) > s.required }
 
-// useMinTimeout gives it the minimum time-out: others consider the member dead already.
+// useMinTimeout applies the minimum timeout, as another member has already declared the member dead.
 func (s *suspicion) useMinTimeout() { s.deadline = s.started + s.minTimeout }
 
-// postpone gives back the time in which this process was frozen.
+// postpone extends the suspicion by the time for which this process was frozen.
 func (s *suspicion) postpone(by time.Duration) {
 	s.started += by
 	s.deadline += by
 }
 
-// updateDeadline sets the deadline between the maximum and the minimum time-out by the logarithm of the confirmations.
+// updateDeadline sets the deadline between the maximum and the minimum timeout by the logarithm of the number of confirmations.
 func (s *suspicion) updateDeadline() {
 	shortening := 1.0
 	if !s.isConfirmed() {
@@ -66,7 +66,7 @@
 	s.deadline = s.started + time.Duration(maxTimeout-(maxTimeout-float64(s.minTimeout))*shortening)
 }
 
-// startSuspicion makes a live member a suspect, on an update of another member or after a probe of this node failed.
+// startSuspicion makes an alive member suspect, after another member's update or a failed probe of this node.
 func (n *Node) startSuspicion(suspected *entry, update Update) {
 	previous := suspected.Member
 	suspected.State = StateSuspect
@@ -88,20 +88,20 @@
 	n.broadcastSuspicion(suspected, update.From)
 }
 
-// broadcastSuspicion queues the update that a member suspects another one, ahead of joins and deaths.
+// broadcastSuspicion queues an update that the member named from suspects another member, ahead of joins and deaths.
 func (n *Node) broadcastSuspicion(suspected *entry, from string) {
 	n.broadcast(n.priority, Update{Member: suspected.Member, From: from, Confirmed: suspected.suspicion.isConfirmed()})
 }
 
-// suspicionTimeout is the minimum time-out. It grows with the logarithm of the number of members, as an update then takes
-// longer to reach all.
+// suspicionTimeout returns the minimum timeout before local health scaling. It grows with the logarithm of the number of members, as
+// does the time in which an update reaches all of them.
 func (n *Node) suspicionTimeout() time.Duration {
-	const unscaled = 4 // doublings: no growth up to 16 members
+	const unscaled = 4 // number of doublings up to which the timeout does not grow: up to 16 members
 	doublings := bits.Len(uint(n.table.liveCount))
 	return n.options.SuspicionTimeout * time.Duration(max(doublings, unscaled)) / unscaled
 }
 
-// expireSuspicions declares dead the members that did not refute in time.
+// expireSuspicions declares dead the members that have not refuted their suspicion in time.
 func (n *Node) expireSuspicions() {
 	for i := 0; i < len(n.suspects); {
 		suspected := n.suspects[i]
@@ -113,7 +113,7 @@
 	}
 }
 
-// clearSuspicion ends the suspicion of a member, if there is one.
+// clearSuspicion ends the suspicion of a member, if any.
 func (n *Node) clearSuspicion(cleared *entry) {
 	if cleared.suspicion == nil {
 		return
--- a/internal/tier/membership/target.go
+++ b/internal/tier/membership/target.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// insert puts a new member at a random place among those still to be probed in this round (SWIM section 4.3).
+// insert adds a new member at a random position among the members still to be probed in this round (SWIM section 4.3).
 func (p *prober) insert(name string, random *rand.Rand) {
 	position := p.position + random.IntN(len(p.rotation)-p.position+1)
 	p.rotation = slices.Insert(p.rotation, position, name)
 }
 
-// nextTarget returns the next live member of the round, and starts a new round after the last one.
+// nextTarget returns the next live member of the round, and starts a new round at the end; nil if there is no live member.
 func (n *Node) nextTarget() *entry {
 	if n.table.liveCount == 0 {
 		return nil
@@ -28,7 +28,7 @@
 	}
 }
 
-// shuffleRotation starts a round over all live members in a new random order.
+// shuffleRotation starts a new round over all live members in random order.
 func (n *Node) shuffleRotation() {
 	n.prober.position = 0
 	n.prober.rotation = n.prober.rotation[:0]
@@ -41,9 +41,9 @@
 	n.random.Shuffle(len(rotation), func(i, j int) { rotation[i], rotation[j] = rotation[j], rotation[i] })
 }
 
-// probeReplicas makes the controllers probe, beside the round, every member that has replicas of groups once per interval.
-// The members are divided among the controllers. Their loss must be repaired before the next one, and in the round some
-// would be probed only after many intervals.
+// probeReplicas makes the controllers together probe every member with replicas of groups once per interval, in addition to the
+// round. A lost replica must be repaired before the next one is lost, and the round alone would reach some members only after many
+// intervals.
 func (n *Node) probeReplicas() {
 	if n.self.Role != Controller {
 		return
@@ -56,21 +56,21 @@
 			continue
 		}
 		number++
-		if proberOf(members[i].Name, number, controllers) == n.self.Name {
+		if proberFor(members[i].Name, number, controllers) == n.self.Name {
 			n.probeOnce(members[i].Name)
 		}
 	}
 }
 
-// probeOnce probes a member unless a probe of it is pending.
+// probeOnce probes a member unless a probe of the member is pending.
 func (n *Node) probeOnce(name string) {
 	if target := n.table.entries[name]; target != nil && !n.isProbing(target) {
 		n.probeNode(target)
 	}
 }
 
-// proberOf returns the controller that probes the member with that number: none probes itself.
-func proberOf(name string, number int, controllers []string) string {
+// proberFor returns the controller that probes the member with the given name and number. No controller probes itself.
+func proberFor(name string, number int, controllers []string) string {
 	prober := controllers[number%len(controllers)]
 	if prober == name {
 		prober = controllers[(number+1)%len(controllers)]
@@ -78,7 +78,7 @@
 	return prober
 }
 
-// runningControllers returns the names of the controllers that are alive, sorted. This node must be one of them.
+// runningControllers returns the sorted names of the controllers that are alive, of which this node must be one.
 func runningControllers(members []Member) []string {
 	var names []string
 	for i := range members {
--- a/internal/tier/membership/tombstone.go
+++ b/internal/tier/membership/tombstone.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// deadProbeIntervals is how many probe intervals pass between two pings of dead members. They let the partitions of a healed
-// network find each other.
+// deadProbeIntervals is the number of probe intervals between pings of dead members, by which partitions merge after the network
+// has healed.
 const deadProbeIntervals = 5
 
-// removeTombstone drops the tombstone of a member that is alive again.
+// removeTombstone removes the tombstone of a member that is alive again.
 func (p *prober) removeTombstone(revived *entry) {
 	p.tombstones = slices.DeleteFunc(p.tombstones, func(e *entry) bool { return e == revived })
 }
 
-// raiseTombstone takes over a newer incarnation or state of a member with a tombstone, so that older updates cannot revive
-// it. The time at which it is reaped stays.
-func (n *Node) raiseTombstone(known *entry, update Update) {
+// updateTombstone applies a newer incarnation or state to a tombstone, so that older updates cannot revive the member. The time at
+// which the tombstone is reaped stays the same.
+func (n *Node) updateTombstone(known *entry, update Update) {
 	if known.Incarnation == update.Incarnation && known.State == update.State {
 		return
 	}
@@ -24,7 +24,7 @@
 	n.table.replace(known, member, since)
 }
 
-// probeDead pings a random dead member now and then, with the update that it is dead, which it refutes if it runs.
+// probeDead periodically pings a random dead member with an update that declares it dead, which it refutes if it is running.
 func (n *Node) probeDead() {
 	if n.now < n.prober.nextDeadProbe || len(n.prober.tombstones) == 0 {
 		return
@@ -36,7 +36,7 @@
 	}
 }
 
-// reapTombstones forgets the members that have been dead or have left for TombstoneTimeout.
+// reapTombstones removes the members that have been dead or left for TombstoneTimeout.
 func (n *Node) reapTombstones() {
 	n.prober.tombstones = slices.DeleteFunc(n.prober.tombstones, func(e *entry) bool {
 		if n.now-e.stateChange < n.options.TombstoneTimeout {
--- a/internal/tier/membership/wire_test.go
+++ b/internal/tier/membership/wire_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// wireMember is a member of which each field is set.
+// wireMember is a member with every field set.
 var wireMember = Member{
 	Name:        "core-muscat-hall-a-0/controller",
 	ID:          "00f1e2d3c4b5a697",
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestWireFormat_MessagesOfEarlierVersions_ReadAndWrittenAsTheyWere compares every kind of datagram and of reconciliation
-// message with bytes that an earlier version wrote: members of both versions run side by side during an upgrade.
+// TestWireFormat_MessagesOfEarlierVersions_ReadAndWrittenAsTheyWere compares every kind of datagram and reconciliation message with
+// the bytes that an earlier version wrote, as members of both versions run side by side during an upgrade.
 func TestWireFormat_MessagesOfEarlierVersions_ReadAndWrittenAsTheyWere(t *testing.T) {
 	t.Parallel()
 	t.Run("datagrams", func(t *testing.T) {
@@ -76,7 +76,8 @@
 	})
 }
 
-// TestWireFormat_HashesOfEarlierVersions_AsTheyWere compares the hashes by which members of both versions tell records apart.
+// TestWireFormat_HashesOfEarlierVersions_AsTheyWere checks that record hashes are unchanged, as members of different versions compare
+// them during an upgrade.
 func TestWireFormat_HashesOfEarlierVersions_AsTheyWere(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -97,7 +98,7 @@
 	}
 }
 
-// checkWire compares values with the lines of a file in testdata, in both directions.
+// checkWire checks that the lines of a file in testdata decode to the messages, and that the messages encode to the lines.
 func checkWire[Message any](t *testing.T, file string, messages []Message) {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", file))
