--- a/internal/tier/network/memorynetwork/connection_test.go
+++ b/internal/tier/network/memorynetwork/connection_test.go
@@ -15,7 +15,7 @@
 		w.write(w.near, "one ")
 		w.write(w.near, "two")
 		if took := w.expect(w.far, "one two"); took != delay {
-			t.Errorf("took %v", took)
+			t.Errorf("the bytes took %v, want the link's delay", took)
 		}
 		w.write(w.far, "back")
 		w.expect(w.near, "back")
@@ -31,7 +31,7 @@
 		w.write(w.far, "answer")
 		w.expect(w.near, "answer")
 		if _, err := w.near.Write([]byte("x")); !errors.Is(err, syscall.EPIPE) {
-			t.Errorf("write after a half-close: %v", err)
+			t.Errorf("error %v of a write after a half-close, want EPIPE", err)
 		}
 	})
 }
@@ -95,18 +95,18 @@
 	withPair(t, func(w *pair) {
 		idle := func() bool { return w.near.(interface{ Idle() bool }).Idle() }
 		if !idle() {
-			t.Error("an open connection without bytes isn't idle")
+			t.Error("an open connection with nothing to read is not idle")
 		}
 		w.write(w.far, "x")
 		time.Sleep(2 * delay)
 		if idle() {
-			t.Error("idle with a byte to read")
+			t.Error("a connection with a byte to read is idle")
 		}
 		w.expect(w.near, "x")
 		w.far.Close()
 		time.Sleep(2 * delay)
 		if idle() {
-			t.Error("idle after the peer's close")
+			t.Error("a connection that the peer has closed is idle")
 		}
 	})
 }
--- a/internal/tier/network/memorynetwork/deadline.go
+++ b/internal/tier/network/memorynetwork/deadline.go
@@ -16,7 +16,7 @@
 // SetWriteDeadline implements net.Conn.
 func (e *endpoint) SetWriteDeadline(at time.Time) error { return e.setDeadlines(at, &e.writeDeadline) }
 
-// setDeadlines sets deadlines, and wakes the calls that block at them.
+// setDeadlines sets deadlines, and wakes blocked calls so that they check the new deadlines.
 func (e *endpoint) setDeadlines(at time.Time, deadlines ...*deadline) error {
 	e.network.mutex.Lock()
 	defer e.network.mutex.Unlock()
@@ -30,13 +30,13 @@
 	return nil
 }
 
-// deadline is a time after which calls fail.
+// deadline is a time from which on calls fail.
 type deadline struct {
 	at    time.Time
 	timer *time.Timer
 }
 
-// set sets the time and calls passed then; the zero time is none.
+// set sets the time at which passed is called; the zero time stands for no deadline.
 func (d *deadline) set(at time.Time, passed func()) {
 	d.stop()
 	d.at = at
@@ -45,7 +45,7 @@
 	}
 }
 
-// stop cancels the call of passed.
+// stop cancels the pending call of passed.
 func (d *deadline) stop() {
 	if d.timer != nil {
 		d.timer.Stop()
@@ -53,5 +53,5 @@
 	}
 }
 
-// isOver reports whether the time has come.
-func (d *deadline) isOver() bool { return !d.at.IsZero() && !time.Now().Before(d.at) }
+// hasPassed reports whether the deadline has passed.
+func (d *deadline) hasPassed() bool { return !d.at.IsZero() && !time.Now().Before(d.at) }
--- a/internal/tier/network/memorynetwork/dial.go
+++ b/internal/tier/network/memorynetwork/dial.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// initialConnectTimeout is the time until an unanswered SYN is retransmitted; it doubles.
+// initialConnectTimeout is the time until an unanswered SYN is retransmitted; it doubles with each attempt.
 const initialConnectTimeout = time.Second
 
 // Dial implements network.Network.
@@ -38,21 +38,21 @@
 	return opened, nil
 }
 
-// open attempts to connect until an attempt is answered.
+// open sends a SYN, and again after a timeout, until one is answered.
 func (p *Process) open(ctx context.Context, target netip.AddrPort) (*endpoint, error) {
 	for timeout := initialConnectTimeout; ; timeout *= 2 {
 		if err := p.AwaitThaw(); err != nil {
 			return nil, err
 		}
 		there := p.machine.network.Machine(target.Addr().String())
-		answer, answered := p.roundTrip(there)
+		delay, answered := p.roundTrip(there)
 		if !answered {
 			if err := p.sleep(ctx, timeout); err != nil {
 				return nil, err
 			}
 			continue
 		}
-		if err := p.sleep(ctx, answer); err != nil {
+		if err := p.sleep(ctx, delay); err != nil {
 			return nil, err
 		}
 		opened, err := p.connect(there, target.Port())
@@ -65,7 +65,7 @@
 	}
 }
 
-// roundTrip draws the time until a SYN is answered; false: it or the answer is lost.
+// roundTrip returns the randomized time until a SYN is answered, or false if the SYN or the answer is lost.
 func (p *Process) roundTrip(there *Machine) (time.Duration, bool) {
 	n := p.machine.network
 	n.mutex.Lock()
@@ -76,7 +76,7 @@
 	return n.delay(p.machine, there) + n.delay(there, p.machine), true
 }
 
-// connect connects the process with the listener of a port. Neither an endpoint nor an error: the SYN was lost.
+// connect connects the process to the listener of a port. It returns neither an endpoint nor an error if the SYN is lost.
 func (p *Process) connect(there *Machine, port uint16) (*endpoint, error) {
 	n := p.machine.network
 	n.mutex.Lock()
@@ -99,7 +99,7 @@
 	return near, nil
 }
 
-// ephemeralPort returns the next local port for a dialer. The caller holds the mutex.
+// ephemeralPort returns the next ephemeral port. The caller holds the mutex.
 func (m *Machine) ephemeralPort() uint16 {
 	m.lastPort++
 	if m.lastPort < firstEphemeralPort {
@@ -108,8 +108,8 @@
 	return m.lastPort
 }
 
-// parse parses an address to listen at. For port 0 it chooses a free one.
-func (m *Machine) parse(address string) (*net.TCPAddr, error) {
+// parseListenAddress parses an address to listen at. For port 0 it chooses a free port.
+func (m *Machine) parseListenAddress(address string) (*net.TCPAddr, error) {
 	host, portText, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, err
--- a/internal/tier/network/memorynetwork/endpoint.go
+++ b/internal/tier/network/memorynetwork/endpoint.go
@@ -23,21 +23,21 @@
 
 	receiveBuffer []byte
 	remoteClosed  bool  // a FIN was received
-	failure       error // of the connection; nil: none
+	failure       error // why the connection broke; nil while it is intact
 	closed        bool
 	writeClosed   bool
 	resetOnClose  bool // Close sends a reset
 
-	inFlight          []segment // sent and not delivered, in order
+	inFlight          []segment // sent but not delivered, in order
 	inFlightBytes     int
-	delivering        bool          // a timer of deliver runs
-	retransmitTimeout time.Duration // until the next retransmission; 0: none is needed
+	delivering        bool          // a timer for deliver is running
+	retransmitTimeout time.Duration // current retransmission timeout; 0: not retransmitting
 
-	keepAliveIdle    time.Duration // after which the peer is probed; 0: never
-	keepAliveTimeout time.Duration // after which a silent peer is timed out; 0: never
+	keepAliveIdle    time.Duration // idle time after which the peer is probed; 0: never
+	keepAliveTimeout time.Duration // time after which a connection to a silent peer times out; 0: never
 	readDeadline     deadline
 	writeDeadline    deadline
-	keepAliveTimer   int // number of the keep-alive timer that counts; earlier ones are void
+	keepAliveTimer   int // number of the current keep-alive timer; earlier timers are ignored
 }
 
 var (
@@ -45,7 +45,7 @@
 	_ network.IdleProber = (*endpoint)(nil)
 )
 
-// newPair connects two processes. The caller holds the mutex.
+// newPair returns both endpoints of a new connection between two processes. The caller holds the mutex.
 func newPair(from, to *Process, local, remote *net.TCPAddr) (near, far *endpoint) {
 	n := from.machine.network
 	near = &endpoint{network: n, process: from, local: local, remote: remote}
@@ -68,7 +68,7 @@
 		case e.closed || e.process.killed:
 			return 0, e.error("read", net.ErrClosed)
 		case e.process.machine.frozen:
-		case e.readDeadline.isOver():
+		case e.readDeadline.hasPassed():
 			return 0, e.error("read", os.ErrDeadlineExceeded)
 		case len(buffer) == 0:
 			return 0, nil
@@ -101,7 +101,7 @@
 			return written, e.error("write", e.failure)
 		case e.writeClosed:
 			return written, e.error("write", syscall.EPIPE)
-		case e.writeDeadline.isOver():
+		case e.writeDeadline.hasPassed():
 			return written, e.error("write", os.ErrDeadlineExceeded)
 		case written == len(data):
 			return written, nil
@@ -136,8 +136,8 @@
 	return nil
 }
 
-// close closes the endpoint: with a FIN, or with a reset if bytes were left unread or SetLinger asked for it. The caller holds
-// the mutex.
+// close closes the endpoint with a FIN, or with a reset if there are unread bytes or SetLinger requested it. The caller holds the
+// mutex.
 func (e *endpoint) close() {
 	if e.closed {
 		return
@@ -157,13 +157,13 @@
 	e.send(segment{reset: true})
 }
 
-// discard closes the endpoint without a segment, as a loss of power does. The caller holds the mutex.
+// discard closes the endpoint without sending a segment, as a power loss does. The caller holds the mutex.
 func (e *endpoint) discard() {
 	e.detach()
 	e.inFlight, e.inFlightBytes = nil, 0
 }
 
-// detach removes the endpoint from its machine. The caller holds the mutex.
+// detach marks the endpoint as closed and removes it from the network and its process. The caller holds the mutex.
 func (e *endpoint) detach() {
 	e.closed = true
 	e.receiveBuffer = nil
@@ -175,7 +175,7 @@
 	e.peer.changed.Broadcast()
 }
 
-// CloseWrite sends a FIN.
+// CloseWrite implements network.TCPConn by sending a FIN.
 func (e *endpoint) CloseWrite() error {
 	e.network.mutex.Lock()
 	defer e.network.mutex.Unlock()
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// SetLinger with 0 makes Close reset the connection.
+// SetLinger implements network.TCPConn. With 0 seconds, Close resets the connection.
 func (e *endpoint) SetLinger(seconds int) error {
 	e.network.mutex.Lock()
 	defer e.network.mutex.Unlock()
@@ -217,7 +217,7 @@
 	e.changed.Broadcast()
 }
 
-// error returns an error of the form that the system's connections give.
+// error returns an error in the form in which the system's connections return it.
 func (e *endpoint) error(operation string, cause error) error {
 	if number := syscall.Errno(0); errors.As(cause, &number) {
 		cause = os.NewSyscallError(operation, cause)
--- a/internal/tier/network/memorynetwork/fault.go
+++ b/internal/tier/network/memorynetwork/fault.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Partition loses what one machine sends to another, until Heal. Connections stay open: the kernel retransmits what is sent on
-// them until the link is up, or times the peer out.
+// Partition drops everything that one machine sends to another, until Heal. Connections stay open: the kernel retransmits on them
+// until the link is up or the connection times out.
 func (n *Network) Partition(from, to *Machine) { n.setPartitioned(from, to, true) }
 
-// Heal undoes Partition and Refuse.
+// Heal undoes Partition and Refuse of one direction.
 func (n *Network) Heal(from, to *Machine) {
 	n.mutex.Lock()
 	n.link(from.ip, to.ip).refuse = false
@@ -17,7 +17,7 @@
 	n.setPartitioned(from, to, false)
 }
 
-// setPartitioned changes one direction of a link, and starts or ends the time-outs of the connections over it.
+// setPartitioned changes one direction of a link, and starts the keep-alive timeouts or probes of the connections over it.
 func (n *Network) setPartitioned(from, to *Machine, partitioned bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -35,7 +35,7 @@
 	})
 }
 
-// Refuse resets the connections between two machines, and refuses new ones from the first to the second until Heal.
+// Refuse resets the connections between two machines, and refuses new ones from the first to the second machine until Heal.
 func (n *Network) Refuse(from, to *Machine) {
 	n.mutex.Lock()
 	n.link(from.ip, to.ip).refuse = true
@@ -50,7 +50,7 @@
 	n.forEachEndpoint(between(a, b), func(e *endpoint) { e.fail(syscall.ECONNRESET) })
 }
 
-// SetExtraDelay sets the additional delay of what one machine sends to another.
+// SetExtraDelay sets an additional delay for everything that one machine sends to another.
 func (n *Network) SetExtraDelay(from, to *Machine, extra time.Duration) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/tier/network/memorynetwork/fault_test.go
+++ b/internal/tier/network/memorynetwork/fault_test.go
@@ -42,9 +42,9 @@
 		w.network.Partition(w.there, w.here)
 		started := time.Now()
 		if _, err := w.dial(); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(started) != 500*time.Millisecond {
-			t.Errorf("got %v after %v", err, time.Since(started))
+			t.Errorf("the dial failed with %v after %v, want a timeout after 500ms", err, time.Since(started))
 		}
-		// The kernel tries again after a second.
+		// The kernel retransmits the SYN after a second.
 		ctx, cancel := context.WithTimeout(w.t.Context(), 5*time.Second)
 		defer cancel()
 		time.AfterFunc(300*time.Millisecond, func() { w.network.Heal(w.there, w.here) })
@@ -76,10 +76,10 @@
 		w.to.Kill()
 		w.expectEnd(w.near, io.EOF)
 		if _, err := w.far.Write([]byte("x")); !errors.Is(err, net.ErrClosed) {
-			t.Errorf("a process that has ended writes: %v", err)
+			t.Errorf("error %v of a write by a killed process, want ErrClosed", err)
 		}
-		if _, err := w.to.Dial(w.t.Context(), linkDialer(), "tcp4", "10.0.0.1:1"); !errors.Is(err, net.ErrClosed) {
-			t.Errorf("a process that has ended dials: %v", err)
+		if _, err := w.to.Dial(w.t.Context(), keepAliveDialer(), "tcp4", "10.0.0.1:1"); !errors.Is(err, net.ErrClosed) {
+			t.Errorf("error %v of a dial by a killed process, want ErrClosed", err)
 		}
 		w.to = w.there.Start()
 		w.listen()
--- a/internal/tier/network/memorynetwork/keepalive.go
+++ b/internal/tier/network/memorynetwork/keepalive.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// SetKeepAliveConfig sets how a silent peer is detected.
+// SetKeepAliveConfig configures how a silent peer is detected.
 func (e *endpoint) SetKeepAliveConfig(config net.KeepAliveConfig) error {
 	e.network.mutex.Lock()
 	defer e.network.mutex.Unlock()
@@ -14,7 +14,7 @@
 	return nil
 }
 
-// setKeepAlive is SetKeepAliveConfig. The caller holds the mutex.
+// setKeepAlive implements SetKeepAliveConfig. The caller holds the mutex.
 func (e *endpoint) setKeepAlive(config net.KeepAliveConfig) {
 	if !config.Enable {
 		return
@@ -26,14 +26,14 @@
 	}
 }
 
-// isConnected reports whether both directions are up. The caller holds the mutex.
+// isConnected reports whether the machines reach each other in both directions. The caller holds the mutex.
 func (e *endpoint) isConnected() bool {
 	here, there := e.process.machine, e.peer.process.machine
 	return e.network.reachable(here, there) && e.network.reachable(there, here)
 }
 
-// startKeepAliveTimer times the connection out if the peer stays unreachable for keepAliveTimeout. It replaces a timer that
-// runs. The caller holds the mutex.
+// startKeepAliveTimer starts a timer that fails the connection if the peer is unreachable after keepAliveTimeout. It replaces a
+// running timer. The caller holds the mutex.
 func (e *endpoint) startKeepAliveTimer() {
 	if e.keepAliveTimeout == 0 {
 		return
@@ -49,7 +49,7 @@
 	})
 }
 
-// startProbe checks after keepAliveIdle whether the peer still has the connection. The caller holds the mutex.
+// startProbe starts a timer that resets the connection if the peer no longer has it after keepAliveIdle. The caller holds the mutex.
 func (e *endpoint) startProbe() {
 	if e.keepAliveIdle == 0 || !e.isConnected() {
 		return
--- a/internal/tier/network/memorynetwork/listener.go
+++ b/internal/tier/network/memorynetwork/listener.go
@@ -8,7 +8,7 @@
 	"syscall"
 )
 
-// maxBacklog bounds the connections that wait to be accepted; SYNs beyond it are lost.
+// maxBacklog bounds the connections waiting to be accepted; further SYNs are dropped.
 const maxBacklog = 512
 
 // listener accepts connections for a process.
@@ -22,7 +22,7 @@
 
 // Listen implements network.Network.
 func (p *Process) Listen(_ context.Context, _ *net.ListenConfig, network, address string) (net.Listener, error) {
-	at, err := p.machine.parse(address)
+	at, err := p.machine.parseListenAddress(address)
 	if err != nil {
 		return nil, &net.OpError{Op: "listen", Net: network, Err: err}
 	}
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// kill closes the listener and resets the connections that were not accepted. The caller holds the mutex.
+// kill closes the listener and resets the connections that are not accepted yet. The caller holds the mutex.
 func (l *listener) kill() {
 	l.closed = true
 	delete(l.process.machine.listeners, uint16(l.address.Port))
--- a/internal/tier/network/memorynetwork/machine.go
+++ b/internal/tier/network/memorynetwork/machine.go
@@ -11,19 +11,19 @@
 	ip        netip.Addr
 	powered   bool
 	frozen    bool
-	thawed    *sync.Cond // signals the end of frozen
+	thawed    *sync.Cond // signals that frozen is false or a process was killed
 	listeners map[uint16]*listener
 	packets   map[uint16]*packetSocket
-	lastPort  uint16 // of the last dialer
+	lastPort  uint16 // last ephemeral port
 }
 
-// Start returns a new process of the machine.
+// Start returns a new process on the machine.
 func (m *Machine) Start() *Process {
 	return &Process{machine: m, ended: make(chan struct{}), endpoints: map[*endpoint]struct{}{}, sockets: map[interface{ kill() }]struct{}{}}
 }
 
-// Freeze suspends the machine: the calls of its processes on sockets block until Thaw, while its kernel still receives. The
-// timers of the processes can't be stopped; what they send waits.
+// Freeze suspends the machine: socket calls of its processes block until Thaw, while its kernel still receives. Timers of the
+// processes cannot be stopped, but what they send waits until Thaw.
 func (m *Machine) Freeze() {
 	m.network.mutex.Lock()
 	defer m.network.mutex.Unlock()
@@ -45,7 +45,7 @@
 	}
 }
 
-// PowerOff ends the machine and the processes given, which must be all of it, without a segment to the others.
+// PowerOff stops the machine and the given processes, which must be all of its processes, without sending a segment.
 func (m *Machine) PowerOff(processes ...*Process) {
 	n := m.network
 	n.mutex.Lock()
@@ -57,7 +57,7 @@
 	n.forEachEndpoint(func(e *endpoint) bool { return e.peer.process.machine == m }, func(e *endpoint) { e.startKeepAliveTimer() })
 }
 
-// PowerOn makes the machine reachable again, without its connections.
+// PowerOn makes the machine reachable again. Its former connections are lost.
 func (m *Machine) PowerOn() {
 	n := m.network
 	n.mutex.Lock()
@@ -66,5 +66,5 @@
 	n.forEachEndpoint(func(e *endpoint) bool { return e.peer.process.machine == m }, func(e *endpoint) { e.startProbe() })
 }
 
-// Address returns the machine's address.
+// Address returns the machine's IP address.
 func (m *Machine) Address() string { return m.ip.String() }
--- a/internal/tier/network/memorynetwork/network.go
+++ b/internal/tier/network/memorynetwork/network.go
@@ -10,20 +10,20 @@
 const (
 	// loopbackDelay is the one-way delay between processes of one machine.
 	loopbackDelay = 30 * time.Microsecond
-	// windowBytes bounds the bytes in flight and unread in one direction of a connection; a writer blocks beyond it.
+	// windowBytes bounds the bytes in flight and unread in one direction of a connection; a writer blocks when they reach it.
 	windowBytes = 256 << 10
-	// minRetransmitTimeout is the time until lost bytes are retransmitted; it doubles with each loss to the maximum.
+	// minRetransmitTimeout is the initial time until lost bytes are retransmitted; it doubles with each loss up to the maximum.
 	minRetransmitTimeout = 200 * time.Millisecond
 	maxRetransmitTimeout = 6400 * time.Millisecond
-	// firstEphemeralPort is the lowest local port of a dialer.
+	// firstEphemeralPort is the lowest ephemeral port.
 	firstEphemeralPort = 32768
 )
 
-// Options configures a network. The zero value has neither delay nor loss.
+// Options configures a network. The zero value has no delay and no loss.
 type Options struct {
-	Delay  time.Duration // one way between two machines
+	Delay  time.Duration // one-way delay between two machines
 	Jitter time.Duration // added to each delay, uniform from 0 to this
-	Loss   float64       // fraction of datagrams that are lost, 0 to 1
+	Loss   float64       // fraction of datagrams that are lost, from 0 to 1
 	Seed   uint64        // of all random choices
 }
 
@@ -35,7 +35,7 @@
 	random    *rand.Rand
 	machines  map[netip.Addr]*Machine
 	links     map[route]*link
-	endpoints map[*endpoint]struct{} // not closed
+	endpoints map[*endpoint]struct{} // endpoints that are not closed
 }
 
 // route is one direction between two machines.
@@ -43,8 +43,8 @@
 
 // link is the state of one direction.
 type link struct {
-	partitioned bool // what is sent is lost
-	refuse      bool // connections are refused
+	partitioned bool // everything sent is lost
+	refuse      bool // new connections are refused
 	extraDelay  time.Duration
 }
 
@@ -54,7 +54,7 @@
 		links: map[route]*link{}, endpoints: map[*endpoint]struct{}{}}
 }
 
-// Machine returns the machine at an IP address, which is created at first use.
+// Machine returns the machine at an IP address, creating it at first use.
 func (n *Network) Machine(address string) *Machine {
 	ip := netip.MustParseAddr(address)
 	n.mutex.Lock()
@@ -77,12 +77,12 @@
 	return n.links[r]
 }
 
-// reachable reports whether what one machine sends reaches another. The caller holds the mutex.
+// reachable reports whether a machine can send to another one. The caller holds the mutex.
 func (n *Network) reachable(from, to *Machine) bool {
 	return from.powered && to.powered && (from == to || !n.link(from.ip, to.ip).partitioned)
 }
 
-// delay draws the one-way delay between two machines. The caller holds the mutex.
+// delay returns the one-way delay between two machines, with random jitter. The caller holds the mutex.
 func (n *Network) delay(from, to *Machine) time.Duration {
 	if from == to {
 		return loopbackDelay
@@ -107,7 +107,7 @@
 	}
 }
 
-// between matches the endpoints of connections between two machines.
+// between returns a function that matches the endpoints of connections between two machines.
 func between(a, b *Machine) func(e *endpoint) bool {
 	return func(e *endpoint) bool {
 		here, there := e.process.machine, e.peer.process.machine
--- a/internal/tier/network/memorynetwork/packet.go
+++ b/internal/tier/network/memorynetwork/packet.go
@@ -15,7 +15,7 @@
 // maxQueuedDatagrams bounds the unread datagrams of a socket; further ones are lost.
 const maxQueuedDatagrams = 256
 
-// datagram is an unread datagram.
+// datagram is a datagram in the queue of its receiver or on the way there.
 type datagram struct {
 	from    netip.AddrPort
 	payload []byte
@@ -32,7 +32,7 @@
 
 // ListenPacket implements network.Network.
 func (p *Process) ListenPacket(address *net.UDPAddr) (network.PacketConn, error) {
-	at, err := p.machine.parse(net.JoinHostPort(address.IP.String(), strconv.Itoa(address.Port)))
+	at, err := p.machine.parseListenAddress(net.JoinHostPort(address.IP.String(), strconv.Itoa(address.Port)))
 	if err != nil {
 		return nil, &net.OpError{Op: "listen", Net: "udp", Err: err}
 	}
@@ -88,7 +88,7 @@
 	return len(payload), nil
 }
 
-// deliver queues a datagram at the socket of a port, if there is one.
+// deliver queues a datagram at the socket of a port, or drops it if there is none.
 func (m *Machine) deliver(port uint16, received datagram) {
 	m.network.mutex.Lock()
 	defer m.network.mutex.Unlock()
--- a/internal/tier/network/memorynetwork/pair_test.go
+++ b/internal/tier/network/memorynetwork/pair_test.go
@@ -14,11 +14,11 @@
 const (
 	delay   = 5 * time.Millisecond
 	address = "10.0.0.2:80"
-	// lingering is how long the library's goroutines may outlive their connections.
+	// lingering is how long goroutines of the standard library and of timers may outlive their connections.
 	lingering = 10 * time.Second
 )
 
-// pair is two machines with a connection from the first to the second.
+// pair holds two machines and a connection from the first to the second.
 type pair struct {
 	t           *testing.T
 	network     *memorynetwork.Network
@@ -28,7 +28,7 @@
 	near, far   net.Conn
 }
 
-// withPair runs a test in virtual time.
+// withPair runs a test with a pair in virtual time.
 func withPair(t *testing.T, run func(w *pair)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &pair{t: t, network: memorynetwork.New(memorynetwork.Options{Delay: delay})}
@@ -51,14 +51,14 @@
 	}
 }
 
-// linkDialer times a silent peer out after 3 s.
-func linkDialer() *net.Dialer {
+// keepAliveDialer returns a dialer whose connections time out after 3 s without a response from the peer.
+func keepAliveDialer() *net.Dialer {
 	return &net.Dialer{Timeout: 500 * time.Millisecond,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
 }
 
 func (w *pair) dial() (net.Conn, error) {
-	return w.from.Dial(w.t.Context(), linkDialer(), "tcp4", address)
+	return w.from.Dial(w.t.Context(), keepAliveDialer(), "tcp4", address)
 }
 
 func (w *pair) connect() (near, far net.Conn) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// expect reads exactly the text, and returns how long that took.
+// expect checks that the next bytes read are the text, and returns how long reading took.
 func (w *pair) expect(from net.Conn, text string) time.Duration {
 	w.t.Helper()
 	started := time.Now()
@@ -91,7 +91,7 @@
 	return time.Since(started)
 }
 
-// expectEnd reads until an error, and returns how long that took.
+// expectEnd checks that the next read fails with the error, and returns how long the read took.
 func (w *pair) expectEnd(from net.Conn, want error) time.Duration {
 	w.t.Helper()
 	started := time.Now()
--- a/internal/tier/network/memorynetwork/process.go
+++ b/internal/tier/network/memorynetwork/process.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Process opens sockets on its machine. It implements network.Network; Kill closes all its sockets.
+// Process is a process on a machine. It implements network.Network; Kill closes all its sockets.
 type Process struct {
 	machine   *Machine
 	killed    bool
 	ended     chan struct{}
 	endpoints map[*endpoint]struct{}
-	sockets   map[interface{ kill() }]struct{} // listeners and sockets for datagrams
+	sockets   map[interface{ kill() }]struct{} // listeners and datagram sockets
 }
 
-// Kill closes the sockets of the process as the kernel does when one exits; all its calls fail from then on.
+// Kill closes the sockets of the process as the kernel does when a process exits. All later calls of the process fail.
 func (p *Process) Kill() {
 	n := p.machine.network
 	n.mutex.Lock()
@@ -23,15 +23,15 @@
 	p.kill((*endpoint).close)
 }
 
-// kill ends the process. The caller holds the mutex.
-func (p *Process) kill(endOne func(*endpoint)) {
+// kill ends the process and closes its connections with closeEndpoint. The caller holds the mutex.
+func (p *Process) kill(closeEndpoint func(*endpoint)) {
 	if p.killed {
 		return
 	}
 	p.killed = true
 	close(p.ended)
 	for e := range p.endpoints {
-		endOne(e)
+		closeEndpoint(e)
 	}
 	for socket := range p.sockets {
 		socket.kill()
@@ -39,7 +39,7 @@
 	p.machine.thawed.Broadcast()
 }
 
-// awaitThaw waits until the machine isn't frozen; false: the process was killed. The caller holds the mutex.
+// awaitThaw waits while the machine is frozen, and returns false if the process was killed. The caller holds the mutex.
 func (p *Process) awaitThaw() bool {
 	for p.machine.frozen && !p.killed {
 		p.machine.thawed.Wait()
@@ -47,7 +47,7 @@
 	return !p.killed
 }
 
-// AwaitThaw waits while the machine is frozen. It returns net.ErrClosed once the process is killed.
+// AwaitThaw waits while the machine is frozen. It returns net.ErrClosed if the process was killed.
 func (p *Process) AwaitThaw() error {
 	p.machine.network.mutex.Lock()
 	defer p.machine.network.mutex.Unlock()
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// sleep waits for a time, the end of ctx or that of the process, whichever is first.
+// sleep waits until the duration has passed, ctx ends or the process is killed, whichever comes first.
 func (p *Process) sleep(ctx context.Context, duration time.Duration) error {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/tier/network/memorynetwork/segment.go
+++ b/internal/tier/network/memorynetwork/segment.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// segment is what travels from one endpoint to the other at once.
+// segment is a unit of transmission from one endpoint to the other.
 type segment struct {
 	data      []byte
 	fin       bool
@@ -13,7 +13,7 @@
 	arrivesAt time.Time
 }
 
-// send transmits a segment. Segments stay in order, whatever delay is drawn. The caller holds the mutex.
+// send transmits a segment. Segments stay in order despite random delays. The caller holds the mutex.
 func (e *endpoint) send(sent segment) {
 	sent.arrivesAt = time.Now().Add(e.network.delay(e.process.machine, e.peer.process.machine))
 	if last := len(e.inFlight) - 1; last >= 0 && sent.arrivesAt.Before(e.inFlight[last].arrivesAt) {
@@ -27,7 +27,7 @@
 	}
 }
 
-// deliver hands the segments that are due to the peer, or retransmits while it is not reachable.
+// deliver passes the segments that are due to the peer, or schedules a retransmission if the peer is unreachable.
 func (e *endpoint) deliver() {
 	e.network.mutex.Lock()
 	defer e.network.mutex.Unlock()
@@ -50,8 +50,8 @@
 	}
 }
 
-// retransmit delivers again after a time-out that doubles. What a closed endpoint has sent is given up at the maximum. The
-// caller holds the mutex.
+// retransmit schedules another delivery after a timeout that doubles each time. When the timeout exceeds the maximum, a closed
+// endpoint gives up. The caller holds the mutex.
 func (e *endpoint) retransmit() {
 	if e.retransmitTimeout == 0 {
 		e.retransmitTimeout = minRetransmitTimeout
@@ -86,7 +86,7 @@
 	e.changed.Broadcast()
 }
 
-// replyReset resets the peer, as there is no such connection here. The caller holds the mutex.
+// replyReset resets the peer, as this endpoint no longer has the connection. The caller holds the mutex.
 func (e *endpoint) replyReset() {
 	here, there := e.process.machine, e.peer.process.machine
 	if !e.network.reachable(here, there) {
--- a/internal/tier/network/network.go
+++ b/internal/tier/network/network.go
@@ -1,5 +1,5 @@
-// Package network is how all processes of the tier open sockets, so that a test can replace the system's network by one in
-// memory or one with partitions.
+// Package network is the interface through which all processes of the tier open sockets, so that tests can replace the system's
+// network by one in memory or one with partitions.
 package network
 
 import (
@@ -11,22 +11,22 @@
 
 // Network opens sockets. Implementations are safe for concurrent use.
 type Network interface {
-	// Listen accepts connections at an address, as the method of config does.
+	// Listen listens for connections at an address, as config.Listen does.
 	Listen(ctx context.Context, config *net.ListenConfig, network, address string) (net.Listener, error)
 	// ListenPacket opens a datagram socket at an address.
 	ListenPacket(address *net.UDPAddr) (PacketConn, error)
-	// Dial opens a connection, as the method of dialer does.
+	// Dial opens a connection, as dialer.DialContext does.
 	Dial(ctx context.Context, dialer *net.Dialer, network, address string) (net.Conn, error)
 }
 
-// PacketConn is a datagram socket, with the methods of net.UDPConn that the tier uses.
+// PacketConn is a datagram socket with the methods of net.UDPConn that the tier uses.
 type PacketConn interface {
 	ReadFromUDPAddrPort(buffer []byte) (n int, from netip.AddrPort, err error)
 	WriteToUDPAddrPort(payload []byte, to netip.AddrPort) (int, error)
 	Close() error
 }
 
-// TCPConn is a connection with the methods of net.TCPConn that a server needs beside those of net.Conn.
+// TCPConn is a net.Conn with the further methods of net.TCPConn that a server needs.
 type TCPConn interface {
 	net.Conn
 	io.ReaderFrom
@@ -34,7 +34,7 @@
 	SetLinger(seconds int) error
 }
 
-// IdleProber is a connection without a descriptor that reports itself whether it is idle: open, with nothing to read.
+// IdleProber is implemented by connections without a file descriptor, which therefore report themselves whether they are idle.
 type IdleProber interface {
 	// Idle reports whether the connection is open and has nothing to read.
 	Idle() bool
@@ -52,7 +52,7 @@
 func (System) ListenPacket(address *net.UDPAddr) (PacketConn, error) {
 	socket, err := net.ListenUDP("udp4", address)
 	if err != nil {
-		return nil, err // not a nil *net.UDPConn in an interface
+		return nil, err // returning socket would give a non-nil interface that holds a nil *net.UDPConn
 	}
 	return socket, nil
 }
@@ -62,7 +62,7 @@
 	return dialer.DialContext(ctx, network, address)
 }
 
-// OrSystem returns the network, or the system's if it is nil.
+// OrSystem returns the given network, or the system's if it is nil.
 func OrSystem(given Network) Network {
 	if given == nil {
 		return System{}
--- a/internal/tier/network/partitionnetwork/doc.go
+++ b/internal/tier/network/partitionnetwork/doc.go
@@ -1,4 +1,4 @@
-// Package partitionnetwork is the system's network with partitions, for soaks of real processes on loopback addresses. The
-// kernel drops what comes from a partitioned address, by a BPF filter on each socket: connections stay those of the system, with
-// its retransmissions and time-outs. A process learns of partitions by a file. Nothing that is deployed may import it.
+// Package partitionnetwork is the system's network with partitions, for soak tests of real processes on loopback addresses. A BPF
+// filter on each socket makes the kernel drop packets from partitioned addresses, so that retransmissions and timeouts are those of
+// the system. A process reads the partitions from a file. Deployed programs must not import this package.
 package partitionnetwork
--- a/internal/tier/network/partitionnetwork/filter.go
+++ b/internal/tier/network/partitionnetwork/filter.go
@@ -20,9 +20,9 @@
 
 // Constants of classic BPF.
 const (
-	networkHeader = -0x100000  // offset of the header of the network layer (SKF_NET_OFF)
-	sourceOffset  = 12         // of the source address in an IPv4 header
-	acceptAll     = 0xffffffff // bytes of the packet to keep
+	networkHeader = -0x100000  // base offset of the network layer's header (SKF_NET_OFF)
+	sourceOffset  = 12         // offset of the source address in an IPv4 header
+	acceptAll     = 0xffffffff // number of bytes of the packet to keep
 )
 
 // dropFilter returns a filter that drops packets from some IPv4 addresses and accepts all others.
@@ -36,7 +36,7 @@
 		}
 		octets := parsed.As4()
 		source := uint32(octets[0])<<24 | uint32(octets[1])<<16 | uint32(octets[2])<<8 | uint32(octets[3])
-		toDrop := uint8(len(addresses) - i) // past the other addresses and the accepting return
+		toDrop := uint8(len(addresses) - i) // jump offset past the other addresses and the accepting return
 		filter = append(filter, unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, K: source, Jt: toDrop})
 	}
 	return append(filter, unix.SockFilter{Code: unix.BPF_RET, K: acceptAll}, unix.SockFilter{Code: unix.BPF_RET}), nil
--- a/internal/tier/network/partitionnetwork/network.go
+++ b/internal/tier/network/partitionnetwork/network.go
@@ -20,19 +20,19 @@
 // pollInterval is the time between reads of the file.
 const pollInterval = 20 * time.Millisecond
 
-// Network opens sockets of one machine. It implements network.Network.
+// Network opens the sockets of one machine. It implements network.Network.
 type Network struct {
 	address netip.Addr
-	path    string // of the file with the partitioned addresses
+	path    string // of the file that lists the partitioned addresses
 
-	mutex   sync.Mutex // guards what follows
-	content string     // of the file, as it was read last
+	mutex   sync.Mutex // guards the fields below
+	content string     // of the file when it was last read
 	filter  []unix.SockFilter
 	sockets map[syscall.RawConn]struct{}
 }
 
-// New returns the network of the machine with an IPv4 address. The file lists the addresses from which nothing is accepted,
-// separated by white space; it must exist.
+// New returns the network of the machine with an IPv4 address. The file at path must exist and lists, separated by white space, the
+// addresses from which packets are dropped.
 func New(address, path string) (*Network, error) {
 	parsed, err := netip.ParseAddr(address)
 	if err != nil {
@@ -49,7 +49,7 @@
 // Follow applies changes of the file until ctx ends.
 func (n *Network) Follow(ctx context.Context) {
 	wait.Every(ctx, pollInterval, func() {
-		_ = n.reload() // a file that is being replaced is read the next time
+		_ = n.reload() // a file that is just being replaced is read at the next poll
 	})
 }
 
@@ -71,13 +71,13 @@
 	n.content, n.filter = string(content), filter
 	for socket := range n.sockets {
 		if err := attach(socket, filter); err != nil {
-			delete(n.sockets, socket) // it has been closed
+			delete(n.sockets, socket) // the socket has been closed
 		}
 	}
 	return nil
 }
 
-// track attaches the filter to a socket, and every later one.
+// track attaches the filter to a socket, and lets reload replace it.
 func (n *Network) track(connection syscall.Conn) error {
 	raw, err := connection.SyscallConn()
 	if err != nil {
@@ -96,7 +96,7 @@
 // Listen implements network.Network.
 func (n *Network) Listen(ctx context.Context, config *net.ListenConfig, kind, address string) (net.Listener, error) {
 	plain := *config
-	plain.SetMultipathTCP(false) // whose sockets take no filter
+	plain.SetMultipathTCP(false) // multipath sockets do not accept a filter
 	opened, err := plain.Listen(ctx, kind, address)
 	if err != nil {
 		return nil, err
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil, err
 	}
-	_ = l.network.track(accepted) // one that is closed already needs no filter
+	_ = l.network.track(accepted) // fails only if the connection is already closed
 	return accepted, nil
 }
 
@@ -135,7 +135,7 @@
 	return socket, nil
 }
 
-// Dial implements network.Network. The connection comes from the machine's own address, by which the other side knows it.
+// Dial implements network.Network. The local address of the connection is that of the machine, by which the peer identifies it.
 func (n *Network) Dial(ctx context.Context, dialer *net.Dialer, kind, address string) (net.Conn, error) {
 	own := *dialer
 	own.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(n.address, 0))
--- a/internal/tier/network/partitionnetwork/network_test.go
+++ b/internal/tier/network/partitionnetwork/network_test.go
@@ -17,13 +17,13 @@
 	here        = "127.83.7.1"
 	there       = "127.83.7.2"
 	testTimeout = 5 * time.Second
-	dropWait    = 200 * time.Millisecond // in which something comes, where it may
+	dropWait    = 200 * time.Millisecond // time in which a byte or datagram arrives unless it is dropped
 )
 
-// machine returns the network of an address, and a function that sets the addresses that it is partitioned from.
+// machine returns the network of an address, and a function that sets the addresses from which it is partitioned.
 func machine(t *testing.T, address string) (*Network, func(addresses string)) {
 	t.Helper()
-	path := filepath.Join(t.TempDir(), "cuts")
+	path := filepath.Join(t.TempDir(), "partitions")
 	set := func(addresses string) {
 		if err := os.WriteFile(path, []byte(addresses), 0o600); err != nil {
 			t.Fatal(err)
@@ -42,7 +42,7 @@
 	}
 }
 
-// exchange sends one byte and reads it at the other side.
+// exchange sends one byte and reads it at the other end.
 func exchange(from, to net.Conn, wait time.Duration) error {
 	if _, err := from.Write([]byte{7}); err != nil {
 		return err
@@ -78,12 +78,12 @@
 
 	partition("127.83.7.9 " + here)
 	if err := exchange(dialled, accepted, dropWait); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("during the partition: %v", err)
+		t.Errorf("error %v of an exchange during the partition, want a timeout", err)
 	}
 	bounded, cancel := context.WithTimeout(t.Context(), dropWait)
 	defer cancel()
 	if _, err := near.Dial(bounded, new(net.Dialer), "tcp4", listening.Addr().String()); err == nil {
-		t.Error("a connection opened during the partition")
+		t.Error("a connection was opened during the partition")
 	}
 
 	partition("")
@@ -125,18 +125,18 @@
 }
 
 func TestNew_InvalidAddressOrFile_Fails(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "cuts")
+	path := filepath.Join(t.TempDir(), "partitions")
 	if _, err := New(here, path); err == nil {
-		t.Error("without a file")
+		t.Error("a missing file was accepted")
 	}
 	if _, err := New("nowhere", path); err == nil {
-		t.Error("without an address")
+		t.Error("an invalid address of the machine was accepted")
 	}
 	if err := os.WriteFile(path, []byte("nowhere"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := New(here, path); err == nil {
-		t.Error("with a list that can't be read")
+		t.Error("a file with an invalid address was accepted")
 	}
 }
 
--- a/internal/tier/node/antientropy_test.go
+++ b/internal/tier/node/antientropy_test.go
@@ -16,19 +16,19 @@
 		name  string
 		steps []step
 	}{
-		{"a process asks several at its start, and then one now and then, whatever wakes it", []step{
+		{"a process asks several controllers at its start and then one per interval, however often it is woken", []step{
 			{at: 0, count: controllersAfterFreeze, next: normalInterval},
 			{at: normalInterval / 2, count: 0, next: normalInterval / 2},
 			{at: normalInterval, count: 1, next: normalInterval},
 		}},
-		{"one that lacks a section asks often, and at once when it notices", []step{
+		{"a process that lacks a section asks more often, and soon after it notices", []step{
 			{at: 0, lacks: true, count: controllersAfterFreeze, next: missingInterval},
 			{at: missingInterval / 2, lacks: true, count: 0, next: missingInterval / 2},
 			{at: missingInterval, lacks: true, count: 1, next: missingInterval},
 			{at: 2 * missingInterval, count: 1, next: normalInterval},
 			{at: 3 * missingInterval, lacks: true, count: 1, next: missingInterval},
 		}},
-		{"one that was frozen asks several", []step{
+		{"a process that was frozen asks several controllers", []step{
 			{at: 0, count: controllersAfterFreeze, next: normalInterval},
 			{at: normalInterval + 2*frozenAfter, count: controllersAfterFreeze, next: normalInterval},
 		}},
@@ -37,9 +37,9 @@
 			// Given a process that has just started,
 			var q antiEntropy
 			for _, step := range c.steps {
-				// when it steps, then it asks so many controllers, and again so much later.
+				// when it steps, then it asks the expected number of controllers and waits for the expected time.
 				if count, next := q.due(step.at, step.lacks); count != step.count || next != step.next {
-					t.Errorf("at %v it asks %d and waits %v, want %d and %v", step.at, count, next, step.count, step.next)
+					t.Errorf("at %v it asks %d controllers and waits %v, want %d and %v", step.at, count, next, step.count, step.next)
 				}
 			}
 		})
--- a/internal/tier/node/datagram.go
+++ b/internal/tier/node/datagram.go
@@ -9,24 +9,25 @@
 	"mastusher/internal/tier/membership"
 )
 
-// envelope is one datagram; exactly one field is set.
+// envelope is the content of a datagram; exactly one field is set.
 type envelope struct {
 	Membership *membership.Message `json:"m,omitempty"`
 	Gossip     *gossip.Message     `json:"g,omitempty"`
 }
 
-// send sends a datagram once. It may be lost.
+// send sends a datagram once, without a guarantee of delivery.
 func (n *Node) send(address string, message envelope) {
 	payload, err := json.Marshal(message)
 	if err != nil {
 		level.Error(n.options.Logger).Log("msg", "encoding datagram failed", "err", err)
 		return
 	}
-	// One that can't be sent is lost like any other.
+	// A datagram that cannot be sent counts as lost.
 	_ = n.server.SendDatagram(address, payload)
 }
 
-// handleDatagram queues a datagram for the next step. What is no envelope is dropped, as anybody may send it.
+// handleDatagram queues a received datagram for the next step. A payload that is not an envelope is dropped, as any host can send
+// one.
 func (n *Node) handleDatagram(from string, payload []byte) {
 	var message envelope
 	if err := json.Unmarshal(payload, &message); err != nil {
--- a/internal/tier/node/feed.go
+++ b/internal/tier/node/feed.go
@@ -8,7 +8,7 @@
 	"mastusher/internal/tier/wire"
 )
 
-// newerThan returns the updates of which the digest has an older stamp or none.
+// newerThan returns the updates for whose sections the digest has an older stamp or none.
 func (d *gossipDriver) newerThan(digest view.Digest) []view.Update {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -22,7 +22,7 @@
 	return updates
 }
 
-// handleFeed streams new updates to a process on this machine: first those newer than its digest, then each as it comes.
+// handleFeed streams updates to a process on this machine: first those newer than the digest in its request, then each new one.
 func (d *gossipDriver) handleFeed(ctx context.Context, request wire.FetchRequest, send func(view.Update) error) error {
 	sent := maps.Clone(request.Digest)
 	if sent == nil {
--- a/internal/tier/node/fetch.go
+++ b/internal/tier/node/fetch.go
@@ -11,11 +11,11 @@
 	"mastusher/internal/tier/wire"
 )
 
-// fetchTimeout bounds one call for updates. It exceeds gossip.DefaultFetchTimeout, as late updates are still applied.
+// fetchTimeout bounds a call that fetches updates. It exceeds gossip.DefaultFetchTimeout, as late updates are still applied.
 const fetchTimeout = 2 * time.Second
 
-// fetch calls another member for updates and queues the result; without updates it has failed. It ends by ctx or
-// fetchTimeout.
+// fetch calls another member for updates and queues the result for the next step; a result without updates is a failure. It ends
+// with ctx or after fetchTimeout.
 func (d *gossipDriver) fetch(ctx context.Context, fetch gossip.Fetch) {
 	bounded, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -29,7 +29,7 @@
 	})
 }
 
-// handleFetch answers another member's fetch.
+// handleFetch answers a fetch by another member.
 func (d *gossipDriver) handleFetch(_ context.Context, _ string, request wire.FetchRequest) (wire.FetchResponse, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/tier/node/gossip.go
+++ b/internal/tier/node/gossip.go
@@ -12,36 +12,36 @@
 	"mastusher/internal/tier/view"
 )
 
-// requiredSections lists the sections that every process needs. While one is missing it asks controllers more often.
+// requiredSections lists the sections that every process needs. While one is missing, the process asks controllers more often.
 var requiredSections = []view.Section{view.ConfigurationSection, view.PlacementSection, view.EndpointsSection}
 
-// gossipDriver drives the gossip of a process and hands new updates to the process.
+// gossipDriver drives the gossip of a process and passes new updates to the process.
 type gossipDriver struct {
 	node *Node
 	wake chan struct{}
 
-	mutex    sync.Mutex // guards what follows
+	mutex    sync.Mutex // guards the fields below
 	store    *gossip.Store
 	gossiper *gossip.Gossiper
 	input    gossip.Input
-	changed  chan struct{} // closed and replaced when an update is new
+	changed  chan struct{} // closed and replaced when the store has new updates
 }
 
-// newGossipDriver returns the driver of a node's gossip; run drives it.
+// newGossipDriver returns the gossip driver of a node; run must be called.
 func newGossipDriver(n *Node, seed uint64) *gossipDriver {
 	store := gossip.NewStore()
-	options := gossip.Options{DigestInterval: -1, Seed: seed} // digests are the payload of membership's probes
+	options := gossip.Options{DigestInterval: -1, Seed: seed} // digests are sent as the payload of membership's probes
 	return &gossipDriver{node: n, store: store, gossiper: gossip.New(options, store), changed: make(chan struct{}), wake: make(chan struct{}, 1)}
 }
 
-// digest returns the stamps of the sections that this process has. The caller owns the result.
+// digest returns the stamps of the stored sections. The caller owns the result.
 func (d *gossipDriver) digest() view.Digest {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.store.Digest()
 }
 
-// submit changes the input of the next step and makes it happen soon.
+// submit changes the input of the next step and wakes run.
 func (d *gossipDriver) submit(change func(input *gossip.Input)) {
 	d.mutex.Lock()
 	change(&d.input)
@@ -52,7 +52,7 @@
 	}
 }
 
-// publish queues an update of this process for the next step.
+// publish queues an update that this process publishes for the next step.
 func (d *gossipDriver) publish(update view.Update) {
 	d.submit(func(input *gossip.Input) { input.Updates = append(input.Updates, update) })
 }
@@ -64,7 +64,7 @@
 	})
 }
 
-// receivePayload queues the digest that came with a probe.
+// receivePayload queues a digest that was received as the payload of a probe.
 func (d *gossipDriver) receivePayload(address string, payload json.RawMessage) {
 	var message gossip.Message
 	if err := json.Unmarshal(payload, &message); err == nil {
@@ -91,8 +91,8 @@
 	}
 }
 
-// step hands the input since the last step to the gossiper, carries out its effects and returns the time until the next step
-// at the latest.
+// step passes the input since the last step to the gossiper, carries out the effects and returns the longest time until the next
+// step.
 func (d *gossipDriver) step(ctx context.Context) time.Duration {
 	peers := d.node.peers()
 	d.mutex.Lock()
@@ -123,7 +123,7 @@
 	return max(0, effects.NextWake-now)
 }
 
-// attachDigest makes the complete digest the payload of membership's probes.
+// attachDigest sets the complete digest as the payload of membership's probes.
 func (d *gossipDriver) attachDigest() {
 	d.mutex.Lock()
 	digest := d.gossiper.CompleteDigest()
@@ -148,7 +148,7 @@
 	return false
 }
 
-// sendDigest sends the complete digest to some controllers; those that have newer sections answer with their stamps.
+// sendDigest sends the complete digest to up to count controllers; those that have newer sections answer with the stamps.
 func (d *gossipDriver) sendDigest(count int) {
 	d.mutex.Lock()
 	digest := d.gossiper.CompleteDigest()
--- a/internal/tier/node/mutants_test.go
+++ b/internal/tier/node/mutants_test.go
@@ -6,12 +6,12 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// TestMutants_StaleViews_AreDetected tries the mistakes by which a partitioned controller could bring old sections back.
+// TestMutants_StaleViews_AreDetected tries mistakes by which a partitioned controller could make members revert to old sections.
 func TestMutants_StaleViews_AreDetected(t *testing.T) {
 	const detecting = "TestAgent_AsksPartitionedController_NeverGoesBackAndCatchesUp"
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name: "the sequence of a former leader counts",
+			Name: "stamps are compared by sequence without the term",
 			Change: mutation.Change{File: "../view/view.go", Old: "return s.Term < o.Term || s.Term == o.Term && s.Sequence < o.Sequence",
 				New: "return s.Sequence < o.Sequence"},
 			Run: detecting, Always: true,
--- a/internal/tier/node/node.go
+++ b/internal/tier/node/node.go
@@ -17,14 +17,14 @@
 
 // Options configures a Node.
 type Options struct {
-	Self   membership.Member // as in membership.Options
+	Self   membership.Member // see membership.Options
 	Seeds  []string          // host:port of controllers; SetSeeds replaces them
 	Pool   *transport.Pool   // for calls to other members; the caller closes it after Run
 	Logger log.Logger
 	Seed   uint64 // of all random choices; must differ between processes
 
-	// OnUpdate is called with each new update of the view, in order and on one goroutine. It delays the gossip of this
-	// process while it runs. Nil: updates are only spread.
+	// OnUpdate, if not nil, is called with each new update of the view, in order and by one goroutine. While a call runs, the
+	// gossip of this process is delayed.
 	OnUpdate func(update view.Update)
 }
 
@@ -38,18 +38,18 @@
 	wake    chan struct{}
 	members atomic.Pointer[[]membership.Member]
 
-	background sync.WaitGroup // the gossip's goroutine and those of calls; Run waits for them
+	background sync.WaitGroup // goroutines of the gossip and of calls; Run waits for them
 
-	nextController int // used by the goroutine of the gossip only
+	nextController int // rotation index, used only by the goroutine of the gossip
 
-	mutex          sync.Mutex // guards what follows
+	mutex          sync.Mutex // guards the fields below
 	seeds          []string
 	input          membership.Input
 	pendingReplies map[uint64]chan membership.PushPullMessage
-	token          uint64 // of the last call received
+	token          uint64 // of the last push-pull call received
 }
 
-// New returns a node. It joins when Run is called.
+// New returns a node, which joins when Run is called.
 func New(options Options) *Node {
 	n := &Node{options: options, seeds: options.Seeds, start: time.Now(), wake: make(chan struct{}, 1), pendingReplies: map[uint64]chan membership.PushPullMessage{}}
 	n.swim = membership.New(membership.Options{Self: options.Self, Seeds: options.Seeds, Seed: options.Seed})
@@ -58,7 +58,7 @@
 	return n
 }
 
-// Register adds the handlers of the node's messages, calls and feed. It must be called before the server listens.
+// Register adds the handlers for the node's datagrams, calls and feed. It must be called before the server listens.
 func (n *Node) Register(handlers *transport.Handlers) {
 	handlers.HandleDatagram(n.handleDatagram)
 	transport.Handle(handlers, wire.MethodMembers, n.handlePushPull)
@@ -66,16 +66,16 @@
 	transport.HandleStream(handlers, wire.MethodFeed, n.gossip.handleFeed)
 }
 
-// Members returns all known members, this one and the dead included, sorted by name. The slice must not be changed.
+// Members returns all known members sorted by name, including this one and dead ones. The caller must not modify the slice.
 func (n *Node) Members() []membership.Member { return *n.members.Load() }
 
-// Publish spreads an update, unless a newer one of its section is known. It does not wait.
+// Publish disseminates an update, unless a newer one of its section is known. It does not block.
 func (n *Node) Publish(update view.Update) { n.gossip.publish(update) }
 
-// Digest returns the stamps of the sections that this node has.
+// Digest returns the stamps of the sections that this node has stored.
 func (n *Node) Digest() view.Digest { return n.gossip.digest() }
 
-// SetSeeds replaces the seeds, also of a node that has joined.
+// SetSeeds replaces the seeds, even if the node has already joined.
 func (n *Node) SetSeeds(seeds []string) {
 	n.mutex.Lock()
 	n.input.Seeds, n.seeds = seeds, seeds
@@ -83,15 +83,15 @@
 	n.signal()
 }
 
-// currentSeeds returns the seeds that were set last. The slice must not be changed.
+// currentSeeds returns the current seeds. The caller must not modify the slice.
 func (n *Node) currentSeeds() []string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.seeds
 }
 
-// Run drives the node over the server until ctx ends; then it announces to the others that it leaves. It returns once the
-// goroutines of the gossip and of calls have ended, which they do by ctx: from then on OnUpdate isn't called.
+// Run drives the node over the server until ctx ends, and then announces to the other members that it leaves. It waits for the
+// goroutines of the gossip and of calls, which end with ctx. After Run has returned, OnUpdate is not called.
 func (n *Node) Run(ctx context.Context, server *transport.Server) {
 	n.server = server
 	defer n.background.Wait()
@@ -114,7 +114,7 @@
 	}
 }
 
-// signal makes Run step soon.
+// signal wakes Run for a step.
 func (n *Node) signal() {
 	select {
 	case n.wake <- struct{}{}:
@@ -122,8 +122,8 @@
 	}
 }
 
-// step hands the input since the last step to membership, carries out its effects and returns the time of the next step at
-// the latest, since the start of the node.
+// step passes the input since the last step to membership, carries out the effects and returns the latest time of the next step,
+// measured from the start of the node.
 func (n *Node) step(ctx context.Context) time.Duration {
 	n.mutex.Lock()
 	input := n.input
@@ -152,8 +152,8 @@
 	return effects.NextWake
 }
 
-// logEvent logs a change of a member. At the start of a large fleet every process learns of every other one, so joins and
-// updates are logged at debug level only.
+// logEvent logs a membership event. When a large system starts, every process learns of every other one, so joins and updates are
+// only logged at debug level.
 func (n *Node) logEvent(event membership.Event) {
 	logger := level.Info(n.options.Logger)
 	if event.Kind == membership.MemberJoined || event.Kind == membership.MemberUpdated {
--- a/internal/tier/node/node_test.go
+++ b/internal/tier/node/node_test.go
@@ -14,30 +14,30 @@
 	"mastusher/internal/tier/wire"
 )
 
-// testTimeout bounds what a test waits for; nothing waits so long but a failure.
+// testTimeout bounds every wait in tests; only a failing test reaches it.
 const testTimeout = 20 * time.Second
 
-// testNode is a node on loopback and the updates that it has handed to its process.
+// testNode is a node on the loopback interface, and the updates that it has passed to its process.
 type testNode struct {
 	node    *Node
 	address string
 	updates chan view.Update
-	seen    view.Digest // the newest stamps of updates
+	seen    view.Digest // stamps of the last updates taken from updates
 	stop    context.CancelFunc
 }
 
-// start runs a node; the first one has no seeds.
+// start runs a node with seeds, of which the first node has none.
 func start(t *testing.T, name string, role membership.Role, seeds ...string) *testNode {
 	t.Helper()
 	started := &testNode{updates: make(chan view.Update, 64), seen: view.Digest{}}
 	handlers := transport.NewHandlers()
-	// The address must be known before the node is made, so the handlers go through the variable.
-	probe, err := transport.Listen("127.0.0.1:0", transport.NewHandlers(), log.NewNopLogger())
+	// The node needs its address before it is created, so a temporary server finds a free port.
+	reserved, err := transport.Listen("127.0.0.1:0", transport.NewHandlers(), log.NewNopLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	started.address = probe.Address()
-	probe.Close()
+	started.address = reserved.Address()
+	reserved.Close()
 	pool := transport.NewPool()
 	started.node = New(Options{Self: membership.Member{Name: name, ID: name, Role: role, Address: started.address, Incarnation: 1}, Seeds: seeds,
 		Pool: pool, Logger: log.NewNopLogger(), Seed: 1, OnUpdate: func(update view.Update) { started.updates <- update }})
@@ -59,7 +59,7 @@
 	return started
 }
 
-// waitFor returns once the node has handed a section with the stamp to its process.
+// waitFor waits until the node has passed a section with the stamp to its process.
 func (r *testNode) waitFor(t *testing.T, section view.Section, stamp view.Stamp) {
 	t.Helper()
 	timeout := time.After(testTimeout)
@@ -68,7 +68,7 @@
 		case update := <-r.updates:
 			r.seen[update.Section] = update.Stamp
 		case <-timeout:
-			t.Fatalf("%s %v was not received", section, stamp)
+			t.Fatalf("section %s with stamp %v was not received within testTimeout", section, stamp)
 		}
 	}
 }
@@ -106,12 +106,12 @@
 		_ = feedFrom(ctx, pool, agent.address, fed)
 	}()
 	if got := <-fed; got.Stamp.Sequence != 7 {
-		t.Errorf("first it gets %v", got.Stamp)
+		t.Errorf("the first update has stamp %v, want sequence 7", got.Stamp)
 	}
 	agent.node.Publish(update(view.ConfigurationSection, 6))
 	agent.node.Publish(update(view.ConfigurationSection, 9))
 	if got := <-fed; got.Stamp.Sequence != 9 {
-		t.Errorf("then it gets %v", got.Stamp)
+		t.Errorf("the second update has stamp %v, want sequence 9", got.Stamp)
 	}
 }
 
@@ -123,7 +123,7 @@
 }
 
 func TestRun_UpdateInProgress_EndsAfterIt(t *testing.T) {
-	// given a node whose process is busy with an update
+	// Given a node whose process is handling an update,
 	began, release := make(chan struct{}, 1), make(chan struct{})
 	node := New(Options{Self: membership.Member{Name: "store", ID: "store", Role: membership.Store, Address: "127.0.0.1:1", Incarnation: 1},
 		Pool: transport.NewPool(), Logger: log.NewNopLogger(), Seed: 1, OnUpdate: func(view.Update) { began <- struct{}{}; <-release }})
@@ -140,23 +140,23 @@
 	node.Publish(view.Update{Section: view.ConfigurationSection, Stamp: view.Stamp{Sequence: 1}, Body: json.RawMessage(`{}`)})
 	<-began
 
-	// when it is to end, then it does not return before the process has handled the update.
+	// when the context ends, then Run does not return before the process has handled the update.
 	cancel()
 	select {
 	case <-ended:
-		t.Error("Run has returned while an update was handled")
+		t.Error("Run returned while an update was being handled")
 	case <-time.After(100 * time.Millisecond):
 	}
 	close(release)
 	select {
 	case <-ended:
 	case <-time.After(testTimeout):
-		t.Error("Run doesn't return")
+		t.Error("Run did not return within testTimeout")
 	}
 }
 
 func TestPeers_NoOtherLiveMember_IsAnEmptyListAndNotNil(t *testing.T) {
-	// The gossiper takes nil for "unchanged", and would send digests to members that are gone.
+	// The gossiper interprets nil as unchanged, and would keep sending digests to members that are dead.
 	n := New(Options{Self: membership.Member{Name: "a/agent", Address: "127.0.0.1:1"}, Pool: transport.NewPool(), Logger: log.NewNopLogger(), Seed: 1})
 	n.members.Store(&[]membership.Member{n.options.Self, {Name: "b/agent", Address: "127.0.0.1:2", State: membership.StateDead}})
 	if got := n.peers(); got == nil || len(got) != 0 {
--- a/internal/tier/node/peers.go
+++ b/internal/tier/node/peers.go
@@ -2,8 +2,8 @@
 
 import "mastusher/internal/tier/membership"
 
-// peers lists the addresses of the live members without this node. It is empty and not nil where there are none, so that the gossiper
-// doesn't go on with the last ones.
+// peers lists the addresses of the other live members. If there are none, the result is empty and not nil, as the gossiper interprets
+// nil as unchanged.
 func (n *Node) peers() []string {
 	peers := []string{}
 	for _, m := range n.Members() {
@@ -14,8 +14,8 @@
 	return peers
 }
 
-// nextControllers returns up to count addresses of controllers, in rotation: the live members, or the seeds while none is
-// known. Only the goroutine of the gossip may call it.
+// nextControllers returns up to count addresses of controllers in rotation: of the other live controllers or, while none is known, the
+// seeds. Only the goroutine of the gossip may call it.
 func (n *Node) nextControllers(count int) []string {
 	var known []string
 	for _, m := range n.Members() {
--- a/internal/tier/node/pushpull.go
+++ b/internal/tier/node/pushpull.go
@@ -9,10 +9,11 @@
 	"mastusher/internal/tier/wire"
 )
 
-// pushPullTimeout bounds one call to another member.
+// pushPullTimeout bounds a push-pull call to another member.
 const pushPullTimeout = 2 * time.Second
 
-// pushPull calls another member and queues the result. It ends by ctx or pushPullTimeout; nothing waits for it.
+// pushPull makes a push-pull call to another member and queues the result for the next step. It ends with ctx or after
+// pushPullTimeout; Run waits for it.
 func (n *Node) pushPull(ctx context.Context, call membership.PushPullCall) {
 	bounded, cancel := context.WithTimeout(ctx, pushPullTimeout)
 	defer cancel()
@@ -23,7 +24,7 @@
 	n.signal()
 }
 
-// handlePushPull queues another member's call and waits for the reply of the next step.
+// handlePushPull queues another member's call for the next step and waits for the reply.
 func (n *Node) handlePushPull(ctx context.Context, _ string, message membership.PushPullMessage) (membership.PushPullMessage, error) {
 	answer := make(chan membership.PushPullMessage, 1)
 	n.mutex.Lock()
@@ -44,7 +45,7 @@
 	}
 }
 
-// deliverReply hands a reply to the handler that waits for it, unless its caller has given up.
+// deliverReply passes a reply to the handler that waits for it, unless the caller has stopped waiting.
 func (n *Node) deliverReply(reply membership.PushPullReply) {
 	n.mutex.Lock()
 	answer := n.pendingReplies[reply.Token]
--- a/internal/tier/node/stale_test.go
+++ b/internal/tier/node/stale_test.go
@@ -10,13 +10,13 @@
 	"mastusher/internal/tier/view"
 )
 
-// Times and bounds of an agent among controllers.
+// Parameters of the simulation of an agent and its controllers.
 const (
-	staleStep    = 10 * time.Millisecond // also one way of a message
-	maxStaleness = 3 * time.Second       // within which a machine must have what is new
+	staleStep    = 10 * time.Millisecond // time between steps and one-way delay of a message
+	maxStaleness = 3 * time.Second       // bound on the time until an agent has the new sections
 )
 
-// simulatedAgent is an agent that learns of the view only by anti-entropy with controllers, in virtual time.
+// simulatedAgent is an agent in virtual time that receives the view only by anti-entropy with controllers.
 type simulatedAgent struct {
 	t              *testing.T
 	now            time.Duration
@@ -29,7 +29,7 @@
 	applied        []view.Update
 }
 
-// simulatedController is a controller as its agents see it.
+// simulatedController is the part of a controller that answers digests and fetches.
 type simulatedController struct {
 	gossiper      *gossip.Gossiper
 	store         *gossip.Store
@@ -41,7 +41,7 @@
 	newStamps = map[view.Section]view.Stamp{view.ConfigurationSection: {Sequence: 12}, view.PlacementSection: {Sequence: 15}, view.EndpointsSection: {Term: 4, Sequence: 2}}
 )
 
-// newSimulatedAgent has controllers of which the first ones have old sections, as when they were partitioned.
+// newSimulatedAgent returns an agent with count controllers. The first stale ones have old sections, as after a partition.
 func newSimulatedAgent(t *testing.T, count, stale int) *simulatedAgent {
 	a := &simulatedAgent{t: t}
 	for number := range count {
@@ -59,7 +59,7 @@
 	return a
 }
 
-// start restarts the agent.
+// start starts or restarts the agent with an empty store.
 func (a *simulatedAgent) start() {
 	a.store, a.antiEntropy, a.input, a.applied, a.nextController = gossip.NewStore(), antiEntropy{nextAt: a.now}, gossip.Input{}, nil, 0
 	a.agent = gossip.New(gossip.Options{DigestInterval: -1}, a.store)
@@ -93,7 +93,7 @@
 	a.now += staleStep
 }
 
-// ask sends the digest to a controller, and queues its answer for the next step.
+// ask sends the digest to a controller, and queues the answer for the next step.
 func (a *simulatedAgent) ask(number int) {
 	asked := a.controllers[number]
 	if asked.isPartitioned {
@@ -128,26 +128,26 @@
 	return true
 }
 
-// untilNew returns how long it takes until the agent hasAll all that is new.
+// untilNew runs until the agent has all new sections, and returns how long that takes.
 func (a *simulatedAgent) untilNew() time.Duration {
 	a.t.Helper()
 	began := a.now
 	for !a.hasAll(newStamps) {
 		if a.now-began > time.Minute {
-			a.t.Fatalf("it has %v", a.store.Digest())
+			a.t.Fatalf("after a minute the agent has %v, want the new stamps", a.store.Digest())
 		}
 		a.step()
 	}
 	return a.now - began
 }
 
-// wantForward checks that no section has gone back.
-func (a *simulatedAgent) wantForward() {
+// checkNoReversion checks that no section reverted to an older stamp.
+func (a *simulatedAgent) checkNoReversion() {
 	a.t.Helper()
 	last := map[view.Section]view.Stamp{}
 	for _, update := range a.applied {
 		if !last[update.Section].Less(update.Stamp) {
-			a.t.Errorf("%s went from %v to %v", update.Section, last[update.Section], update.Stamp)
+			a.t.Errorf("%s changed from %v to %v, want only newer stamps", update.Section, last[update.Section], update.Stamp)
 		}
 		last[update.Section] = update.Stamp
 	}
@@ -157,31 +157,31 @@
 	const atOnce = 10 * staleStep
 	for _, core := range []struct{ controllers, stale int }{{3, 1}, {5, 1}, {5, 2}} {
 		t.Run(fmt.Sprintf("%d of %d controllers", core.stale, core.controllers), func(t *testing.T) {
-			// Given an agent that starts on the side of the partitioned controllers,
+			// Given an agent that starts on the side of the stale controllers of a partition,
 			agent := newSimulatedAgent(t, core.controllers, core.stale)
 			for _, other := range agent.controllers[core.stale:] {
 				other.isPartitioned = true
 			}
 			agent.run(20 * time.Second)
-			// then it has what these have: its machine isn't in touch, and what is old is better than nothing;
+			// then it has their sections: its machine is cut off from the others, and stale sections are better than none;
 			if !agent.hasAll(oldStamps) {
-				t.Fatalf("it has %v", agent.store.Digest())
+				t.Fatalf("during the partition the agent has %v, want the old stamps", agent.store.Digest())
 			}
-			// and when the partition heals, then it has what is new before its machine is in touch,
+			// and when the partition heals, then it has the new sections within maxStaleness,
 			for _, other := range agent.controllers {
 				other.isPartitioned = false
 			}
-			agent.nextController = 0 // those that were partitioned are asked first
+			agent.nextController = 0 // the stale controllers are asked first
 			took := agent.untilNew()
 			if took > maxStaleness {
-				t.Errorf("it took %v", took)
+				t.Errorf("the agent took %v to get the new sections, longer than maxStaleness", took)
 			}
-			// and nothing that it is offered after that brings it back.
+			// and it does not revert to the old sections that it is offered afterwards.
 			agent.run(20 * time.Second)
-			agent.wantForward()
+			agent.checkNoReversion()
 
-			// When it is frozen meanwhile and thaws, or restarts, beside controllers that haven't noticed yet, then it
-			// asks several, and has what is new at once.
+			// When the agent thaws after a freeze, or restarts, while some controllers are still stale, then it asks several
+			// controllers and has the new sections immediately.
 			agent.now += 20 * time.Second
 			for section, stamp := range newStamps {
 				stamp.Sequence += 100
@@ -193,16 +193,16 @@
 			agent.nextController = 0
 			agent.run(atOnce)
 			if agent.store.Stamp(view.ConfigurationSection).Sequence < 100 {
-				t.Errorf("%v after its thaw it has %v", atOnce, agent.store.Digest())
+				t.Errorf("%v after the thaw the agent has %v, want the newest stamps", atOnce, agent.store.Digest())
 			}
-			agent.wantForward()
+			agent.checkNoReversion()
 			agent.start()
 			agent.run(atOnce)
 			if agent.store.Stamp(view.ConfigurationSection).Sequence < 100 {
-				t.Errorf("%v after its start it has %v", atOnce, agent.store.Digest())
+				t.Errorf("%v after the restart the agent has %v, want the newest stamps", atOnce, agent.store.Digest())
 			}
-			agent.wantForward()
-			t.Logf("after the partition it had what is new in %v", took)
+			agent.checkNoReversion()
+			t.Logf("after the partition the agent had the new sections within %v", took)
 		})
 	}
 }
--- a/internal/tier/node/wire_test.go
+++ b/internal/tier/node/wire_test.go
@@ -11,8 +11,8 @@
 	"mastusher/internal/tier/view"
 )
 
-// TestWireFormat_EnvelopesOfEarlierVersions_ReadAndWrittenAsTheyWere compares datagrams with bytes that an earlier version
-// wrote: members of both versions run side by side during an upgrade.
+// TestWireFormat_EnvelopesOfEarlierVersions_ReadAndWrittenAsTheyWere compares datagrams with the bytes that an earlier version wrote,
+// as members of both versions run side by side during an upgrade.
 func TestWireFormat_EnvelopesOfEarlierVersions_ReadAndWrittenAsTheyWere(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct {
--- a/internal/tier/platformlist/backoff.go
+++ b/internal/tier/platformlist/backoff.go
@@ -8,8 +8,8 @@
 	maxBackoff = 2 * time.Second
 )
 
-// backoff is the delay after that many failures in a row: it doubles with each, up to maxBackoff. jitter, from 0 to 1, takes away
-// up to half of it.
+// backoff returns the delay after a number of consecutive failures. It doubles with each failure from minBackoff to maxBackoff;
+// jitter, from 0 to 1, subtracts up to half.
 func backoff(failures int, jitter float64) time.Duration {
 	delay := maxBackoff
 	if shift := failures - 1; shift < 8 {
--- a/internal/tier/platformlist/client.go
+++ b/internal/tier/platformlist/client.go
@@ -23,8 +23,8 @@
 	maxRetryAfter  = 5 * time.Second
 )
 
-// connection is one reusable connection to the platform. http.Client must not be used: its transport repeats a request by itself
-// when an idle connection turns out to be closed, and that call would escape the rate limit.
+// connection is one reusable connection to the platform. http.Client must not be used: its transport retries a request when an idle
+// connection turns out to be closed, and the retry would bypass the rate limit.
 type connection struct {
 	address   string
 	transport http.Transport
@@ -44,7 +44,7 @@
 	}
 }
 
-// send makes one call on the open connection or on a new one.
+// send makes one call, on the open connection or else on a new one.
 func (c *connection) send(request *http.Request) (*http.Response, error) {
 	if c.current != nil && c.current.Err() != nil {
 		c.close()
@@ -70,8 +70,8 @@
 	}
 }
 
-// fetch gets one page; an empty token stands for the first one. Its errors are UnreachableError, StatusError, ErrPageTooLarge,
-// ErrMalformedPage, or of reading the body.
+// fetch gets one page; an empty token selects the first one. Its errors are UnreachableError, StatusError, ErrPageTooLarge,
+// ErrMalformedPage, and errors of reading the body.
 func (r *Reader) fetch(ctx context.Context, token string) (page, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -116,12 +116,13 @@
 		return page{}, fmt.Errorf("%w: %w", ErrMalformedPage, err)
 	}
 	if decoded.Servers == nil {
-		return page{}, fmt.Errorf("%w: servers: missing", ErrMalformedPage)
+		return page{}, fmt.Errorf("%w: field servers is missing", ErrMalformedPage)
 	}
 	return decoded, nil
 }
 
-// parseRetryAfter reads seconds, fractions too, up to maxRetryAfter; 0 if there are none.
+// parseRetryAfter returns the Retry-After header, in seconds with an optional fraction, bounded by maxRetryAfter; 0 if it is missing
+// or invalid.
 func parseRetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0) {
--- a/internal/tier/platformlist/client_test.go
+++ b/internal/tier/platformlist/client_test.go
@@ -12,8 +12,8 @@
 		body string
 		want error
 	}{
-		{name: "half a page", body: `{"servers":[{"id":`, want: ErrMalformedPage},
-		{name: "without servers", body: `{}`, want: ErrMalformedPage},
+		{name: "truncated page", body: `{"servers":[{"id":`, want: ErrMalformedPage},
+		{name: "field servers missing", body: `{}`, want: ErrMalformedPage},
 		{name: "over the size limit", body: strings.Repeat(" ", maxPageBytes+1), want: ErrPageTooLarge},
 		{name: "no servers", body: `{"servers":[]}`},
 	}
--- a/internal/tier/platformlist/clock.go
+++ b/internal/tier/platformlist/clock.go
@@ -7,17 +7,17 @@
 	"mastusher/internal/tier/wait"
 )
 
-// Clock is a steady clock with a timer. Tests replace it by virtual time.
+// Clock is a monotonic clock with a timer. Tests replace it by virtual time.
 type Clock interface {
 	Now() time.Time
-	// Sleep waits for the delay, or returns the context's error when that ends first.
+	// Sleep waits for the delay, or returns the context's error if the context ends first.
 	Sleep(ctx context.Context, delay time.Duration) error
 }
 
-// SystemClock is the machine's steady clock.
+// SystemClock is the machine's monotonic clock.
 type SystemClock struct{}
 
-// Now returns the time.
+// Now returns the current time.
 func (SystemClock) Now() time.Time {
 	return time.Now()
 }
--- a/internal/tier/platformlist/errors.go
+++ b/internal/tier/platformlist/errors.go
@@ -9,31 +9,31 @@
 // StatusError is a response of the platform other than 200.
 type StatusError struct {
 	Status     int
-	RetryAfter time.Duration // 0 if none was given
+	RetryAfter time.Duration // of the response; 0 if it has none
 }
 
-// Error names the status.
+// Error returns a text with the status.
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("list of endpoints: the platform answered %d", e.Status)
+	return fmt.Sprintf("list of endpoints: platform responded with status %d, want 200", e.Status)
 }
 
-// UnreachableError says that a call to the platform brought no response in time.
+// UnreachableError means that a call to the platform got no response in time.
 type UnreachableError struct {
 	Cause error
 }
 
-// Error names the cause.
+// Error returns a text with the cause.
 func (e *UnreachableError) Error() string {
-	return fmt.Sprintf("list of endpoints: the platform isn't reached: %v", e.Cause)
+	return fmt.Sprintf("list of endpoints: call to the platform got no response: %v", e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// Errors of responses that are no page, and of options.
+// Errors of invalid responses and options.
 var (
-	ErrPageTooLarge  = errors.New("list of endpoints: page over the size limit")
+	ErrPageTooLarge  = errors.New("list of endpoints: page exceeds the size limit")
 	ErrMalformedPage = errors.New("list of endpoints: malformed page")
-	ErrEndlessList   = errors.New("list of endpoints: no last page")
-	ErrNoRate        = errors.New("list of endpoints: rate must be above 0 calls a second")
+	ErrEndlessList   = errors.New("list of endpoints: pages have no end")
+	ErrNoRate        = errors.New("list of endpoints: rate must be above 0 calls per second")
 )
--- a/internal/tier/platformlist/merger.go
+++ b/internal/tier/platformlist/merger.go
@@ -6,22 +6,22 @@
 	"mastusher/internal/tier/model"
 )
 
-// missesUntilRemoved is the number of reads in a row that must miss an endpoint before it is removed. A larger value bears more
-// incomplete reads, and keeps removed endpoints for longer.
+// missesUntilRemoved is the number of consecutive reads that must miss an endpoint before it is removed. A larger value tolerates more
+// incomplete reads, and keeps endpoints that no longer exist for longer.
 const missesUntilRemoved = 2
 
-// Merger merges successive complete reads into the list of endpoints that exist. It is pure; its zero value has no endpoints.
+// Merger merges successive complete reads into the list of existing endpoints. The zero value has no endpoints.
 //
-// A single read may miss an endpoint that moves between pages. An endpoint that one read misses stays as it was last seen; a
-// second miss in a row removes it. It is removed at once when its address belongs to another endpoint by then. One that was
-// once draining never becomes ready again.
+// A single read may miss an endpoint that moves between pages. An endpoint that one read misses is kept as it was last read; a second
+// consecutive miss removes it. It is removed at the first miss if its address now belongs to another endpoint. An endpoint that was
+// draining once never becomes ready again.
 type Merger struct {
-	known map[string]mergedEndpoint // by identifier
+	known map[string]mergedEndpoint // by ID
 }
 
 type mergedEndpoint struct {
 	endpoint model.Endpoint
-	misses   int // reads in a row
+	misses   int // number of consecutive reads that missed the endpoint
 }
 
 // Merge merges one complete read.
@@ -55,7 +55,7 @@
 	m.known = next
 }
 
-// Endpoints returns the endpoints that exist, by identifier.
+// Endpoints returns the existing endpoints, sorted by ID.
 func (m *Merger) Endpoints() []model.Endpoint {
 	all := make([]model.Endpoint, 0, len(m.known))
 	for _, known := range m.known {
--- a/internal/tier/platformlist/merger_test.go
+++ b/internal/tier/platformlist/merger_test.go
@@ -22,19 +22,19 @@
 		want  []model.Endpoint
 	}{
 		{name: "nothing read", want: []model.Endpoint{}},
-		{name: "in the order of ids", reads: []map[string]model.Endpoint{read(two, one)}, want: []model.Endpoint{one, two}},
-		{name: "missed once stays", reads: []map[string]model.Endpoint{read(one, two), read(two)}, want: []model.Endpoint{one, two}},
-		{name: "missed twice in a row goes", reads: []map[string]model.Endpoint{read(one, two), read(two), read(two)},
+		{name: "sorted by ID", reads: []map[string]model.Endpoint{read(two, one)}, want: []model.Endpoint{one, two}},
+		{name: "missed once is kept", reads: []map[string]model.Endpoint{read(one, two), read(two)}, want: []model.Endpoint{one, two}},
+		{name: "missed twice in a row is removed", reads: []map[string]model.Endpoint{read(one, two), read(two), read(two)},
 			want: []model.Endpoint{two}},
-		{name: "misses that are not in a row don't add up",
+		{name: "misses that are not consecutive do not add up",
 			reads: []map[string]model.Endpoint{read(one), read(), read(one), read()}, want: []model.Endpoint{one}},
-		{name: "draining counts at once", reads: []map[string]model.Endpoint{read(one), read(oneDraining)},
+		{name: "draining applies immediately", reads: []map[string]model.Endpoint{read(one), read(oneDraining)},
 			want: []model.Endpoint{oneDraining}},
-		{name: "draining stays when missed", reads: []map[string]model.Endpoint{read(oneDraining), read()},
+		{name: "missed while draining is kept as draining", reads: []map[string]model.Endpoint{read(oneDraining), read()},
 			want: []model.Endpoint{oneDraining}},
-		{name: "an older page doesn't make it ready again", reads: []map[string]model.Endpoint{read(oneDraining), read(one)},
+		{name: "an older page does not make it ready again", reads: []map[string]model.Endpoint{read(oneDraining), read(one)},
 			want: []model.Endpoint{oneDraining}},
-		{name: "another at its address removes it at once", reads: []map[string]model.Endpoint{read(one), read(successor)},
+		{name: "another endpoint at its address removes it immediately", reads: []map[string]model.Endpoint{read(one), read(successor)},
 			want: []model.Endpoint{successor}},
 	}
 	for _, c := range cases {
--- a/internal/tier/platformlist/pager.go
+++ b/internal/tier/platformlist/pager.go
@@ -15,25 +15,26 @@
 	NextToken *string          `json:"nextToken"` // nil or empty: the last page
 }
 
-// pager collects the pages of one read. It is pure.
+// pager collects the pages of one read.
 type pager struct {
-	token string // of the next page; empty for the first
+	token string // of the next page; empty for the first page
 	pages int
 	done  bool
-	found map[string]model.Endpoint // by identifier
+	found map[string]model.Endpoint // by ID
 }
 
 func newPager() *pager {
 	return &pager{found: map[string]model.Endpoint{}}
 }
 
-// accept adds the page of the current token. An endpoint that moves between pages may occur twice: the later entry is the newer
-// one, but an endpoint that was once draining stays so. A list without end gives ErrEndlessList.
+// accept adds the page of the current token. An endpoint that moves between pages may occur twice: the later entry replaces the
+// earlier one, except that a draining endpoint stays draining. accept returns ErrEndlessList if a page leads to itself or there are
+// too many pages.
 func (p *pager) accept(next page) error {
 	p.pages++
 	for _, endpoint := range next.Servers {
 		if endpoint.ID == "" || endpoint.Address == "" {
-			continue // nothing can be sent to it
+			continue // the entry does not identify an endpoint
 		}
 		if p.found[endpoint.ID].State == model.Draining {
 			endpoint.State = model.Draining
--- a/internal/tier/platformlist/pager_test.go
+++ b/internal/tier/platformlist/pager_test.go
@@ -32,15 +32,15 @@
 	}{
 		{name: "one page", pages: []page{{Servers: []model.Endpoint{endpoint("1", model.Ready)}}},
 			want: read(endpoint("1", model.Ready)), done: true},
-		{name: "an empty token ends it", pages: []page{{NextToken: &first}}, want: read(), done: true},
-		{name: "seen twice, draining on either page",
+		{name: "an empty token ends the list", pages: []page{{NextToken: &first}}, want: read(), done: true},
+		{name: "an endpoint on two pages, draining on either",
 			pages: []page{
 				{Servers: []model.Endpoint{endpoint("1", model.Draining), endpoint("2", model.Ready)}, NextToken: &second},
 				{Servers: []model.Endpoint{endpoint("1", model.Ready), endpoint("2", model.Draining)}},
 			},
 			want: read(endpoint("1", model.Draining), endpoint("2", model.Draining)), done: true},
-		{name: "an entry that names nothing", pages: []page{{Servers: []model.Endpoint{{Service: "s"}}}}, want: read(), done: true},
-		{name: "more to come", pages: []page{{NextToken: &second}}, want: read()},
+		{name: "an entry without ID and address", pages: []page{{Servers: []model.Endpoint{{Service: "s"}}}}, want: read(), done: true},
+		{name: "not the last page", pages: []page{{NextToken: &second}}, want: read()},
 		{name: "a page that leads to itself", pages: []page{{NextToken: &second}, {NextToken: &second}}, want: read(), wantErr: ErrEndlessList},
 	}
 	for _, c := range cases {
--- a/internal/tier/platformlist/reader.go
+++ b/internal/tier/platformlist/reader.go
@@ -16,20 +16,20 @@
 	"mastusher/internal/tier/network"
 )
 
-// maxRestarts bounds the restarts of one read, after pages that the platform no longer knows.
+// maxRestarts bounds the restarts of one read after the platform rejected a page's token.
 const maxRestarts = 3
 
 // Options configures a reader.
 type Options struct {
 	Address  string          // host:port of the platform
-	RatePerS float64         // this reader's part of the calls that the platform accepts a second, above 0; more is refused there
-	Zone     string          // only endpoints of this zone; default: all zones
+	RatePerS float64         // this reader's share of the calls per second that the platform accepts; must be above 0
+	Zone     string          // zone of the endpoints to read; default: all zones
 	Clock    Clock           // default: SystemClock
 	Seed     uint64          // of the backoff's jitter
 	Network  network.Network // default: the system's
 }
 
-// Reader reads the complete list. Reads share nothing but the connection and the rate limit. One goroutine at a time may use it.
+// Reader reads the complete list. Reads only share the connection and the rate limit. A Reader is not safe for concurrent use.
 type Reader struct {
 	options    Options
 	connection *connection
@@ -38,7 +38,7 @@
 	random     *rand.Rand
 }
 
-// NewReader returns a reader that has no connection yet. Without a rate it fails with ErrNoRate.
+// NewReader returns a reader without an open connection. It fails with ErrNoRate if the rate is not above 0.
 func NewReader(options Options) (*Reader, error) {
 	if !(options.RatePerS > 0) {
 		return nil, fmt.Errorf("%w: %v", ErrNoRate, options.RatePerS)
@@ -61,8 +61,8 @@
 	r.connection.close()
 }
 
-// ReadAll reads all pages and returns every endpoint on them, by identifier. Failed pages are retried with backoff until ctx ends;
-// then the error wraps both the context's error and the last failure.
+// ReadAll reads all pages and returns their endpoints, sorted by ID. Failed pages are retried with backoff until ctx ends; the error
+// then wraps both the context's error and the last failure.
 func (r *Reader) ReadAll(ctx context.Context) ([]model.Endpoint, error) {
 	pager := newPager()
 	restarts := 0
@@ -82,14 +82,14 @@
 	return sortedByID(maps.Values(pager.found)), nil
 }
 
-// sortedByID sorts endpoints by identifier.
+// sortedByID returns the endpoints sorted by ID.
 func sortedByID(endpoints iter.Seq[model.Endpoint]) []model.Endpoint {
 	all := slices.AppendSeq([]model.Endpoint{}, endpoints)
 	slices.SortFunc(all, func(a, b model.Endpoint) int { return strings.Compare(a.ID, b.ID) })
 	return all
 }
 
-// readPage reads one page, and retries until the platform no longer knows the page or ctx ends.
+// readPage reads one page, with retries until the platform rejects the token or ctx ends.
 func (r *Reader) readPage(ctx context.Context, token string) (page, error) {
 	if err := r.wait(ctx, r.bucket.take(r.clock.Now())); err != nil {
 		return page{}, err
@@ -106,7 +106,7 @@
 	}
 }
 
-// retryDelay is the backoff after that many failures, or the platform's Retry-After where that is longer.
+// retryDelay returns the backoff after a number of failures, or the platform's Retry-After if that is longer.
 func (r *Reader) retryDelay(failures int, err error) time.Duration {
 	delay := backoff(failures, r.random.Float64())
 	var status *StatusError
@@ -126,7 +126,7 @@
 	return r.clock.Sleep(ctx, delay)
 }
 
-// isUnknownPage reports whether the platform no longer knows the page of a token, so that the read must restart.
+// isUnknownPage reports whether an error means that the platform rejected a page's token, so that the read must restart.
 func isUnknownPage(err error, token string) bool {
 	var status *StatusError
 	if token == "" || !errors.As(err, &status) {
--- a/internal/tier/platformlist/reader_test.go
+++ b/internal/tier/platformlist/reader_test.go
@@ -20,11 +20,11 @@
 	"mastusher/internal/tier/model"
 )
 
-// steppingClock moves only when somebody sleeps.
+// steppingClock is a clock that advances only by calls of Sleep.
 type steppingClock struct {
 	now    time.Time
 	slept  []time.Duration
-	onNext func() // runs at the next sleep
+	onNext func() // called at each Sleep
 }
 
 func (c *steppingClock) Now() time.Time { return c.now }
@@ -46,7 +46,7 @@
 	return sum
 }
 
-// platform serves a list, a few entries a page. answers, where set, comes first.
+// platform serves a list in pages of pageSize entries. The answers, unless nil, replace the first responses.
 type platform struct {
 	*httptest.Server
 	mutex    sync.Mutex
@@ -139,7 +139,7 @@
 		t.Error(diff)
 	}
 	if opened := server.opened.Load(); opened != 1 {
-		t.Errorf("%d connections", opened)
+		t.Errorf("%d connections were opened, want 1", opened)
 	}
 }
 
@@ -150,7 +150,7 @@
 		t.Fatal(err)
 	}
 	if clock.total() < 3900*time.Millisecond {
-		t.Errorf("40 pages in %v at 10 a second", clock.total())
+		t.Errorf("40 pages at 10 calls per second took %v, want at least 3.9s", clock.total())
 	}
 }
 
@@ -160,20 +160,20 @@
 		answer  func(http.ResponseWriter)
 		minWait time.Duration
 	}{
-		{name: "over the rate", answer: status(http.StatusTooManyRequests), minWait: 50 * time.Millisecond},
-		{name: "over the rate, with a wait", answer: status(http.StatusTooManyRequests, "Retry-After", "1.5"),
+		{name: "rate limit exceeded", answer: status(http.StatusTooManyRequests), minWait: 50 * time.Millisecond},
+		{name: "rate limit exceeded, with Retry-After", answer: status(http.StatusTooManyRequests, "Retry-After", "1.5"),
 			minWait: 1500 * time.Millisecond},
-		{name: "over the rate, with an endless wait", answer: status(http.StatusTooManyRequests, "Retry-After", "1e300"),
+		{name: "rate limit exceeded, with excessive Retry-After", answer: status(http.StatusTooManyRequests, "Retry-After", "1e300"),
 			minWait: 5 * time.Second},
-		{name: "broken platform", answer: status(http.StatusInternalServerError), minWait: 50 * time.Millisecond},
+		{name: "internal error", answer: status(http.StatusInternalServerError), minWait: 50 * time.Millisecond},
 		{name: "a redirect", answer: status(http.StatusFound, "Location", "http://127.0.0.1:1/"), minWait: 50 * time.Millisecond},
-		{name: "half a page", answer: body(`{"servers":[{"id":`), minWait: 50 * time.Millisecond},
-		{name: "another thing", answer: body(`{}`), minWait: 50 * time.Millisecond},
+		{name: "truncated page", answer: body(`{"servers":[{"id":`), minWait: 50 * time.Millisecond},
+		{name: "field servers missing", answer: body(`{}`), minWait: 50 * time.Millisecond},
 		{name: "closed connection", answer: func(http.ResponseWriter) { panic(http.ErrAbortHandler) }, minWait: 50 * time.Millisecond},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			// Given a platform whose second page fails once
+			// Given a platform whose second response fails once
 			want := endpoints(4)
 			server := startPlatform(t, 2, want...)
 			server.answers = []func(http.ResponseWriter){nil, c.answer}
@@ -188,10 +188,10 @@
 				t.Error(diff)
 			}
 			if clock.total() < c.minWait || clock.total() > c.minWait+time.Second {
-				t.Errorf("waited %v", clock.total())
+				t.Errorf("waited %v, want minWait to a second more", clock.total())
 			}
 			if first := strings.Join(server.queries, " "); strings.Count(first, "pageToken=p-2") < 2 {
-				t.Errorf("asked %v", server.queries)
+				t.Errorf("queries %v, want the second page at least twice", server.queries)
 			}
 		})
 	}
@@ -209,12 +209,12 @@
 		t.Error(diff)
 	}
 	if len(server.queries) != 4 {
-		t.Errorf("asked %v", server.queries)
+		t.Errorf("queries %v, want 4", server.queries)
 	}
 }
 
 func TestReadAll_EndlessList_EndsWithContext(t *testing.T) {
-	// Given a reader that knows the list, and a platform that goes
+	// Given a reader that has read the list, and a platform that then fails
 	want := endpoints(2)
 	server := startPlatform(t, 5, want...)
 	clock := &steppingClock{}
@@ -237,12 +237,12 @@
 		}
 	}
 	_, err = reader.ReadAll(ctx)
-	// Then the error says both why and after what
+	// Then the error wraps both the context's error and the last failure
 	var last *StatusError
 	if !errors.Is(err, context.Canceled) || !errors.As(err, &last) || last.Status != 503 {
-		t.Fatalf("got %v", err)
+		t.Fatalf("error %v, want context.Canceled and a StatusError with status 503", err)
 	}
-	// And what was known stays
+	// And after the next read, an endpoint that it misses once is kept
 	clock.onNext = nil
 	server.list = server.list[:1]
 	got, err := reader.ReadAll(t.Context())
--- a/internal/tier/platformlist/token_bucket_test.go
+++ b/internal/tier/platformlist/token_bucket_test.go
@@ -24,7 +24,7 @@
 				start++
 			}
 			if count := end - start + 1; float64(count) > max(rate+1, 2) {
-				t.Fatalf("%d calls in a second at a rate of %v", count, rate)
+				t.Fatalf("%d calls within a second, more than the rate of %v allows", count, rate)
 			}
 		}
 	})
@@ -38,6 +38,6 @@
 		waited += bucket.take(now)
 	}
 	if waited != 0 {
-		t.Errorf("waited %v for a few pages", waited)
+		t.Errorf("5 calls waited %v, want no wait within the burst", waited)
 	}
 }
--- a/internal/tier/transport/call.go
+++ b/internal/tier/transport/call.go
@@ -5,14 +5,14 @@
 	"errors"
 )
 
-// Call sends a request and waits for its answer until ctx ends, or DefaultCallTimeout if ctx has no deadline. Its error is a
-// *RemoteError of the handler, or else a *CallError. When the caller stops waiting, the handler's context ends. Method must
-// be a valid name, or Call panics.
+// Call sends a request and waits for its answer until ctx ends, or for DefaultCallTimeout if ctx has no deadline. The error is a
+// *RemoteError from the handler, or else a *CallError. When the caller stops waiting, the handler's context ends. Call panics if
+// method is not a valid name.
 func Call[Request, Answer any](ctx context.Context, pool *Pool, address, method string, request Request) (Answer, error) {
 	answer := new(Answer)
 	err := pool.call(ctx, address, method, request, answer)
 	if err != nil {
-		var none Answer // answer itself may still be written to
+		var none Answer // the reader may still write to *answer
 		return none, err
 	}
 	return *answer, nil
@@ -45,7 +45,7 @@
 	}
 }
 
-// submit queues a call. A connection that broke in the meantime is replaced once.
+// submit queues a call. If the connection has broken in the meantime, submit retries once on a new one.
 func (p *Pool) submit(address string, pending *pendingCall) (*clientConnection, error) {
 	for attempt := 0; ; attempt++ {
 		connection, err := p.connection(address)
--- a/internal/tier/transport/call_test.go
+++ b/internal/tier/transport/call_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestCall_ManyOnOneConnection_AnsweredOutOfOrder(t *testing.T) {
-	// Given a call whose handler blocks until others on the same connection have been answered
+	// Given a call whose handler blocks until other calls on the same connection have been answered
 	release := make(chan struct{})
 	handlers := echoHandlers()
 	Handle(handlers, "block", func(context.Context, string, question) (string, error) {
@@ -28,7 +28,7 @@
 		answer, _ := Call[question, string](ctx, pool, server.Address(), "block", question{})
 		blocked <- answer
 	}()
-	// When many more go out
+	// When many more calls are sent
 	var running sync.WaitGroup
 	for i := range 100 {
 		running.Go(func() {
@@ -41,27 +41,27 @@
 	}
 	running.Wait()
 	close(release)
-	// Then each got its own answer, the blocked one too, over one connection
+	// Then each call got its own answer, including the blocked one, over one connection
 	if got := receive(t, blocked); got != "unblocked" {
 		t.Errorf("got %q", got)
 	}
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	if len(server.connections) != 1 {
-		t.Errorf("%d connections", len(server.connections))
+		t.Errorf("%d connections, want 1", len(server.connections))
 	}
 }
 
-type orderError struct{}
+type kindedError struct{}
 
-func (orderError) Error() string { return "not now" }
+func (kindedError) Error() string { return "not now" }
 
-func (orderError) ErrorKind() string { return "busy_store" }
+func (kindedError) ErrorKind() string { return "busy_store" }
 
 func TestCall_HandlerFails_ReturnsItsKind(t *testing.T) {
 	handlers := NewHandlers()
 	failing := map[string]error{
-		"kinded": fmt.Errorf("wrapped: %w", orderError{}),
+		"kinded": fmt.Errorf("wrapped: %w", kindedError{}),
 		"plain":  errors.New("broken"),
 		"remote": &RemoteError{Kind: "fenced", Message: "epoch 7"},
 	}
--- a/internal/tier/transport/clientconnection.go
+++ b/internal/tier/transport/clientconnection.go
@@ -10,31 +10,31 @@
 	"time"
 )
 
-// pendingCall is a call that awaits its answer.
+// pendingCall is a call without an answer yet.
 type pendingCall struct {
 	id     uint64
 	method string
 	answer any // pointer into which the answer is decoded
 	frame  frame
-	done   chan error // buffered; gets exactly one result
+	done   chan error // buffered; receives exactly one result
 }
 
-// clientConnection is one connection of a pool. Its goroutine dials and reads; the outbox writes.
+// clientConnection is one connection of a pool. Its goroutine dials and reads; its outbox writes.
 type clientConnection struct {
 	peer     *peer
 	out      outbox
 	stopDial context.CancelFunc
 	dialCtx  context.Context
 
-	mutex    sync.Mutex // guards what follows
+	mutex    sync.Mutex // guards the fields below
 	pending  map[uint64]*pendingCall
 	socket   net.Conn
 	failed   bool
 	openedAt time.Time
-	received atomic.Bool // a line was received
+	received atomic.Bool // whether a line was received
 }
 
-// newClientConnection returns a connection that is not dialled yet: lines are queued until run has.
+// newClientConnection returns a connection that run dials; lines are queued until then.
 func newClientConnection(peer *peer) *clientConnection {
 	connection := &clientConnection{peer: peer, pending: map[uint64]*pendingCall{}}
 	connection.out.limits = peer.pool.limits
@@ -45,7 +45,7 @@
 	return connection
 }
 
-// run dials and reads until the connection breaks, or fail closes its socket or ends its dial. Pool.Close waits for it.
+// run dials and reads until the connection breaks or fail closes the socket or cancels the dial. Pool.Close waits for run.
 func (c *clientConnection) run() {
 	socket, err := c.peer.pool.network.Dial(c.dialCtx, newDialer(), "tcp4", c.peer.address)
 	if err != nil {
@@ -60,7 +60,7 @@
 	c.fail(c.read(socket))
 }
 
-// setSocket stores the dialled socket; false: the connection has failed meanwhile.
+// setSocket stores the dialled socket, or returns false if the connection has failed in the meantime.
 func (c *clientConnection) setSocket(socket net.Conn) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -72,7 +72,7 @@
 	return true
 }
 
-// read handles the lines of the connection until one breaks it.
+// read handles received lines until reading or a line fails.
 func (c *clientConnection) read(socket net.Conn) error {
 	reader := newLineReader(socket, c.peer.pool.limits.lineBytes)
 	for {
@@ -86,14 +86,14 @@
 	}
 }
 
-// handleLine handles one line; an error breaks the connection.
+// handleLine handles one line. The caller breaks the connection on an error.
 func (c *clientConnection) handleLine(text []byte) error {
 	parsed, err := parseLine(text)
 	if err != nil {
 		return err
 	}
 	if parsed.kind != answerLine && parsed.kind != errorLine {
-		return fmt.Errorf("%w: %s isn't for a caller", ErrBadLine, parsed.kind)
+		return fmt.Errorf("%w: client received a line of kind %s", ErrBadLine, parsed.kind)
 	}
 	c.received.Store(true)
 	pending := c.removePending(parsed.id)
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// removePending removes a pending call, so that it gets one result only.
+// removePending removes and returns a pending call, so that it gets only one result; nil if there is none.
 func (c *clientConnection) removePending(id uint64) *pendingCall {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -117,7 +117,7 @@
 	return pending
 }
 
-// decodeResult decodes an answer, or a handler's error, which it returns.
+// decodeResult decodes an answer into pending.answer, or returns the decoded error of the handler.
 func (c *clientConnection) decodeResult(pending *pendingCall, parsed line) error {
 	var err error
 	if parsed.kind == errorLine {
@@ -135,12 +135,12 @@
 	return c.callError(pending, true, err)
 }
 
-// callError returns the error of a call on this connection.
+// callError returns a CallError for a call on this connection.
 func (c *clientConnection) callError(pending *pendingCall, mayHaveArrived bool, cause error) *CallError {
 	return &CallError{Address: c.peer.address, Method: pending.method, MayHaveArrived: mayHaveArrived, Cause: cause}
 }
 
-// submit queues a call; ErrClosed means that the connection has broken.
+// submit queues a call. It returns ErrClosed if the connection has broken.
 func (c *clientConnection) submit(pending *pendingCall) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -154,7 +154,8 @@
 	return nil
 }
 
-// abandon gives up a call whose caller stops waiting, unless its result is there. A request that was written is cancelled.
+// abandon ends a call whose caller stops waiting, or returns its result if there is one. If the request was handed to the writer, a
+// cancel is sent.
 func (c *clientConnection) abandon(pending *pendingCall, cause error) error {
 	if c.removePending(pending.id) == nil {
 		return c.completed(pending, cause)
@@ -166,7 +167,7 @@
 	return c.callError(pending, written, cause)
 }
 
-// completed returns the result of a call that is no longer pending, or cause if the result is not sent yet.
+// completed returns the result of a call that is no longer pending, or a CallError with cause if the result is not available yet.
 func (c *clientConnection) completed(pending *pendingCall, cause error) error {
 	select {
 	case err := <-pending.done:
@@ -176,7 +177,7 @@
 	}
 }
 
-// sendCancel is best effort: a lost cancel costs only the handler's time.
+// sendCancel cancels a call on a best-effort basis: if the cancel is lost, the handler runs on needlessly.
 func (c *clientConnection) sendCancel(id uint64) {
 	encoded, err := encodeLine(cancelLine, id, "", nil, c.peer.pool.limits.lineBytes)
 	if err == nil {
@@ -184,7 +185,7 @@
 	}
 }
 
-// fail breaks the connection and fails every pending call. It may be called more than once; the first cause counts.
+// fail breaks the connection and fails every pending call. Only the first call has an effect.
 func (c *clientConnection) fail(cause error) {
 	c.mutex.Lock()
 	if c.failed {
--- a/internal/tier/transport/datagram.go
+++ b/internal/tier/transport/datagram.go
@@ -8,8 +8,8 @@
 	"github.com/go-kit/log/level"
 )
 
-// SendDatagram sends a payload to an address (IP:port) once; it may be lost. A *TooLongError means that it exceeds
-// MaxDatagramBytes.
+// SendDatagram sends a payload to an address (IP:port) once, without a guarantee of delivery. It returns a *TooLongError if the
+// payload exceeds MaxDatagramBytes.
 func (s *Server) SendDatagram(address string, payload []byte) error {
 	if len(payload) > MaxDatagramBytes {
 		return &TooLongError{Bytes: len(payload), Bound: MaxDatagramBytes}
@@ -22,11 +22,11 @@
 	return err
 }
 
-// readDatagrams hands datagrams to the handler until Close closes their socket; Close waits for it.
+// readDatagrams passes datagrams to the handler until Close closes the socket. Close waits for readDatagrams.
 func (s *Server) readDatagrams() {
 	defer s.running.Done()
-	buffer := make([]byte, MaxDatagramBytes+1) // one more byte shows a payload over the bound
-	names := map[netip.AddrPort]string{}
+	buffer := make([]byte, MaxDatagramBytes+1) // the extra byte reveals a payload over the bound
+	cache := map[netip.AddrPort]string{}
 	for {
 		count, sender, err := s.packets.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -39,20 +39,20 @@
 		if count > MaxDatagramBytes {
 			continue
 		}
-		s.handlers.datagram(nameOf(names, sender), buffer[:count])
+		s.handlers.datagram(addressText(cache, sender), buffer[:count])
 	}
 }
 
-// nameOf returns a sender's address as text, from a cache of maxCachedAddresses.
-func nameOf(names map[netip.AddrPort]string, sender netip.AddrPort) string {
-	name, known := names[sender]
+// addressText returns a sender's address as text. The cache holds up to maxCachedAddresses texts and is then cleared.
+func addressText(cache map[netip.AddrPort]string, sender netip.AddrPort) string {
+	text, known := cache[sender]
 	if known {
-		return name
+		return text
 	}
-	if len(names) >= maxCachedAddresses {
-		clear(names)
+	if len(cache) >= maxCachedAddresses {
+		clear(cache)
 	}
-	name = netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port()).String()
-	names[sender] = name
-	return name
+	text = netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port()).String()
+	cache[sender] = text
+	return text
 }
--- a/internal/tier/transport/encode.go
+++ b/internal/tier/transport/encode.go
@@ -7,10 +7,10 @@
 	"sync"
 )
 
-// lineBuffers pools the buffers of encoded lines.
+// lineBuffers pools buffers for encoded lines.
 var lineBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// releaseLine returns a buffer to the pool. The line must not be used after it.
+// releaseLine returns the buffer of a line to the pool. The line must not be used afterwards.
 func releaseLine(buffer *bytes.Buffer) {
 	if buffer.Cap() > maxPooledLineBytes {
 		return
@@ -19,16 +19,16 @@
 	lineBuffers.Put(buffer)
 }
 
-// Appender is a body that encodes itself. It is for large values that are JSON already: encoding/json would validate each of
-// them again, for every receiver.
+// Appender is a body that encodes itself. It is meant for large values that are already JSON, which encoding/json would validate
+// again for every receiver.
 type Appender interface {
-	// AppendJSON appends the body as encoding/json would encode it. A result with line feeds is dropped and encoding/json
-	// encodes the body.
+	// AppendJSON appends the body as encoding/json would encode it. If the result contains a line feed it is discarded, and
+	// encoding/json encodes the body instead.
 	AppendJSON(buffer []byte) ([]byte, error)
 }
 
-// encodeLine encodes a line into a pooled buffer, for which the caller must call releaseLine once. A *TooLongError means that
-// it exceeds the bound, in bytes; any other error is of the encoding of the body.
+// encodeLine encodes a line into a pooled buffer, which must be passed to releaseLine once. It returns a *TooLongError if the line
+// has more than bound bytes; any other error comes from encoding the body.
 func encodeLine(kind lineKind, id uint64, method string, body any, bound int) (*bytes.Buffer, error) {
 	buffer := lineBuffers.Get().(*bytes.Buffer)
 	buffer.WriteString(`{"`)
@@ -56,7 +56,7 @@
 	return buffer, nil
 }
 
-// encodeBody appends a body without a line feed.
+// encodeBody appends the JSON of a body without a line feed.
 func encodeBody(buffer *bytes.Buffer, body any) error {
 	if appender, ok := body.(Appender); ok {
 		written, err := appender.AppendJSON(buffer.AvailableBuffer())
@@ -70,6 +70,6 @@
 	if err := encoder.Encode(body); err != nil {
 		return err
 	}
-	buffer.Truncate(buffer.Len() - 1) // the encoder's line feed
+	buffer.Truncate(buffer.Len() - 1) // drops the encoder's line feed
 	return nil
 }
--- a/internal/tier/transport/errors.go
+++ b/internal/tier/transport/errors.go
@@ -5,27 +5,27 @@
 	"fmt"
 )
 
-// The kinds of RemoteError that the package itself answers with.
+// The kinds of RemoteError that the server itself returns.
 const (
-	KindInternal      = "internal"       // an error without a kind of its own, of the handler or of encoding the answer
-	KindUnknownMethod = "unknown_method" // nothing is registered under the name
-	KindBadRequest    = "bad_request"    // the body does not fit the handler's type
-	KindBusy          = "busy"           // too many handlers run for the connection; this one was not started
+	KindInternal      = "internal"       // the handler's error has no kind, or encoding the answer failed
+	KindUnknownMethod = "unknown_method" // no handler is registered for the method
+	KindBadRequest    = "bad_request"    // the body does not match the handler's type, or the number is in use
+	KindBusy          = "busy"           // too many handlers are running for the connection; this one was not started
 	KindTooLong       = "too_long"       // the answer exceeds MaxLineBytes
 )
 
 var (
-	// ErrClosed means that the pool, or the connection to the peer, was closed.
-	ErrClosed = errors.New("link: closed")
-	// ErrBackoff means that the peer could not be reached recently and is not dialled again before the backoff is over.
-	ErrBackoff = errors.New("link: waiting before the next dial")
+	// ErrClosed means that the pool or the connection to the peer was closed.
+	ErrClosed = errors.New("transport: pool or connection is closed")
+	// ErrBackoff means that the last dial of the peer failed and the backoff is not over.
+	ErrBackoff = errors.New("transport: peer is not dialled during the backoff after a failure")
 	// ErrQueueFull means that too many bytes are queued for the peer.
-	ErrQueueFull = errors.New("link: queue full")
-	// ErrBadLine means that the other side sent bytes that are no line of this protocol.
-	ErrBadLine = errors.New("link: bad line")
+	ErrQueueFull = errors.New("transport: send queue of the peer is full")
+	// ErrBadLine means that the peer sent a line that is not part of the protocol.
+	ErrBadLine = errors.New("transport: malformed line")
 )
 
-// RemoteError is the error of a handler as the other side sent it.
+// RemoteError is an error that the peer returned for a call or stream.
 type RemoteError struct {
 	Kind    string `json:"kind"`
 	Message string `json:"message"`
@@ -41,11 +41,11 @@
 	return e.Kind
 }
 
-// CallError means that a call or stream got no answer.
+// CallError means that a call or stream failed without an error from the peer.
 type CallError struct {
 	Address string // of the peer
 	Method  string
-	// MayHaveArrived is false only if no byte of the request was written: then the call may be repeated without a duplicate.
+	// MayHaveArrived is false only if no byte of the request was written, so that a retry cannot execute the request twice.
 	MayHaveArrived bool
 	Cause          error
 }
@@ -60,7 +60,7 @@
 	return e.Cause
 }
 
-// MayHaveArrived reports whether a failed call may have run at the other side. It is true for an error of the handler itself.
+// MayHaveArrived reports whether a failed call may have reached the peer. It is true for every RemoteError.
 func MayHaveArrived(err error) bool {
 	var call *CallError
 	if errors.As(err, &call) {
@@ -70,15 +70,15 @@
 	return errors.As(err, &remote)
 }
 
-// TooLongError means that a line or datagram exceeds its bound.
+// TooLongError means that a line or datagram exceeds its size limit.
 type TooLongError struct {
-	Bytes int // of the line or datagram, as far as they were read
+	Bytes int // size of the line or datagram, or the bytes read of it so far
 	Bound int
 }
 
 // Error returns both sizes.
 func (e *TooLongError) Error() string {
-	return fmt.Sprintf("link: %d bytes are over the bound of %d", e.Bytes, e.Bound)
+	return fmt.Sprintf("transport: line or datagram of %d bytes exceeds the limit of %d", e.Bytes, e.Bound)
 }
 
 // errorKinder is an error with a kind, see package apierror.
@@ -86,7 +86,7 @@
 	ErrorKind() string
 }
 
-// toRemoteError returns the error that is sent for a handler's error.
+// toRemoteError converts a handler's error to the error that is sent to the caller.
 func toRemoteError(err error) *RemoteError {
 	var remote *RemoteError
 	if errors.As(err, &remote) {
--- a/internal/tier/transport/handlers.go
+++ b/internal/tier/transport/handlers.go
@@ -7,7 +7,7 @@
 	"fmt"
 )
 
-// Handlers maps methods to what a server runs for them. All must be registered before the server listens.
+// Handlers maps methods to their handlers. All must be registered before the server listens.
 type Handlers struct {
 	calls    map[string]decodeCall
 	streams  map[string]decodeStream
@@ -17,7 +17,7 @@
 }
 
 type (
-	// decodeCall, decodeStream and noticeHandler must decode the body before they return, as the read buffer is reused.
+	// decodeCall, decodeStream and noticeHandler must decode the body before they return, as its buffer is reused.
 	decodeCall    func(from string, body []byte) (callFunc, error)
 	callFunc      func(ctx context.Context) (any, error)
 	decodeStream  func(body []byte) (streamFunc, error)
@@ -34,8 +34,8 @@
 	}
 }
 
-// Handle registers the handler of calls of a method. Each call runs in a goroutine of its own; its context ends when the
-// caller stops waiting or the connection breaks. An error with an ErrorKind method reaches the caller with that kind.
+// Handle registers the handler for calls of a method. Each call runs in its own goroutine; its context ends when the caller stops
+// waiting or the connection breaks. An error with an ErrorKind method is returned to the caller with that kind.
 func Handle[Request, Answer any](handlers *Handlers, method string, handle func(ctx context.Context, from string, request Request) (Answer, error)) {
 	mustBeValidMethod(method)
 	handlers.calls[method] = func(from string, body []byte) (callFunc, error) {
@@ -49,8 +49,8 @@
 	}
 }
 
-// HandleNotice registers the handler of notices of a method. It runs in the connection's reader, one notice after the other,
-// and must not block.
+// HandleNotice registers the handler for notices of a method. The handler runs in the connection's reader, for one notice after the
+// other, and must not block.
 func HandleNotice[Notice any](handlers *Handlers, method string, handle func(from string, notice Notice)) {
 	mustBeValidMethod(method)
 	handlers.notices[method] = func(from string, body []byte) error {
@@ -63,8 +63,8 @@
 	}
 }
 
-// HandleStream registers the handler of streams of a method. send waits while the other side does not read. The context ends
-// with the connection; the stream ends when the handler returns.
+// HandleStream registers the handler for streams of a method. send blocks while the peer does not read. The context ends with the
+// connection; the stream ends when the handler returns.
 func HandleStream[Request, Item any](handlers *Handlers, method string, handle func(ctx context.Context, request Request, send func(Item) error) error) {
 	mustBeValidMethod(method)
 	handlers.streams[method] = func(body []byte) (streamFunc, error) {
@@ -78,22 +78,23 @@
 	}
 }
 
-// Measure makes a meter count what servers with these handlers send on connections. It must be called before they listen.
+// Measure sets the meter that counts what servers with these handlers send on connections. It must be called before they listen.
 func (h *Handlers) Measure(meter Meter) { h.meter = meter }
 
-// HandleDatagram sets the handler of datagrams, which gets one after the other. It must not block, nor keep the payload.
+// HandleDatagram sets the handler for datagrams, which is called for one datagram after the other. The handler must not block and
+// must not retain the payload.
 func (h *Handlers) HandleDatagram(handle func(from string, payload []byte)) {
 	h.datagram = handle
 }
 
-// mustBeValidMethod panics on a method that can't stand in a line: a mistake of the programmer.
+// mustBeValidMethod panics if a method cannot be written in a line without escapes, which is a programming error.
 func mustBeValidMethod(method string) {
 	if !validMethod(method) {
-		panic(fmt.Sprintf("link: %q can't name a method", method))
+		panic(fmt.Sprintf("transport: invalid method %q, want printable ASCII without spaces, quotes and backslashes", method))
 	}
 }
 
-// decode decodes a body. ErrBadLine means that it is no JSON; any other error, that it doesn't fit the type.
+// decode decodes a body. The error is ErrBadLine if the body is not JSON, and another one if it does not match the type of target.
 func decode(body []byte, target any) error {
 	if body == nil {
 		return nil
--- a/internal/tier/transport/helpers_test.go
+++ b/internal/tier/transport/helpers_test.go
@@ -18,7 +18,7 @@
 	Text string `json:"text"`
 }
 
-// testTimeout bounds every wait of a test that goes as it should.
+// testTimeout bounds every wait in tests; only a failing test reaches it.
 const testTimeout = 10 * time.Second
 
 func testContext(t testing.TB) context.Context {
@@ -57,12 +57,12 @@
 	case value := <-from:
 		return value
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("no value received within testTimeout")
 		panic("unreachable")
 	}
 }
 
-// startRaw accepts connections and hands each to serve.
+// startRaw listens without a Server, passes each accepted connection to serve, and returns the address.
 func startRaw(t testing.TB, serve func(net.Conn)) string {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/tier/transport/line.go
+++ b/internal/tier/transport/line.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// lineKind is the first key of a line. It travels.
+// lineKind is the first key of a line and part of the protocol.
 type lineKind string
 
 const (
@@ -16,18 +16,18 @@
 	endLine    lineKind = "end"
 )
 
-// lineKinds lists all kinds, the most frequent first.
+// lineKinds lists all kinds in descending order of frequency.
 var lineKinds = []lineKind{callLine, answerLine, noticeLine, itemLine, errorLine, cancelLine, streamLine, endLine}
 
-// line is a parsed line. Its slices point into the read buffer and are valid until the next line is read.
+// line is a parsed line. Its slices alias the read buffer and are valid until the next line is read.
 type line struct {
 	kind   lineKind
 	id     uint64
 	method []byte
-	body   []byte // not validated JSON; nil: there is none
+	body   []byte // unvalidated JSON; nil if the line has no body
 }
 
-// parseLine parses a line without its line feed; the error is ErrBadLine. The body is validated where it is decoded.
+// parseLine parses a line without its line feed. The error is ErrBadLine. The body is validated only when it is decoded.
 func parseLine(text []byte) (line, error) {
 	rest, ok := bytes.CutPrefix(text, []byte(`{"`))
 	if !ok {
@@ -62,7 +62,7 @@
 	return parsed, nil
 }
 
-// parseKind returns the kind that the text begins with, and the text behind its colon. An empty kind means that it begins with none.
+// parseKind returns the kind at the start of the text, or an empty kind if there is none, and the text after its colon.
 func parseKind(rest []byte) (lineKind, []byte) {
 	end := bytes.IndexByte(rest, '"')
 	if end < 0 || end+1 >= len(rest) || rest[end+1] != ':' {
@@ -76,11 +76,11 @@
 	return "", rest
 }
 
-// maxNumberDigits bounds a number so that it can't overflow.
+// maxNumberDigits bounds the digits of a number, so that it cannot overflow.
 const maxNumberDigits = 18
 
-// parseNumber returns the number that the text begins with, and the text behind it. false: it begins with none, or with one of more
-// than maxNumberDigits.
+// parseNumber returns the number at the start of the text and the text after it, or false if there is no number or it has more than
+// maxNumberDigits digits.
 func parseNumber(rest []byte) (uint64, []byte, bool) {
 	var number uint64
 	digits := 0
@@ -91,7 +91,7 @@
 	return number, rest[digits:], digits > 0 && digits <= maxNumberDigits
 }
 
-// validMethod reports whether a name can stand in a line without escapes.
+// validMethod reports whether a method is not empty and can be written in a line without escapes.
 func validMethod(method string) bool {
 	for i := range len(method) {
 		c := method[i]
--- a/internal/tier/transport/line_test.go
+++ b/internal/tier/transport/line_test.go
@@ -30,9 +30,9 @@
 		{name: "no number", text: `{"call":"7"}`, err: ErrBadLine},
 		{name: "a number that overflows", text: `{"call":99999999999999999999}`, err: ErrBadLine},
 		{name: "an empty method", text: `{"call":7,"method":""}`, err: ErrBadLine},
-		{name: "an open method", text: `{"call":7,"method":"x}`, err: ErrBadLine},
-		{name: "an unknown part", text: `{"call":7,"more":1}`, err: ErrBadLine},
-		{name: "no end", text: `{"call":7`, err: ErrBadLine},
+		{name: "an unterminated method", text: `{"call":7,"method":"x}`, err: ErrBadLine},
+		{name: "an unknown key", text: `{"call":7,"more":1}`, err: ErrBadLine},
+		{name: "no closing brace", text: `{"call":7`, err: ErrBadLine},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -70,12 +70,12 @@
 			t.Fatal(err)
 		}
 		wantBody := map[string]string{}
-		plain, _ := json.Marshal(body) // strings that are not UTF-8 change on their way
+		plain, _ := json.Marshal(body) // encoding changes strings that are not UTF-8
 		if err := json.Unmarshal(plain, &wantBody); err != nil {
 			t.Fatal(err)
 		}
 		if got.kind != kind || got.id != id || string(got.method) != method || !cmp.Equal(gotBody, wantBody) {
-			t.Fatalf("%s %d %s %v came back as %s", kind, id, method, body, text)
+			t.Fatalf("%s %d %s %v differs after encoding as %s", kind, id, method, body, text)
 		}
 	})
 }
@@ -121,7 +121,7 @@
 			}
 		}
 		if _, err := reader.next(); err != io.EOF {
-			t.Fatalf("at the end: %v", err)
+			t.Fatalf("error %v after the last line, want EOF", err)
 		}
 	})
 }
@@ -155,6 +155,6 @@
 		}
 	}
 	if len(reader.buffer) != initialReadBytes {
-		t.Errorf("%d bytes are kept", len(reader.buffer))
+		t.Errorf("buffer of %d bytes is kept, want initialReadBytes", len(reader.buffer))
 	}
 }
--- a/internal/tier/transport/mutants_test.go
+++ b/internal/tier/transport/mutants_test.go
@@ -10,7 +10,7 @@
 	change := func(from, to string) mutation.Change { return mutation.Change{File: "pack.go", Old: from, New: to} }
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name:   "a reader drops the dictionary",
+			Name:   "a reader does not extend its dictionary",
 			Change: change("\tu.dictionary.add(text)\n", ""),
 			Run:    "^TestPacker_AnyBatches_ReaderGivesEveryLine$",
 			Always: true,
--- a/internal/tier/transport/notify.go
+++ b/internal/tier/transport/notify.go
@@ -1,7 +1,7 @@
 package transport
 
-// Notify queues a message that is not answered, and never waits. It may be lost: if the peer can't be reached, if the
-// connection breaks, and if the peer does not read, the oldest first. An error means that it was not queued.
+// Notify queues a message without an answer and never blocks. The message is lost if the peer cannot be reached or the connection
+// breaks; if the peer does not read, the oldest messages are dropped. An error means that the message was not queued.
 func Notify[Notice any](pool *Pool, address, method string, notice Notice) error {
 	connection, frame, err := newNotice(pool, address, method, notice)
 	if err != nil {
@@ -11,8 +11,8 @@
 	return nil
 }
 
-// NotifyBulk is Notify for what is large and may wait, such as the chunks of a snapshot: it goes when nothing else is queued for the
-// peer. A message beyond the bound of such ones is dropped, the newest first.
+// NotifyBulk is Notify for large messages that can wait, such as the chunks of a snapshot. They are sent only when nothing else is
+// queued for the peer. If too many bytes of them are queued, a new one is dropped and ErrQueueFull returned.
 func NotifyBulk[Notice any](pool *Pool, address, method string, notice Notice) error {
 	connection, frame, err := newNotice(pool, address, method, notice)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// newNotice encodes a notice for the connection to a peer.
+// newNotice encodes a notice and returns it with the connection to the peer.
 func newNotice[Notice any](pool *Pool, address, method string, notice Notice) (*clientConnection, *frame, error) {
 	mustBeValidMethod(method)
 	connection, err := pool.connection(address)
--- a/internal/tier/transport/notify_test.go
+++ b/internal/tier/transport/notify_test.go
@@ -50,14 +50,14 @@
 	address := startRaw(t, func(net.Conn) { <-silent })
 	t.Cleanup(func() { close(silent) })
 	pool := startPool(t)
-	// When more notices go out than it can hold
+	// When more notices are sent than the queue can hold
 	text := strings.Repeat("x", 64<<10)
 	for range 400 {
 		if err := Notify(pool, address, "offer", text); err != nil {
 			t.Fatal(err)
 		}
 	}
-	// Then what waits is bounded
+	// Then the queue is bounded
 	connection, err := pool.connection(address)
 	if err != nil {
 		t.Fatal(err)
@@ -66,9 +66,9 @@
 	waiting := connection.out.noticeBytes
 	connection.out.mutex.Unlock()
 	if waiting > pool.limits.noticeBytes {
-		t.Errorf("%d bytes wait", waiting)
+		t.Errorf("%d bytes of notices are queued, more than the limit", waiting)
 	}
-	// And calls fail by their deadline
+	// And calls fail at their deadline
 	ctx, cancel := context.WithTimeout(testContext(t), 50*time.Millisecond)
 	defer cancel()
 	if _, err := Call[question, reply](ctx, pool, address, "echo", question{}); !errors.Is(err, context.DeadlineExceeded) {
--- a/internal/tier/transport/outbox.go
+++ b/internal/tier/transport/outbox.go
@@ -8,40 +8,39 @@
 	"sync"
 )
 
-// frame is one queued line.
+// frame is an encoded line in the queue of an outbox.
 type frame struct {
 	line *bytes.Buffer
 	kind string // for the meter
-	// dequeued is set when the line is handed to the writer. The outbox's mutex guards it.
+	// dequeued is set when the line is passed to the writer. The outbox's mutex guards it.
 	dequeued bool
 }
 
-// outbox is the send queue of one connection. A goroutine writes while something is queued, several lines in one write; see
-// writer.go.
+// outbox is the send queue of one connection. While lines are queued, a goroutine writes them in batches; see writer.go.
 type outbox struct {
 	limits       limits
-	running      *sync.WaitGroup // counts the writer, for its owner's Close
+	running      *sync.WaitGroup // counts the writer, so that Close of the pool or server waits for it
 	onWriteError func(error)     // called once after a failed write, without the mutex
 
 	packer  packer // used by the writer only
-	packing bool   // lines are packed, as they go to another machine
-	meter   Meter  // nil: nothing is counted
-	address string // of the other end, for the meter
+	packing bool   // whether lines are packed, as the peer is another machine
+	meter   Meter  // nil: no counting
+	address string // of the peer, for the meter
 
-	mutex       sync.Mutex // guards what follows
-	socket      net.Conn   // nil until the dial is done
+	mutex       sync.Mutex // guards the fields below
+	socket      net.Conn   // nil until dialled
 	queue       []*frame   // calls, answers and items, which must not be dropped
 	queueBytes  int
 	notices     []*frame
 	noticeBytes int
-	bulk        []*frame // notices that yield to all else
+	bulk        []*frame // notices that are sent only when nothing else is queued
 	bulkBytes   int
-	writing     bool // a writer runs
+	writing     bool // whether a writer is running
 	closed      bool
-	space       chan struct{} // closed when the queue has shrunk; nil: nobody waits
+	space       chan struct{} // closed when the queue has space; nil if nobody waits
 }
 
-// start sets the connection and writes what is queued.
+// start sets the socket and starts writing the queued lines.
 func (o *outbox) start(socket net.Conn) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -51,7 +50,7 @@
 	o.startWriterLocked()
 }
 
-// push queues a line that must not be dropped. It fails with ErrClosed or ErrQueueFull; a line always fits an empty queue.
+// push queues a line that must not be dropped. It fails with ErrClosed or ErrQueueFull. An empty queue accepts a line of any size.
 func (o *outbox) push(queued *frame) error {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -65,14 +64,14 @@
 	return nil
 }
 
-// pushLocked appends a line to the queue, whatever its size.
+// pushLocked appends a line of any size to the queue. The caller holds the mutex.
 func (o *outbox) pushLocked(queued *frame) {
 	o.queue = append(o.queue, queued)
 	o.queueBytes += queued.line.Len()
 	o.startWriterLocked()
 }
 
-// pushWait queues a line, and waits while more than streamBacklogBytes are queued.
+// pushWait queues a line, after waiting while streamBacklogBytes or more are queued.
 func (o *outbox) pushWait(ctx context.Context, queued *frame) error {
 	for {
 		space, err := o.pushOrWait(queued)
@@ -87,7 +86,7 @@
 	}
 }
 
-// pushOrWait queues the line, or returns a channel that closes when there may be space.
+// pushOrWait queues a line, or returns a channel that is closed when there may be space.
 func (o *outbox) pushOrWait(queued *frame) (<-chan struct{}, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -104,7 +103,7 @@
 	return o.space, nil
 }
 
-// pushNotice queues a notice, drops the oldest ones beyond the bound and returns how many.
+// pushNotice queues a notice, drops the oldest notices beyond the limit and returns the number dropped.
 func (o *outbox) pushNotice(queued *frame) int {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -126,7 +125,8 @@
 	return dropped
 }
 
-// pushBulk queues a notice that yields to all else. One beyond the bound is dropped, and false returned; one always fits.
+// pushBulk queues a bulk notice, or drops it and returns false if it would exceed the limit. An empty queue accepts a notice of any
+// size.
 func (o *outbox) pushBulk(queued *frame) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -140,7 +140,7 @@
 	return true
 }
 
-// withdraw removes a queued line, and reports whether it was dequeued already, so that bytes of it may be written.
+// withdraw removes a line from the queue. It returns true if the writer already has the line, and may have written bytes of it.
 func (o *outbox) withdraw(queued *frame) (dequeued bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -156,7 +156,7 @@
 	return false
 }
 
-// close drops what is queued; later pushes fail.
+// close drops all queued lines; later pushes fail.
 func (o *outbox) close() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -167,7 +167,7 @@
 	o.signalSpaceLocked()
 }
 
-// signalSpaceLocked wakes those that wait for space.
+// signalSpaceLocked wakes the goroutines that wait for space. The caller holds the mutex.
 func (o *outbox) signalSpaceLocked() {
 	if o.space != nil {
 		close(o.space)
--- a/internal/tier/transport/outbox_test.go
+++ b/internal/tier/transport/outbox_test.go
@@ -13,17 +13,17 @@
 }
 
 func TestOutbox_NoticesOverTheBound_DropsTheOldest(t *testing.T) {
-	// Given a queue that holds three notices and is not written
+	// Given a queue that can hold three notices and is not being written
 	out := outbox{limits: limits{noticeBytes: 6, queuedBytes: 4}}
 	dropped := 0
 	for _, text := range []string{"1\n", "2\n", "3\n", "4\n", "5\n"} {
 		dropped += out.pushNotice(queuedFrame(text))
 	}
-	// Then the newest three are left
+	// Then the newest three remain
 	var batch bytes.Buffer
 	out.nextBatch(&batch)
 	if batch.String() != "3\n4\n5\n" || dropped != 2 {
-		t.Errorf("%q is left, %d dropped", batch.String(), dropped)
+		t.Errorf("%q remains and %d dropped, want the newest three and 2", batch.String(), dropped)
 	}
 }
 
@@ -31,21 +31,21 @@
 	out := outbox{limits: limits{noticeBytes: 4, queuedBytes: 4}}
 	first, second := queuedFrame("too long alone\n"), queuedFrame("2\n")
 	if err := out.push(first); err != nil {
-		t.Fatalf("one call always fits: %v", err)
+		t.Fatalf("an empty queue rejects a call: %v", err)
 	}
 	if err := out.push(second); err != ErrQueueFull {
 		t.Fatalf("got %v", err)
 	}
 	if out.withdraw(first) {
-		t.Error("counted as dequeued")
+		t.Error("a queued call was reported as dequeued")
 	}
 	if err := out.push(second); err != nil {
-		t.Errorf("after the withdrawal: %v", err)
+		t.Errorf("the queue rejects a call after the other was withdrawn: %v", err)
 	}
 	var batch bytes.Buffer
 	out.nextBatch(&batch)
 	if !out.withdraw(second) || batch.String() != "2\n" {
-		t.Errorf("not counted as dequeued; batch %q", batch.String())
+		t.Errorf("the second call was not reported as dequeued, or the batch %q is wrong", batch.String())
 	}
 }
 
@@ -75,18 +75,18 @@
 }
 
 func TestOutbox_BulkNotices_YieldToAllElse(t *testing.T) {
-	// Given bulk notices that wait, of which one is beyond the bound,
+	// Given a queued bulk notice and another one beyond the limit,
 	out := outbox{limits: limits{noticeBytes: 100, queuedBytes: 100, bulkBytes: 6}}
 	if !out.pushBulk(queuedFrame("b1b1\n")) {
-		t.Fatal("not queued")
+		t.Fatal("the first bulk notice was not queued")
 	}
 	if out.pushBulk(queuedFrame("b2\n")) {
-		t.Fatal("queued beyond the bound")
+		t.Fatal("a bulk notice beyond the limit was queued")
 	}
-	// when others come after them,
+	// when other lines are queued afterwards,
 	out.pushNotice(queuedFrame("n\n"))
 	_ = out.push(queuedFrame("c\n"))
-	// then these go first, and the bulk notices in a batch of their own.
+	// then these are written first, and the bulk notice in a batch of its own.
 	var got []string
 	for {
 		var batch bytes.Buffer
@@ -99,6 +99,6 @@
 		t.Error(diff)
 	}
 	if !out.pushBulk(queuedFrame("longer than the bound\n")) {
-		t.Error("one alone isn't queued")
+		t.Error("an empty queue rejects a bulk notice longer than the limit")
 	}
 }
--- a/internal/tier/transport/pack.go
+++ b/internal/tier/transport/pack.go
@@ -12,48 +12,48 @@
 	"github.com/klauspost/compress/flate"
 )
 
-// Bounds of packing, in bytes. Lines between two machines resemble each other, and binary data stands in them as text:
-// compressed, they take about half.
+// Bounds of packing, in bytes. Lines between two machines resemble each other and contain binary data as base64, so that compression
+// about halves their size.
 const (
 	minPackBytes    = 96        // shorter batches are not packed
-	maxPackBytes    = 512 << 10 // longer ones neither: compressing them would keep a small machine busy for long
-	dictionaryBytes = 3 << 10   // of the preset dictionary; a longer one costs more time than it saves bytes
+	maxPackBytes    = 512 << 10 // longer batches are not packed either: compressing them would occupy a small machine for too long
+	dictionaryBytes = 3 << 10   // of the preset dictionary; with a longer one the extra time outweighs the bytes saved
 )
 
-// Every batch of lines is a complete stream with the text of the last ones as its dictionary: a compressor per connection
+// Every packed batch is a complete deflate stream whose dictionary is the text of the batches before. A compressor per connection
 // would take a hundred times the memory.
 const (
-	packedPrefix = `{"packed":` // then the number of bytes that follow the line
+	packedPrefix = `{"packed":` // followed by the length in bytes of the stream after the line
 	packedSuffix = "}"
 )
 
-// Why packed lines break their connection; both are ErrBadLine.
+// Errors of packed lines, after which the connection must be closed. Both wrap ErrBadLine.
 var (
-	errPackedLength = fmt.Errorf("%w: packed lines without their length", ErrBadLine)
-	errPackedEnd    = fmt.Errorf("%w: packed lines don't end with a line", ErrBadLine)
+	errPackedLength = fmt.Errorf("%w: packed lines have no valid length", ErrBadLine)
+	errPackedEnd    = fmt.Errorf("%w: packed lines do not end with a line feed at the end of their stream", ErrBadLine)
 )
 
-// dictionary is the text of the last packed lines of one direction of a connection. Both sides must keep the same.
+// dictionary is the end of the text packed in one direction of a connection. Both sides must have the same dictionary.
 type dictionary []byte
 
-// add appends a text, and drops what is beyond the last dictionaryBytes.
-func (h *dictionary) add(text []byte) {
+// add appends a text and keeps only the last dictionaryBytes.
+func (d *dictionary) add(text []byte) {
 	if len(text) >= dictionaryBytes {
-		*h = append((*h)[:0], text[len(text)-dictionaryBytes:]...)
+		*d = append((*d)[:0], text[len(text)-dictionaryBytes:]...)
 		return
 	}
-	if over := len(*h) + len(text) - dictionaryBytes; over > 0 {
-		*h = append((*h)[:0], (*h)[over:]...)
+	if over := len(*d) + len(text) - dictionaryBytes; over > 0 {
+		*d = append((*d)[:0], (*d)[over:]...)
 	}
-	*h = append(*h, text...)
+	*d = append(*d, text...)
 }
 
-// packer packs the lines that go out on one connection.
+// packer packs the lines sent on one connection.
 type packer struct {
 	dictionary dictionary
 }
 
-// pack appends lines to a buffer, packed if that is shorter. Only packed lines enter the dictionary.
+// pack appends lines to a buffer, packed if that is shorter. Only packed lines are added to the dictionary.
 func (p *packer) pack(into *bytes.Buffer, lines []byte) error {
 	if len(lines) < minPackBytes || len(lines) > maxPackBytes {
 		into.Write(lines)
@@ -77,11 +77,11 @@
 	return nil
 }
 
-// minSaving is the fraction that the stateless compressor must save. Without repetitions it stores text uncompressed, also
-// base64, of which each byte carries six bits: a Huffman code saves the other two.
+// minSaving is the fraction that the stateless compressor must save. It stores text without repetitions uncompressed, even base64, of
+// which each byte carries six bits; a Huffman code saves the other two.
 const minSaving = 1.0 / 8
 
-// compress appends a deflate stream with the dictionary, or one with a Huffman code only if that saves too little.
+// compress writes a deflate stream that uses the dictionary or, if that saves too little, one that only uses a Huffman code.
 func compress(into *bytes.Buffer, lines, dictionary []byte) error {
 	if err := flate.StatelessDeflate(into, lines, true, dictionary); err != nil {
 		return err
@@ -99,11 +99,11 @@
 	return writer.Close()
 }
 
-// huffmanWriters pools compressors that do not search for repetitions.
+// huffmanWriters pools compressors that only use a Huffman code and do not search for repetitions.
 var huffmanWriters = sync.Pool{New: func() any {
 	writer, err := flate.NewWriter(io.Discard, flate.HuffmanOnly)
 	if err != nil {
-		panic(err) // never: the level is valid
+		panic(err) // unreachable: the level is valid
 	}
 	return writer
 }}
@@ -127,8 +127,8 @@
 	dictionary dictionary
 }
 
-// unpack appends the lines to a buffer, up to bound bytes. After an error the connection must be closed, as the dictionaries
-// differ.
+// unpack appends the unpacked lines, of up to bound bytes, to a buffer. After an error the connection must be closed, as the
+// dictionaries of both sides differ.
 func (u *unpacker) unpack(into *bytes.Buffer, packed []byte, bound int) error {
 	i := inflaters.Get().(*inflater)
 	defer inflaters.Put(i)
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// packedLength parses the line before packed lines; false: it is another line. The error is ErrBadLine.
+// packedLength parses the line that announces packed lines; isPacked is false for any other line. The error is ErrBadLine.
 func packedLength(text []byte) (length int, isPacked bool, err error) {
 	rest, isPacked := bytes.CutPrefix(text, []byte(packedPrefix))
 	if !isPacked {
@@ -172,7 +172,7 @@
 	return errors.Join(err, remoteErr) == nil && local == remote
 }
 
-// hostOf returns the host of an address without its port.
+// hostOf returns the host of an address without the port.
 func hostOf(address net.Addr) (string, error) {
 	if address == nil {
 		return "", net.ErrClosed
--- a/internal/tier/transport/pack_test.go
+++ b/internal/tier/transport/pack_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-// noticeOf is a line of the usual form that brings bytes which can't be compressed.
+// noticeOf returns a typical line with random, incompressible content.
 func noticeOf(number, bytes int) []byte {
 	content := make([]byte, bytes)
 	random := rand.NewChaCha8([32]byte{byte(number), byte(number >> 8)})
@@ -23,8 +23,8 @@
 	return fmt.Appendf(nil, `{"notice":0,"method":"replica","body":{"index":%d,"input":"%s"}}`+"\n", number, base64.StdEncoding.EncodeToString(content))
 }
 
-// Given any batches of lines, when they are packed one after the other, then the reader gives every line, however the bytes
-// arrive.
+// Given any batches of lines, when they are packed one after the other, then the reader returns every line, however the bytes are
+// split.
 func TestPacker_AnyBatches_ReaderGivesEveryLine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var p packer
@@ -53,7 +53,7 @@
 			}
 		}
 		if _, err := reader.next(); err != io.EOF {
-			t.Fatalf("after the last line: %v", err)
+			t.Fatalf("error %v after the last line, want EOF", err)
 		}
 	})
 }
@@ -61,7 +61,7 @@
 func TestPacker_UsualLines_AreShorter(t *testing.T) {
 	for _, c := range []struct {
 		bytes, lines int
-		maxShare     float64 // of what it was
+		maxShare     float64 // packed size as a fraction of the plain size
 	}{{0, 4, 0.3}, {300, 1, 0.85}, {900, 1, 0.8}, {9000, 1, 0.8}, {20000, 1, 0.8}, {90000, 1, 0.8}} {
 		var p packer
 		var wire bytes.Buffer
@@ -74,7 +74,7 @@
 			}
 		}
 		if share := float64(wire.Len()) / float64(plain); share > c.maxShare {
-			t.Errorf("%d bytes: %.2f of the plain lines, over %.2f", c.bytes, share, c.maxShare)
+			t.Errorf("lines with %d bytes are packed to %.2f of their size, want at most %.2f", c.bytes, share, c.maxShare)
 		}
 	}
 }
@@ -84,11 +84,11 @@
 	var p packer
 	var wire bytes.Buffer
 	if err := p.pack(&wire, line); err != nil || !bytes.Equal(wire.Bytes(), line) {
-		t.Errorf("%d bytes became %d, %v", len(line), wire.Len(), err)
+		t.Errorf("a long line of %d bytes was written as %d bytes, error %v; want it unchanged", len(line), wire.Len(), err)
 	}
 }
 
-// packedBy returns lines as a packer of its own packs them.
+// packedBy returns lines as a new packer packs them.
 func packedBy(t testing.TB, lines []byte) []byte {
 	var p packer
 	var wire bytes.Buffer
@@ -109,8 +109,8 @@
 	open := packedBy(t, bytes.Repeat([]byte("{}"), 200))
 	for name, text := range map[string][]byte{
 		"no length": []byte("{\"packed\":}\n"), "length 0": []byte("{\"packed\":0}\n"), "a negative length": []byte("{\"packed\":-1}\n"),
-		"too long": []byte("{\"packed\":99999999}\n"), "no end": []byte("{\"packed\":7\n"), "no deflate stream": []byte("{\"packed\":3}\n\xff\xff\xff"),
-		"no line feed": open, "bytes behind": append([]byte(fmt.Sprintf("{\"packed\":%d}\n", len(packed)-bytes.IndexByte(packed, '\n'))), append(packed[bytes.IndexByte(packed, '\n')+1:], 0)...),
+		"too long": []byte("{\"packed\":99999999}\n"), "no closing brace": []byte("{\"packed\":7\n"), "no deflate stream": []byte("{\"packed\":3}\n\xff\xff\xff"),
+		"no line feed": open, "bytes after the stream": append([]byte(fmt.Sprintf("{\"packed\":%d}\n", len(packed)-bytes.IndexByte(packed, '\n'))), append(packed[bytes.IndexByte(packed, '\n')+1:], 0)...),
 	} {
 		if _, err := newLineReader(bytes.NewReader(text), MaxLineBytes).next(); !errors.Is(err, ErrBadLine) {
 			t.Errorf("%s: %v", name, err)
@@ -129,24 +129,28 @@
 		var u unpacker
 		var lines bytes.Buffer
 		if err := u.unpack(&lines, packed, 1<<16); err == nil && !bytes.HasSuffix(lines.Bytes(), []byte("\n")) {
-			t.Errorf("%q is no line", lines.Bytes())
+			t.Errorf("unpacked %q, want a line feed at the end", lines.Bytes())
 		}
 	})
 }
 
-// between is a connection from one machine to another, or to itself.
-type between struct {
+// addressedConn is a connection whose ends have the addresses of two machines, or of one.
+type addressedConn struct {
 	net.Conn
 	from, to byte
 }
 
-func (b between) LocalAddr() net.Addr  { return &net.TCPAddr{IP: net.IPv4(10, 0, 0, b.from), Port: 7} }
-func (b between) RemoteAddr() net.Addr { return &net.TCPAddr{IP: net.IPv4(10, 0, 0, b.to), Port: 8} }
+func (b addressedConn) LocalAddr() net.Addr {
+	return &net.TCPAddr{IP: net.IPv4(10, 0, 0, b.from), Port: 7}
+}
+func (b addressedConn) RemoteAddr() net.Addr {
+	return &net.TCPAddr{IP: net.IPv4(10, 0, 0, b.to), Port: 8}
+}
 
 func TestOutbox_LinesBetweenMachinesOnly_ArePacked(t *testing.T) {
 	for _, packed := range []bool{false, true} {
 		near, end := net.Pipe()
-		socket := between{Conn: near, from: 1, to: 1}
+		socket := addressedConn{Conn: near, from: 1, to: 1}
 		if packed {
 			socket.to = 2
 		}
@@ -158,7 +162,7 @@
 			t.Fatal(err)
 		}
 		if isPacked := string(got) == packedPrefix; isPacked != packed {
-			t.Errorf("from %v to %v: %q", socket.LocalAddr(), socket.RemoteAddr(), got)
+			t.Errorf("lines from %v to %v are packed or not contrary to the rule; they start with %q", socket.LocalAddr(), socket.RemoteAddr(), got)
 		}
 		end.Close()
 		near.Close()
--- a/internal/tier/transport/peer.go
+++ b/internal/tier/transport/peer.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// peer is the state of one address: its connection, and the backoff after failed dials.
+// peer is the state of one address: its connection, and the backoff after failures.
 type peer struct {
 	pool    *Pool
 	address string
 
-	mutex      sync.Mutex // guards what follows
+	mutex      sync.Mutex // guards the fields below
 	connection *clientConnection
-	failures   int       // in a row
+	failures   int       // consecutive connections that failed before they were useful
 	retryAt    time.Time // end of the backoff
 	closed     bool
 }
 
-// currentConnection returns the connection, and dials a new one if there is none and no backoff.
+// currentConnection returns the connection, or dials a new one if there is none. It fails with ErrBackoff during the backoff.
 func (p *peer) currentConnection() (*clientConnection, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -36,7 +36,7 @@
 	return p.connection, nil
 }
 
-// connectionLost records the end of a connection. One that was never useful starts or doubles the backoff.
+// connectionLost records the end of a connection. A connection that was not useful starts or doubles the backoff.
 func (p *peer) connectionLost(connection *clientConnection, useful bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -52,7 +52,7 @@
 	p.retryAt = time.Now().Add(backoff(p.failures, rand.Float64()))
 }
 
-// close breaks the connection. currentConnection then fails with ErrClosed.
+// close breaks the connection. Afterwards currentConnection fails with ErrClosed.
 func (p *peer) close() {
 	p.mutex.Lock()
 	p.closed = true
@@ -63,7 +63,8 @@
 	}
 }
 
-// backoff doubles with each failure from minBackoff to maxBackoff; jitter, from 0 to 1, subtracts up to half.
+// backoff returns the delay before the next dial. It doubles with each failure from minBackoff to maxBackoff; jitter, from 0 to 1,
+// subtracts up to half.
 func backoff(failures int, jitter float64) time.Duration {
 	delay := maxBackoff
 	if shift := failures - 1; shift < 8 {
--- a/internal/tier/transport/pool.go
+++ b/internal/tier/transport/pool.go
@@ -8,18 +8,18 @@
 	"mastusher/internal/tier/network"
 )
 
-// Pool makes calls, sends notices and opens streams. It has one connection per address, dialled at first use; streams have
-// connections of their own.
+// Pool makes calls, sends notices and opens streams. It has one connection per address, dialled at first use; each stream has its own
+// connection.
 type Pool struct {
 	limits   limits
 	network  network.Network
 	meter    Meter
-	lastID   atomic.Uint64   // of calls and streams
-	lifetime context.Context // ends with Close
+	lastID   atomic.Uint64   // number of the last call or stream
+	lifetime context.Context // cancelled by Close
 	end      context.CancelFunc
-	running  sync.WaitGroup // the goroutines of all connections
+	running  sync.WaitGroup // readers and writers of all connections
 
-	mutex  sync.Mutex // guards what follows
+	mutex  sync.Mutex // guards the fields below
 	peers  map[string]*peer
 	closed bool
 }
@@ -29,25 +29,25 @@
 	return newPool(defaultLimits())
 }
 
-// NewPoolOn is NewPool with a network in place of the system's.
+// NewPoolOn is like NewPool but uses the given network instead of the system's.
 func NewPoolOn(on network.Network) *Pool {
 	pool := NewPool()
 	pool.network = on
 	return pool
 }
 
-// Measure makes a meter count what is sent on connections. It must be called before the first call.
+// Measure sets the meter that counts what is sent on connections. It must be called before the first call.
 func (p *Pool) Measure(meter Meter) { p.meter = meter }
 
-// newPool is NewPool with bounds of the caller's.
+// newPool is like NewPool but uses the given limits.
 func newPool(bounds limits) *Pool {
 	pool := &Pool{limits: bounds, network: network.System{}, peers: map[string]*peer{}}
 	pool.lifetime, pool.end = context.WithCancel(context.Background())
 	return pool
 }
 
-// Close closes all connections; pending calls and streams fail with ErrClosed. It returns once the goroutines that read and write
-// the connections have ended, which they do as their sockets are closed. It must not be called by one of them.
+// Close closes all connections; pending calls and streams fail with ErrClosed. It waits for the goroutines that read and write the
+// connections, which end as their sockets are closed, and must not be called by one of them.
 func (p *Pool) Close() {
 	p.end()
 	p.mutex.Lock()
@@ -61,7 +61,7 @@
 	p.running.Wait()
 }
 
-// Forget closes the connection to an address that is no longer needed, and drops its backoff.
+// Forget closes the connection to an address that is no longer needed, and discards its backoff.
 func (p *Pool) Forget(address string) {
 	p.mutex.Lock()
 	known := p.peers[address]
@@ -72,7 +72,7 @@
 	}
 }
 
-// peer returns the state of an address, which it creates if necessary.
+// peer returns the state of an address, creating it if necessary.
 func (p *Pool) peer(address string) (*peer, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -87,7 +87,7 @@
 	return known, nil
 }
 
-// connection returns the connection to an address, which may still be dialling.
+// connection returns the connection to an address, which may still be being dialled.
 func (p *Pool) connection(address string) (*clientConnection, error) {
 	peer, err := p.peer(address)
 	if err != nil {
--- a/internal/tier/transport/pool_test.go
+++ b/internal/tier/transport/pool_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestCall_UnreachablePeer_FailsAndBacksOff(t *testing.T) {
-	// Given an address where nobody listens
+	// Given an address without a listener
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -19,14 +19,14 @@
 	address := listener.Addr().String()
 	listener.Close()
 	pool, ctx := startPool(t), testContext(t)
-	// When it is called, then the call fails and has surely not run
+	// When it is called, then the call fails and certainly has not run
 	_, err = Call[question, reply](ctx, pool, address, "echo", question{})
 	var failed *CallError
 	if !errors.As(err, &failed) || MayHaveArrived(err) {
 		t.Fatalf("got %v", err)
 	}
-	// And while the next dial waits, calls and notices fail at once
-	pin(t, pool, address, time.Hour)
+	// And during the backoff calls and notices fail immediately
+	setBackoff(t, pool, address, time.Hour)
 	_, err = Call[question, reply](ctx, pool, address, "echo", question{})
 	if !errors.Is(err, ErrBackoff) || MayHaveArrived(err) {
 		t.Errorf("got %v", err)
@@ -34,16 +34,16 @@
 	if err := Notify(pool, address, "offer", question{}); !errors.Is(err, ErrBackoff) {
 		t.Errorf("got %v", err)
 	}
-	// And once it is over, the peer is dialled again
+	// And after the backoff the peer is dialled again
 	startServer(t, address, echoHandlers())
-	pin(t, pool, address, -time.Hour)
+	setBackoff(t, pool, address, -time.Hour)
 	if _, err := Call[question, reply](ctx, pool, address, "echo", question{}); err != nil {
 		t.Errorf("got %v", err)
 	}
 }
 
-// pin sets when a peer that failed may be dialled again.
-func pin(t testing.TB, pool *Pool, address string, after time.Duration) {
+// setBackoff sets the end of the backoff of a peer that failed, relative to now.
+func setBackoff(t testing.TB, pool *Pool, address string, after time.Duration) {
 	t.Helper()
 	peer, err := pool.peer(address)
 	if err != nil {
@@ -52,7 +52,7 @@
 	peer.mutex.Lock()
 	defer peer.mutex.Unlock()
 	if peer.failures == 0 {
-		t.Fatal("no failure recorded")
+		t.Fatal("the peer has no recorded failure")
 	}
 	peer.retryAt = time.Now().Add(after)
 }
@@ -77,7 +77,7 @@
 }
 
 func TestCall_ServerRestarts_ReachesIt(t *testing.T) {
-	// Given a connection that was of use
+	// Given a connection that was useful
 	server, pool, ctx := startServer(t, "127.0.0.1:0", echoHandlers()), startPool(t), testContext(t)
 	address := server.Address()
 	if _, err := Call[question, reply](ctx, pool, address, "echo", question{}); err != nil {
@@ -87,11 +87,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// When the server starts again
+	// When the server restarts
 	server.Close()
 	receive(t, connection.dialCtx.Done())
 	startServer(t, address, echoHandlers())
-	// Then the next call dials at once
+	// Then the next call dials immediately
 	got, err := Call[question, reply](ctx, pool, address, "echo", question{Text: "again"})
 	if err != nil || got.Text != "again" {
 		t.Fatalf("got %v, %v", got, err)
@@ -127,7 +127,7 @@
 	ctx := testContext(t)
 	before := runtime.NumGoroutine()
 	for range 20 {
-		// Given a pool with a connection, one that is dialling, and notices that are being written,
+		// Given a pool with an open connection, one being dialled, and notices being written,
 		pool := NewPool()
 		if _, err := Call[question, reply](ctx, pool, server.Address(), "echo", question{}); err != nil {
 			t.Fatal(err)
@@ -138,12 +138,12 @@
 		pool.Close()
 		for _, stack := range stacks() {
 			if strings.Contains(stack, "(*clientConnection).run") {
-				t.Fatalf("left after Close:\n%s", stack)
+				t.Fatalf("a goroutine is running after Close:\n%s", stack)
 			}
 		}
 	}
-	if after := runtime.NumGoroutine(); after > before+20 { // the server's ends of the connections end a moment later
-		t.Errorf("%d goroutines, %d before", after, before)
+	if after := runtime.NumGoroutine(); after > before+20 { // the server's goroutines for the connections end a little later
+		t.Errorf("%d goroutines after Close, %d before, want at most 20 more", after, before)
 	}
 }
 
--- a/internal/tier/transport/reader.go
+++ b/internal/tier/transport/reader.go
@@ -6,18 +6,18 @@
 	"io"
 )
 
-// lineReader splits a connection into lines and unpacks them. A line is valid until the next call.
+// lineReader reads lines from a connection and unpacks packed ones. A returned line is valid until the next call.
 type lineReader struct {
 	source   io.Reader
 	bound    int
 	buffer   []byte
-	start    int // first byte that was not returned
-	end      int // end of the bytes read
+	start    int // index of the first unread byte in buffer
+	end      int // end of the bytes received in buffer
 	unpacker unpacker
-	unpacked bytes.Buffer // lines that were packed and not yet returned
+	unpacked bytes.Buffer // unpacked lines that were not returned yet
 }
 
-// newLineReader returns a reader of lines of up to bound bytes, line feed included.
+// newLineReader returns a reader of lines of up to bound bytes including the line feed.
 func newLineReader(source io.Reader, bound int) *lineReader {
 	return &lineReader{source: source, bound: bound, buffer: make([]byte, initialReadBytes)}
 }
@@ -46,7 +46,7 @@
 	return text[:end], nil
 }
 
-// unpack reads and unpacks the bytes that follow.
+// unpack reads and unpacks the next length bytes.
 func (r *lineReader) unpack(length int) error {
 	for r.end-r.start < length {
 		r.compact()
@@ -63,7 +63,7 @@
 	return r.unpacker.unpack(&r.unpacked, packed, r.bound)
 }
 
-// unexpectedEOF returns the error of a connection that ends inside a line.
+// unexpectedEOF converts io.EOF inside a line to io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -71,7 +71,7 @@
 	return err
 }
 
-// nextRaw returns the next line of the connection, packed lines not unpacked.
+// nextRaw returns the next line of the connection without unpacking.
 func (r *lineReader) nextRaw() ([]byte, error) {
 	searched := r.start
 	for {
@@ -95,7 +95,7 @@
 	}
 }
 
-// fill reads once.
+// fill reads once into the free part of the buffer.
 func (r *lineReader) fill() error {
 	count, err := r.source.Read(r.buffer[r.end:])
 	r.end += count
@@ -111,7 +111,8 @@
 	return err
 }
 
-// compact moves the unread bytes to the front, grows a full buffer and releases an empty one that a long line has grown.
+// compact moves the unread bytes to the front of the buffer. It grows a full buffer, and replaces an empty one that a long line has
+// grown by a small one.
 func (r *lineReader) compact() {
 	unread := r.buffer[r.start:r.end]
 	switch {
--- a/internal/tier/transport/server.go
+++ b/internal/tier/transport/server.go
@@ -15,7 +15,7 @@
 	"mastusher/internal/tier/network"
 )
 
-// Server accepts connections and datagrams at one address, and sends datagrams from it.
+// Server accepts connections and datagrams at one address, and sends datagrams from that address.
 type Server struct {
 	handlers *Handlers
 	logger   log.Logger
@@ -23,29 +23,29 @@
 	listener net.Listener
 	packets  network.PacketConn
 	done     chan struct{}
-	running  sync.WaitGroup // all goroutines of the server and its handlers
+	running  sync.WaitGroup // all goroutines of the server, including handlers
 
-	mutex       sync.Mutex // guards what follows
+	mutex       sync.Mutex // guards the fields below
 	connections map[*serverConnection]struct{}
 	closed      bool
 }
 
-// Listen opens the address (host:port) for TCP and, on the same port, for UDP. Port 0 picks one that is free for both.
+// Listen opens the address (host:port) for TCP and, on the same port, for UDP. Port 0 selects a port that is free for both.
 func Listen(address string, handlers *Handlers, logger log.Logger) (*Server, error) {
 	return ListenOn(network.System{}, address, handlers, logger)
 }
 
-// ListenOn is Listen with a network in place of the system's.
+// ListenOn is like Listen but uses the given network instead of the system's.
 func ListenOn(on network.Network, address string, handlers *Handlers, logger log.Logger) (*Server, error) {
 	return listenOn(on, address, handlers, logger, defaultLimits())
 }
 
-// listen is Listen with bounds of the caller's.
+// listen is like Listen but uses the given limits.
 func listen(address string, handlers *Handlers, logger log.Logger, bounds limits) (*Server, error) {
 	return listenOn(network.System{}, address, handlers, logger, bounds)
 }
 
-// listenOn opens a server on a network. Its goroutines end with Close, which waits for them.
+// listenOn opens a server on a network and starts its goroutines, which Close ends and waits for.
 func listenOn(on network.Network, address string, handlers *Handlers, logger log.Logger, bounds limits) (*Server, error) {
 	listener, packets, err := listenBoth(on, address)
 	if err != nil {
@@ -72,7 +72,8 @@
 // maxPortAttempts bounds the search for a port that is free for both TCP and UDP.
 const maxPortAttempts = 16
 
-// listenBoth opens one port for TCP and UDP. Port 0 is drawn by the system for TCP, and drawn again while it isn't free for UDP.
+// listenBoth opens one port for TCP and UDP. For port 0 the system chooses a port for TCP, and another one while the chosen port is
+// not free for UDP.
 func listenBoth(on network.Network, address string) (net.Listener, network.PacketConn, error) {
 	requested, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
@@ -95,19 +96,19 @@
 	}
 }
 
-// plainTCP returns a configuration without multipath TCP.
+// plainTCP returns a listen configuration without multipath TCP.
 func plainTCP() *net.ListenConfig {
 	config := new(net.ListenConfig)
 	config.SetMultipathTCP(false)
 	return config
 }
 
-// Address returns the address with its port.
+// Address returns the address (host:port) at which the server listens.
 func (s *Server) Address() string {
 	return s.listener.Addr().String()
 }
 
-// Close stops listening, closes all connections, ends the contexts of all handlers and waits for them.
+// Close stops listening, closes all connections, cancels the contexts of all handlers and waits for the server's goroutines.
 func (s *Server) Close() error {
 	s.mutex.Lock()
 	if s.closed {
@@ -125,7 +126,7 @@
 	return err
 }
 
-// accept admits connections until Close closes the listener; Close waits for it.
+// accept admits connections until Close closes the listener. Close waits for accept.
 func (s *Server) accept() {
 	defer s.running.Done()
 	for {
@@ -146,7 +147,7 @@
 	}
 }
 
-// admit starts the reader of a new connection, or closes it where maxConnections are open.
+// admit starts the reader of a new connection, or closes the connection if maxConnections are open.
 func (s *Server) admit(socket net.Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -161,12 +162,13 @@
 	go connection.read()
 }
 
-// keepAliveSetter is a connection whose keep-alive probes can be configured, such as net.TCPConn.
+// keepAliveSetter is a connection whose keep-alive probes can be configured, such as a net.TCPConn.
 type keepAliveSetter interface {
 	SetKeepAliveConfig(config net.KeepAliveConfig) error
 }
 
-// setSocketOptions sets the time-outs after which the kernel breaks the connection to a silent peer. Without them it works on.
+// setSocketOptions sets the timeouts after which the kernel breaks the connection to a silent peer. If that fails, the connection is
+// used without them.
 func (s *Server) setSocketOptions(socket net.Conn) {
 	var err error
 	if configurable, ok := socket.(keepAliveSetter); ok {
@@ -184,7 +186,7 @@
 	}
 }
 
-// remove forgets a connection that has ended.
+// remove deletes a connection that has ended.
 func (s *Server) remove(connection *serverConnection) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/tier/transport/serverconnection.go
+++ b/internal/tier/transport/serverconnection.go
@@ -10,20 +10,20 @@
 	"github.com/go-kit/log/level"
 )
 
-// serverConnection is one accepted connection. One goroutine reads; the outbox writes.
+// serverConnection is an accepted connection. One goroutine reads; the outbox writes.
 type serverConnection struct {
 	server *Server
 	socket net.Conn
 	from   string // address of the peer
 	out    outbox
-	ctx    context.Context // of the handlers; ends with the connection
+	ctx    context.Context // parent of the handlers' contexts; ends with the connection
 	cancel context.CancelFunc
 
-	mutex   sync.Mutex                    // guards what follows
-	cancels map[uint64]context.CancelFunc // of the running handlers, by the number of the call or stream
+	mutex   sync.Mutex                    // guards cancels
+	cancels map[uint64]context.CancelFunc // of the running handlers, by number of the call or stream
 }
 
-// newServerConnection returns an accepted connection, which may send at once; read handles what comes.
+// newServerConnection returns an accepted connection, which can send immediately; read handles received lines.
 func newServerConnection(server *Server, socket net.Conn) *serverConnection {
 	connection := &serverConnection{
 		server:  server,
@@ -40,14 +40,14 @@
 	return connection
 }
 
-// close closes the connection and ends its handlers' contexts. It may be called more than once.
+// close closes the connection and cancels its handlers' contexts. It may be called more than once.
 func (c *serverConnection) close() {
 	c.cancel()
 	c.out.close()
 	c.socket.Close()
 }
 
-// read handles the lines of the connection until it breaks or Close closes it; Close waits for it.
+// read handles the lines of the connection until it breaks or Server.Close closes it. Server.Close waits for read.
 func (c *serverConnection) read() {
 	defer c.server.running.Done()
 	defer c.server.remove(c)
@@ -65,7 +65,7 @@
 	}
 }
 
-// logError logs the end of a connection that is the other side's mistake.
+// logError logs the end of a connection that is caused by a protocol error of the peer.
 func (c *serverConnection) logError(err error) {
 	var tooLong *TooLongError
 	if errors.Is(err, ErrBadLine) || errors.As(err, &tooLong) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// handleLine handles one line; an error closes the connection.
+// handleLine handles one line. The caller closes the connection on an error.
 func (c *serverConnection) handleLine(text []byte) error {
 	parsed, err := parseLine(text)
 	if err != nil {
@@ -90,11 +90,12 @@
 		c.cancelCall(parsed.id)
 		return nil
 	default:
-		return fmt.Errorf("%w: %s isn't for a server", ErrBadLine, parsed.kind)
+		return fmt.Errorf("%w: server received a line of kind %s", ErrBadLine, parsed.kind)
 	}
 }
 
-// handleNotice runs the handler of a notice in the reader. One that does not fit its type is dropped; the peer may be newer.
+// handleNotice runs the handler of a notice in the reader. A notice whose body does not match the handler's type is dropped, as the
+// peer may have a newer version.
 func (c *serverConnection) handleNotice(notice line) error {
 	handle, known := c.server.handlers.notices[string(notice.method)]
 	if !known {
@@ -109,7 +110,7 @@
 	return nil
 }
 
-// handleCall decodes a call and starts its handler, or answers why it does not.
+// handleCall decodes a call and starts its handler, or answers with an error.
 func (c *serverConnection) handleCall(call line) error {
 	prepare, known := c.server.handlers.calls[string(call.method)]
 	if !known {
@@ -129,7 +130,8 @@
 	return nil
 }
 
-// rejectBody answers a body that doesn't fit the handler's type; one that is no JSON closes the connection.
+// rejectBody answers a body that does not match the handler's type with an error. For a body that is not JSON it returns the error,
+// which closes the connection.
 func (c *serverConnection) rejectBody(id uint64, method string, err error) error {
 	if errors.Is(err, ErrBadLine) {
 		return err
@@ -138,8 +140,8 @@
 	return nil
 }
 
-// runCall runs a call's handler and sends its answer. Its context ends with the connection or the call's cancellation; Server.Close
-// waits for it.
+// runCall runs a call's handler and sends its answer. The context ends with the connection or when the call is cancelled.
+// Server.Close waits for runCall.
 func (c *serverConnection) runCall(ctx context.Context, id uint64, method string, run callFunc) {
 	defer c.finishHandler(id)
 	answer, err := run(ctx)
@@ -150,7 +152,7 @@
 	c.send(answerLine, id, method, answer)
 }
 
-// handleStream decodes the request of a stream and starts its handler, or answers why it does not.
+// handleStream decodes the request of a stream and starts its handler, or answers with an error.
 func (c *serverConnection) handleStream(stream line) error {
 	prepare, known := c.server.handlers.streams[string(stream.method)]
 	if !known {
@@ -170,7 +172,8 @@
 	return nil
 }
 
-// runStream runs a stream's handler and sends its items and its end. Its context ends with the connection; Server.Close waits for it.
+// runStream runs a stream's handler, and sends its items and its end. The context ends with the connection. Server.Close waits for
+// runStream.
 func (c *serverConnection) runStream(ctx context.Context, id uint64, method string, run streamFunc) {
 	defer c.finishHandler(id)
 	err := run(ctx, func(item any) error {
@@ -187,7 +190,7 @@
 	c.send(endLine, id, method, nil)
 }
 
-// startHandler registers a running handler and returns its context. The caller must call finishHandler.
+// startHandler registers a handler as running and returns its context. The caller must call finishHandler.
 func (c *serverConnection) startHandler(id uint64) (context.Context, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -203,7 +206,7 @@
 	return ctx, nil
 }
 
-// finishHandler ends a handler's context and takes it out of the count that Server.Close waits for.
+// finishHandler cancels a handler's context and removes the handler from those that Server.Close waits for.
 func (c *serverConnection) finishHandler(id uint64) {
 	c.cancelCall(id)
 	c.mutex.Lock()
@@ -212,7 +215,7 @@
 	c.server.running.Done()
 }
 
-// cancelCall ends the context of a running handler, if the number is one's.
+// cancelCall cancels the context of the handler with the given number, if it is running.
 func (c *serverConnection) cancelCall(id uint64) {
 	c.mutex.Lock()
 	cancel := c.cancels[id]
@@ -222,12 +225,12 @@
 	}
 }
 
-// sendError answers a call or ends a stream with an error.
+// sendError sends an error that answers a call or ends a stream.
 func (c *serverConnection) sendError(id uint64, method string, err error) {
 	c.send(errorLine, id, method, toRemoteError(err))
 }
 
-// send queues an answer. A peer that does not read its answers loses its connection.
+// send queues an answer. The connection is closed if the queue is full, as the peer does not read its answers.
 func (c *serverConnection) send(kind lineKind, id uint64, method string, body any) {
 	encoded, err := encodeLine(kind, id, "", body, c.server.limits.lineBytes)
 	if err != nil {
@@ -244,7 +247,7 @@
 	}
 }
 
-// encodingError returns the error that is sent in place of an answer that can't be encoded.
+// encodingError returns the error that is sent instead of an answer that cannot be encoded.
 func encodingError(err error) *RemoteError {
 	var tooLong *TooLongError
 	if errors.As(err, &tooLong) {
--- a/internal/tier/transport/socket.go
+++ b/internal/tier/transport/socket.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// keepAlive makes the kernel probe an idle peer without waking the process.
+// keepAlive makes the kernel probe idle peers without waking the process.
 var keepAlive = net.KeepAliveConfig{
 	Enable:   true,
 	Idle:     keepAliveIdle,
@@ -27,7 +27,7 @@
 	return optionErr
 }
 
-// newDialer returns a dialer with the time-outs of a connection.
+// newDialer returns a dialer that sets the timeouts of a connection.
 func newDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout:         dialTimeout,
--- a/internal/tier/transport/socket_test.go
+++ b/internal/tier/transport/socket_test.go
@@ -50,6 +50,6 @@
 		}
 	}
 	if len(sockets) != 2 {
-		t.Errorf("%d sockets", len(sockets))
+		t.Errorf("%d sockets, want 2", len(sockets))
 	}
 }
--- a/internal/tier/transport/stream.go
+++ b/internal/tier/transport/stream.go
@@ -6,10 +6,10 @@
 	"net"
 )
 
-// Stream requests a series of items on a connection of its own and hands each to receive, in order, in the caller's
-// goroutine. A slow receive delays the sender; one that blocks for longer than the TCP time-out loses the connection. Stream
-// returns nil when the sender ends the series, receive's error when that fails, a *RemoteError when the handler failed, and a
-// *CallError when the connection broke or ctx ended.
+// Stream requests a series of items on its own connection and calls receive for each, in order, in the caller's goroutine. A slow
+// receive delays the sender; if it blocks for longer than the TCP timeout, the connection is lost. Stream returns nil at the end of
+// the series, the error of receive if that fails, a *RemoteError if the handler fails, and a *CallError if the connection breaks or
+// ctx ends.
 func Stream[Request, Item any](ctx context.Context, pool *Pool, address, method string, request Request, receive func(Item) error) error {
 	return pool.stream(ctx, address, method, request, func(body []byte) (func() error, error) {
 		var item Item
@@ -20,7 +20,7 @@
 	})
 }
 
-// decodeItem decodes an item and returns the function that hands it to the receiver.
+// decodeItem decodes an item and returns a function that passes the item to the receiver.
 type decodeItem func(body []byte) (func() error, error)
 
 // stream is Stream without its type parameters.
@@ -30,7 +30,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(p.lifetime, cancel)()
-	failed := func(mayHaveArrived bool, cause error) error {
+	callError := func(mayHaveArrived bool, cause error) error {
 		switch {
 		case callerDone() != nil:
 			cause = callerDone()
@@ -40,34 +40,34 @@
 		return &CallError{Address: address, Method: method, MayHaveArrived: mayHaveArrived, Cause: cause}
 	}
 	if err := ctx.Err(); err != nil || p.lifetime.Err() != nil {
-		return failed(false, err) // Pool.Close ends ctx in a goroutine of its own, which may be late
+		return callError(false, err) // lifetime is checked too, as Pool.Close cancels ctx asynchronously
 	}
 	id := p.lastID.Add(1)
 	encoded, err := encodeLine(streamLine, id, method, request, p.limits.lineBytes)
 	if err != nil {
-		return failed(false, err)
+		return callError(false, err)
 	}
 	defer releaseLine(encoded)
 	socket, err := p.network.Dial(ctx, newDialer(), "tcp4", address)
 	if err != nil {
-		return failed(false, err)
+		return callError(false, err)
 	}
 	defer socket.Close()
 	stop := context.AfterFunc(ctx, func() { socket.Close() })
 	defer stop()
 	if _, err = socket.Write(encoded.Bytes()); err != nil {
-		return failed(true, err)
+		return callError(true, err)
 	}
-	broken, err := p.receive(socket, id, decodeItem)
-	if broken != nil {
-		return failed(true, broken)
+	connectionErr, err := p.receive(socket, id, decodeItem)
+	if connectionErr != nil {
+		return callError(true, connectionErr)
 	}
 	return err
 }
 
-// receive hands items to the receiver until the series ends. broken is an error of the connection, ended one of the handler
-// or of the receiver.
-func (p *Pool) receive(socket net.Conn, id uint64, decodeItem decodeItem) (broken, ended error) {
+// receive passes items to the receiver until the series ends. connectionErr is an error of the connection, streamErr an error of the
+// handler or the receiver.
+func (p *Pool) receive(socket net.Conn, id uint64, decodeItem decodeItem) (connectionErr, streamErr error) {
 	reader := newLineReader(socket, p.limits.lineBytes)
 	for {
 		text, err := reader.next()
@@ -79,7 +79,7 @@
 			return err, nil
 		}
 		if parsed.id != id {
-			return fmt.Errorf("%w: of another stream", ErrBadLine), nil
+			return fmt.Errorf("%w: line has the number of another stream", ErrBadLine), nil
 		}
 		switch parsed.kind {
 		case itemLine:
@@ -99,7 +99,7 @@
 			}
 			return nil, remote
 		default:
-			return fmt.Errorf("%w: %s isn't for a stream", ErrBadLine, parsed.kind), nil
+			return fmt.Errorf("%w: stream received a line of kind %s", ErrBadLine, parsed.kind), nil
 		}
 	}
 }
--- a/internal/tier/transport/stream_test.go
+++ b/internal/tier/transport/stream_test.go
@@ -33,11 +33,11 @@
 	}
 }
 
-// errEnough is the error of a receiver that wants no further item.
+// errEnough is the error of a receiver that wants no further items.
 var errEnough = errors.New("enough")
 
-// failureHandlers has a stream that fails after an item, and one without end. The returned channel gets the error at which each run
-// of the second one ended.
+// failureHandlers has a stream that fails after one item, and an endless one. The returned channel receives the error with which the
+// endless stream's handler ends.
 func failureHandlers() (*Handlers, <-chan error) {
 	handlers := NewHandlers()
 	HandleStream(handlers, "fail", func(_ context.Context, _ int, send func(int) error) error {
@@ -106,11 +106,11 @@
 	_ = receive(t, ended)
 	err = Stream(testContext(t), pool, server.Address(), "endless", 1, ignoreItem)
 	if !errors.Is(err, ErrClosed) || MayHaveArrived(err) {
-		t.Errorf("after it: %v", err)
+		t.Errorf("a stream of the closed pool failed with %v, want ErrClosed without having arrived", err)
 	}
 }
 
-// Given a receiver that reads more slowly than the handler sends, then the handler is held up and nothing is lost.
+// Given a receiver that reads more slowly than the handler sends, then the handler is blocked and no item is lost.
 func TestStream_SlowReceiver_GetsEveryItem(t *testing.T) {
 	handlers, ended := failureHandlers()
 	server, pool := startServer(t, "127.0.0.1:0", handlers), startPool(t)
@@ -145,7 +145,7 @@
 	}
 }
 
-// Given a pool that is closed, then no stream begins there, however soon the end of its contexts comes.
+// Given a closed pool, then no stream starts, even before the cancellation of the pool's contexts takes effect.
 func TestStream_ClosedPool_FailsWithoutDialling(t *testing.T) {
 	handlers := NewHandlers()
 	HandleStream(handlers, "end", func(context.Context, int, func(int) error) error { return nil })
--- a/internal/tier/transport/wire_test.go
+++ b/internal/tier/transport/wire_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// wireLines are the lines that testdata holds as an earlier version wrote them: all kinds, with and without a body.
+// wireLines lists the lines that an earlier version wrote to testdata: all kinds, with and without a body.
 var wireLines = []struct {
 	kind   lineKind
 	id     uint64
@@ -31,8 +31,8 @@
 	{endLine, 8, "", nil},
 }
 
-// TestWireFormat_LinesOfEarlierVersions_ReadAndWrittenAsTheyWere compares every kind of line with bytes that an earlier
-// version wrote: processes of both versions run side by side during an upgrade.
+// TestWireFormat_LinesOfEarlierVersions_ReadAndWrittenAsTheyWere compares every kind of line with the bytes that an earlier version
+// wrote, as processes of both versions run side by side during an upgrade.
 func TestWireFormat_LinesOfEarlierVersions_ReadAndWrittenAsTheyWere(t *testing.T) {
 	t.Parallel()
 	golden := readGolden(t, "lines.jsonl")
@@ -70,8 +70,8 @@
 	}
 }
 
-// wireBatches are the batches of lines that testdata holds packed: the first by the code for single letters, the second with
-// what it repeats, the third going on from the text of the others, the last too short to be packed.
+// wireBatches returns the batches of lines that testdata holds packed: the first compressed with a Huffman code only, the second by
+// its repetitions, the third with the text of the others as the dictionary. The last is too short to be packed.
 func wireBatches() [][]byte {
 	return [][]byte{
 		noticeOf(1, 300),
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestWireFormat_PackedLinesOfEarlierVersions_Read reads packed lines that an earlier version wrote. What the compressor
-// makes of them may change with its version; that the reader takes it again is shown by TestPacker_AnyBatches_ReaderGivesEveryLine.
+// TestWireFormat_PackedLinesOfEarlierVersions_Read reads packed lines that an earlier version wrote. The output of the compressor is
+// not compared, as it may change with the compressor's version; TestPacker_AnyBatches_ReaderGivesEveryLine checks that it is readable.
 func TestWireFormat_PackedLinesOfEarlierVersions_Read(t *testing.T) {
 	t.Parallel()
 	golden := readGolden(t, "packed.bin")
--- a/internal/tier/transport/writer.go
+++ b/internal/tier/transport/writer.go
@@ -6,13 +6,13 @@
 	"sync"
 )
 
-// maxIdleQueueFrames is the capacity that an empty queue keeps.
+// maxIdleQueueFrames is the largest capacity that an empty queue keeps.
 const maxIdleQueueFrames = 256
 
-// batches pools the buffers in which short lines are joined, and packed.
+// batches pools the buffers in which lines are joined and packed.
 var batches = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// startWriterLocked starts the writer unless it runs or has nothing to do.
+// startWriterLocked starts the writer unless it is running or cannot write anything. The caller holds the mutex.
 func (o *outbox) startWriterLocked() {
 	if o.writing || o.closed || o.socket == nil || len(o.queue)+len(o.notices)+len(o.bulk) == 0 {
 		return
@@ -21,8 +21,8 @@
 	o.running.Go(o.writeLoop)
 }
 
-// writeLoop writes until nothing is queued, or a write fails, as it does once the connection has closed its socket. The Close of its
-// pool or server waits for it.
+// writeLoop writes until nothing is queued or a write fails, as it does once the connection closes the socket. Close of the pool or
+// server waits for writeLoop.
 func (o *outbox) writeLoop() {
 	batch := batches.Get().(*bytes.Buffer)
 	defer batches.Put(batch)
@@ -39,7 +39,7 @@
 	}
 }
 
-// writeBatch writes a batch or one long line, packed for another machine.
+// writeBatch writes a batch or one long line, packed if the peer is another machine.
 func (o *outbox) writeBatch(batch, long *bytes.Buffer) error {
 	lines := batch
 	if long != nil {
@@ -67,8 +67,8 @@
 	return err
 }
 
-// nextBatch moves queued lines into the batch, or returns one long line instead: of what yields to all else only where nothing else
-// is queued. Without either the writer must end.
+// nextBatch moves queued lines into the batch, or returns one long line instead. Bulk notices are taken only if nothing else is
+// queued. If there is neither a batch nor a long line, the writer must end.
 func (o *outbox) nextBatch(batch *bytes.Buffer) (long *bytes.Buffer) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -90,7 +90,7 @@
 	return long
 }
 
-// dequeue takes lines from the front of one queue while they fit the batch. A line over maxBatchBytes is returned alone.
+// dequeue moves lines from the front of one queue into the batch while they fit. A line over maxBatchBytes is returned instead.
 func (o *outbox) dequeue(queue *[]*frame, queuedBytes *int, batch *bytes.Buffer) (long *bytes.Buffer) {
 	count := 0
 	for _, queued := range *queue {
