--- a/internal/tier/store/compaction_bench_test.go
+++ b/internal/tier/store/compaction_bench_test.go
@@ -14,8 +14,8 @@
 	"mastusher/internal/tier/storage"
 )
 
-// BenchmarkCompaction_LongestIteration reports the longest iteration of a shard's only replica around a compaction of a state of
-// the given size, in ms, on the disk of the test's folder: while the state is written within the iteration, and beside it.
+// BenchmarkCompaction_LongestIteration reports the longest iteration, in ms, of a shard's only replica around a compaction of a state
+// of the given size, on the disk of the test's folder. The state is written either within the iteration or in the background.
 func BenchmarkCompaction_LongestIteration(b *testing.B) {
 	for _, megabytes := range []int{5, 40, 200} {
 		for name, run := range map[string]func(work func()){"within": nil, "beside": func(work func()) { go work() }} {
@@ -28,7 +28,8 @@
 	}
 }
 
-// longestIteration fills a replica with a state and returns its longest iteration while it compacts that and writes on.
+// longestIteration fills a replica with a state, and returns its longest iteration while it compacts the state and commits further
+// commands.
 func longestIteration(b *testing.B, stateBytes int, run func(work func())) time.Duration {
 	b.Helper()
 	disk, err := storage.OpenOSDisk(b.TempDir())
--- a/internal/tier/store/errors.go
+++ b/internal/tier/store/errors.go
@@ -6,9 +6,9 @@
 	"mastusher/internal/tier/wire"
 )
 
-// NotLeaderError rejects a call for a shard that another store leads. The caller should retry at Leader, or at the other
-// replicas if that is empty.
-type NotLeaderError struct{ Leader string } // address; empty: not known
+// NotLeaderError rejects a call for a shard that this store does not lead. The caller should retry at Leader or, if Leader is empty,
+// at the other replicas.
+type NotLeaderError struct{ Leader string } // address; empty if unknown
 
 // Error returns the leader's address, which is the message of the remote error.
 func (e *NotLeaderError) Error() string { return e.Leader }
@@ -16,7 +16,9 @@
 // ErrorKind returns the kind of the remote error.
 func (e *NotLeaderError) ErrorKind() string { return wire.KindNotLeader }
 
-// noResultError says that the group of a shard committed a command and its machine returned no result, which must not happen.
+// noResultError means that a shard's state machine returned no program.Result for a committed command, which must not happen.
 type noResultError struct{ shard int }
 
-func (e *noResultError) Error() string { return fmt.Sprintf("shard %d: no result", e.shard) }
+func (e *noResultError) Error() string {
+	return fmt.Sprintf("shard %d: state machine returned no result for a committed command", e.shard)
+}
--- a/internal/tier/store/group_runner.go
+++ b/internal/tier/store/group_runner.go
@@ -13,9 +13,9 @@
 // groupRunner runs the groups of a store, each in a goroutine that ends with the store's context.
 type groupRunner struct {
 	logger log.Logger
-	failed chan error // has the first error of a group that can't continue
+	failed chan error // holds the first error with which a group ended
 
-	mutex   sync.Mutex // guards closed, so that no group starts after wait
+	mutex   sync.Mutex // guards closed, so that no group starts after wait was called
 	closed  bool
 	running sync.WaitGroup
 }
@@ -35,7 +35,7 @@
 	})
 }
 
-// reportFailure keeps the first error with which a group has ended.
+// reportFailure reports the error with which a group ended; only the first one is kept.
 func (r *groupRunner) reportFailure(err error) {
 	select {
 	case r.failed <- err:
@@ -43,7 +43,7 @@
 	}
 }
 
-// wait returns once all groups have ended. No other is started afterwards.
+// wait waits until all groups have ended, and prevents further groups from starting.
 func (r *groupRunner) wait() {
 	r.mutex.Lock()
 	r.closed = true
@@ -51,9 +51,9 @@
 	r.running.Wait()
 }
 
-// Failures delivers the error of a group that has ended for good. It can't be repaired while the process runs.
+// Failures returns a channel that delivers the first error with which a group ended. The group cannot be restarted in this process.
 func (s *Store) Failures() <-chan error { return s.groups.failed }
 
-// Wait returns once all groups have ended, which they do after the store's context, when their shards have other leaders. No other
-// is started afterwards.
+// Wait waits until all groups have ended, and prevents further groups from starting. Groups end after the store's context; one that
+// leads its shard first waits for another leader.
 func (s *Store) Wait() { s.groups.wait() }
--- a/internal/tier/store/handlers.go
+++ b/internal/tier/store/handlers.go
@@ -19,9 +19,9 @@
 	return wire.OmitCachedPrefix(result, request.CachedChains), err
 }
 
-// rejectsNewPrograms reports whether a turn begins a program whose contents would be kept, while this store is short of memory or
-// disk: it keeps what it has, and the programs that run. A duplicate of a turn that was begun before is rejected too, which leaves
-// that one's reservation until it expires.
+// rejectsNewPrograms reports whether a turn is rejected because it begins a program whose contents would be kept and this store is
+// short of memory or disk. Stored and running programs are not affected. A duplicate of a turn begun before is rejected too, so that
+// its reservation stays until it expires.
 func (s *Store) rejectsNewPrograms(turn *program.BeginTurn) bool {
 	return turn.Remembered && turn.Previous == "" && s.options.IsNearLimit != nil && s.options.IsNearLimit()
 }
@@ -31,7 +31,7 @@
 	return s.propose(ctx, request.Shard, program.Command{End: &request.Turn})
 }
 
-// handleChain answers with a turn's chain by a linearizable read.
+// handleChain answers with a turn's chain, by a linearizable read.
 func (s *Store) handleChain(ctx context.Context, _ string, request wire.ChainRequest) (wire.ChainResponse, error) {
 	running := s.shard(request.Shard)
 	if running == nil {
@@ -57,8 +57,8 @@
 	}
 }
 
-// propose commits a command in the shard's log and returns its result. After an error other than a NotLeaderError the outcome
-// is unknown; commands are idempotent, so the caller may retry.
+// propose commits a command in the shard's log and returns its result. After any error other than a NotLeaderError it is unknown
+// whether the command is committed; commands are idempotent, so the caller may retry.
 func (s *Store) propose(ctx context.Context, number int, command program.Command) (program.Result, error) {
 	running := s.shard(number)
 	if running == nil {
@@ -75,7 +75,8 @@
 	return result, nil
 }
 
-// remoteError converts a group's error to the one that callers get. This store's own address is left out: it isn't the leader.
+// remoteError converts a group's error to the error that is returned to callers. If it names this store as the leader, the address is
+// left out, as this store is not the leader.
 func (s *Store) remoteError(err error) error {
 	var notLeader *group.NotLeaderError
 	if !errors.As(err, &notLeader) {
@@ -88,8 +89,7 @@
 	return &NotLeaderError{Leader: leader}
 }
 
-// ReportMembers calls done with the members of all groups that this store leads, each confirmed by a majority. It doesn't
-// block.
+// ReportMembers calls done with the members of all groups that this store leads, each confirmed by a majority. It does not block.
 func (s *Store) ReportMembers(done func(response wire.ShardMembersResponse)) {
 	shards := s.running()
 	if len(shards) == 0 {
--- a/internal/tier/store/machine.go
+++ b/internal/tier/store/machine.go
@@ -12,23 +12,22 @@
 	"mastusher/internal/tier/storage"
 )
 
-// command is one entry of a shard's log: one about a program, or the placement that the group starts to follow.
+// command is one entry of a shard's log: a command for a program, or the placement that the group follows from then on.
 type command struct {
 	program.Command
-	Placement uint64 `json:"placement,omitempty"` // its index
+	Placement uint64 `json:"placement,omitempty"` // index of the placement
 }
 
-// machine is the state machine of a shard: its programs, and the index of the newest placement that the group follows, so
-// that a new leader never returns to an older one. It implements group.ChunkedStateMachine, group.StateSizer and
-// group.Replayer.
+// machine is the state machine of a shard: its programs, and the index of the newest placement that the group follows, so that a new
+// leader never returns to an older placement. It implements group.ChunkedStateMachine, group.StateSizer and group.Replayer.
 type machine struct {
 	programs  *program.Machine
-	placement atomic.Uint64 // index; read by other goroutines than the group's
+	placement atomic.Uint64 // index of the placement; also read by goroutines other than the group's
 }
 
 func newMachine() *machine { return &machine{programs: program.New()} }
 
-// Apply implements group.StateMachine; it returns a program.Result.
+// Apply implements group.StateMachine. It returns a program.Result.
 func (m *machine) Apply(_ uint64, raw json.RawMessage) any {
 	applied, err := m.decode(raw)
 	switch {
@@ -43,14 +42,14 @@
 // StateBytes implements group.StateSizer.
 func (m *machine) StateBytes() int64 { return m.programs.Stats().Bytes }
 
-// Replay implements group.Replayer: it doesn't assemble the chain.
+// Replay implements group.Replayer. Unlike Apply, it does not assemble the chain.
 func (m *machine) Replay(_ uint64, raw json.RawMessage) {
 	if applied, err := m.decode(raw); err == nil && applied.Placement == 0 {
 		m.programs.Replay(applied.Command)
 	}
 }
 
-// decode decodes an entry, and applies it if it is a placement.
+// decode decodes an entry, and applies it if it contains a placement.
 func (m *machine) decode(raw json.RawMessage) (command, error) {
 	var applied command
 	if err := json.Unmarshal(raw, &applied); err != nil {
@@ -62,11 +61,11 @@
 	return applied, nil
 }
 
-// placementField starts the field that Snapshot adds. It can't occur inside a value, since quotes are escaped there.
+// placementField is the start of the field that Snapshot adds. It cannot occur inside a string, where quotes are escaped.
 const placementField = `,"placement":`
 
-// Snapshot implements group.StateMachine. The placement's index is one more field at the end of the programs' snapshot, so that
-// this isn't copied.
+// Snapshot implements group.StateMachine. The index of the placement is appended as a field to the programs' snapshot, so that the
+// snapshot is not copied.
 func (m *machine) Snapshot() (json.RawMessage, error) {
 	state := m.programs.Snapshot()
 	state = append(state[:len(state)-1], placementField...)
@@ -104,19 +103,19 @@
 	}
 }
 
-// BeginRestore implements group.ChunkedStateMachine. It drops the old state at once, so that never two are in memory.
+// BeginRestore implements group.ChunkedStateMachine. It drops the old state immediately, so that memory never holds two states.
 func (m *machine) BeginRestore() group.Restorer {
 	*m.programs = *program.New()
 	return &restorer{machine: m, programs: m.programs.BeginRestore()}
 }
 
-// errNoPlacement rejects a series of chunks that doesn't start with the placement's.
-var errNoPlacement = errors.New("first chunk of a shard's snapshot has no placement")
+// errNoPlacement rejects a series of chunks whose first one is not a placementChunk.
+var errNoPlacement = errors.New("first chunk of a shard's snapshot has no placement index")
 
-// restorer replaces a machine's state by that of a snapshot's chunks.
+// restorer replaces a machine's state by that in the chunks of a snapshot.
 type restorer struct {
 	machine   *machine
-	placement *uint64 // nil: the first chunk hasn't come
+	placement *uint64 // nil until the first chunk is added
 	programs  *program.Restorer
 }
 
@@ -145,7 +144,7 @@
 	return nil
 }
 
-// placementIndexIn returns the field that Snapshot has added; 0 if there is none.
+// placementIndexIn returns the index in the field that Snapshot adds, or 0 if there is none.
 func placementIndexIn(state []byte) uint64 {
 	at := bytes.LastIndex(state, []byte(placementField))
 	if at < 0 {
--- a/internal/tier/store/machine_test.go
+++ b/internal/tier/store/machine_test.go
@@ -41,7 +41,7 @@
 	}
 	m.Apply(3, encode(t, command{Placement: 5}))
 	if got := m.placement.Load(); got != 7 {
-		t.Errorf("follows placement %d, want the newest, 7", got)
+		t.Errorf("follows placement %d, want 7, the newest", got)
 	}
 	for _, raw := range []string{`{}`, `{"begin":7}`, `[]`, `{"placement":-1}`} {
 		if got := verdict(m.Apply(4, json.RawMessage(raw))); got == program.Accepted {
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestMachine_Snapshot_RestoresSameState checks that a machine restored from its snapshot, after any commands, gives the same snapshot and
-// goes on alike. Names hold what marks the placement, to show that it isn't found there.
+// TestMachine_Snapshot_RestoresSameState checks that a machine restored from a snapshot, taken after any commands, gives the same
+// snapshot and the same results. Names contain placementField, to check that a name is not mistaken for the placement.
 func TestMachine_Snapshot_RestoresSameState(t *testing.T) {
 	names := []string{"a", "b", `,"placement":9}`, `"placement":8`, "\\\",\"placement\":7"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -78,7 +78,7 @@
 		}
 		for _, name := range names {
 			if diff := cmp.Diff(m.Apply(99, encode(t, endTurn(name))), restored.Apply(99, encode(t, endTurn(name)))); diff != "" {
-				t.Fatalf("the end of %s (-before +after the restart):\n%s", name, diff)
+				t.Fatalf("result of ending turn %s (-before +after the restart):\n%s", name, diff)
 			}
 		}
 	})
@@ -90,7 +90,7 @@
 	for _, state := range []string{``, `{`, `[]`, `{"nowMs":-1,"placement":9}`} {
 		t.Run(fmt.Sprintf("%q", state), func(t *testing.T) {
 			if err := m.Restore(json.RawMessage(state)); err == nil {
-				t.Error("no error")
+				t.Error("the corrupt snapshot was restored without an error")
 			}
 			if got := m.placement.Load(); got != 7 {
 				t.Errorf("follows placement %d, want 7", got)
@@ -106,11 +106,11 @@
 		t.Fatal(err)
 	}
 	if got := m.placement.Load(); got != 0 {
-		t.Errorf("follows placement %d of a snapshot that has none", got)
+		t.Errorf("follows placement %d after restoring a snapshot without one, want 0", got)
 	}
 }
 
-// restoreChunks restores a machine from the chunks of another one.
+// restoreChunks restores a machine from chunks.
 func restoreChunks(m *machine, chunks []json.RawMessage) error {
 	restorer := m.BeginRestore()
 	for _, chunk := range chunks {
@@ -134,8 +134,8 @@
 	return chunks
 }
 
-// TestMachine_Chunks_RestoreSameState checks that a machine restored from another's chunks has its state, whatever it
-// had before.
+// TestMachine_Chunks_RestoreSameState checks that a machine restored from the chunks of another one has the same state, regardless of
+// its own state before.
 func TestMachine_Chunks_RestoreSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, restored := newMachine(), newMachine()
@@ -151,7 +151,7 @@
 		}
 		want, _ := m.Snapshot()
 		if got, err := restored.Snapshot(); err != nil || !cmp.Equal(want, got) {
-			t.Fatalf("(-want +restored) %v:\n%s", err, cmp.Diff(string(want), string(got)))
+			t.Fatalf("restored state (-want +restored), %v:\n%s", err, cmp.Diff(string(want), string(got)))
 		}
 	})
 }
@@ -161,16 +161,16 @@
 	m.Apply(1, encode(t, beginTurn("a")))
 	chunks := chunksOf(t, m)
 	for name, corrupt := range map[string][]json.RawMessage{
-		"none":                 nil,
-		"no placement":         chunks[1:],
-		"an empty first chunk": {json.RawMessage(`{}`), chunks[1]},
-		"the placement alone":  chunks[:1],
-		"the placement twice":  {chunks[0], chunks[0], chunks[1]},
-		"the first is no JSON": {json.RawMessage(`{`), chunks[1]},
+		"no chunks":              nil,
+		"no placement":           chunks[1:],
+		"an empty first chunk":   {json.RawMessage(`{}`), chunks[1]},
+		"only the placement":     chunks[:1],
+		"the placement twice":    {chunks[0], chunks[0], chunks[1]},
+		"first chunk isn't JSON": {json.RawMessage(`{`), chunks[1]},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if err := restoreChunks(newMachine(), corrupt); err == nil {
-				t.Error("no error")
+				t.Error("the corrupt chunks were restored without an error")
 			}
 		})
 	}
--- a/internal/tier/store/memory_test.go
+++ b/internal/tier/store/memory_test.go
@@ -29,36 +29,36 @@
 	"mastusher/internal/tier/wire"
 )
 
-// What the stores of the measurement hold.
+// Parameters of the measurement.
 const (
 	measuredShards  = 8
-	minInput        = 16 << 10 // bytes of a turn's input; its output has a quarter of that
-	maxTurns        = 1000     // that make up the state: a larger state has larger turns
+	minInput        = 16 << 10 // bytes of a turn's input; the output has a quarter of that
+	maxTurns        = 1000     // bound on the turns of the state; a larger state has larger turns
 	measuredClients = 16
-	collectorGrowth = 25 // percent, as the command sets it
+	collectorGrowth = 25 // GC percentage, as package command sets it
 )
 
-// followTimeout is how long stores may take until all members are caught up.
+// followTimeout bounds the time until all members are caught up.
 const followTimeout = 90 * time.Second
 
-// storeVariable holds the options of a store process, which is this test binary started again.
+// storeVariable is the environment variable with the options of a store process, which runs this test binary.
 const storeVariable = "MASTUSHER_TEST_STORE"
 
-// processOptions set a store process up.
+// processOptions configures a store process.
 type processOptions struct {
 	ID      string
 	Address string
 	Folder  string
 }
 
-// request is a line that a store process reads: a placement, or a query for its peak of memory since the last one.
+// request is a line that a store process reads: a placement, or a query for the peak memory since the last query.
 type request struct {
 	Index     uint64
 	Placement view.Placement
 	Peak      bool
 }
 
-// TestStoreProcess is the store process; in the process of the tests there is nothing to do.
+// TestStoreProcess runs a store process. It does nothing in the process that runs the tests.
 func TestStoreProcess(t *testing.T) {
 	text := os.Getenv(storeVariable)
 	if text == "" {
@@ -102,7 +102,7 @@
 			return err
 		}
 		if received.Peak {
-			peak, err := peakOfMemory()
+			peak, err := peakMemory()
 			if err != nil {
 				return err
 			}
@@ -113,8 +113,8 @@
 	}
 }
 
-// peakOfMemory returns the maximum of bytes that the process had in memory since the last call.
-func peakOfMemory() (int64, error) {
+// peakMemory returns the process' peak resident memory since the last call, in bytes.
+func peakMemory() (int64, error) {
 	status, err := os.ReadFile("/proc/self/status")
 	if err != nil {
 		return 0, err
@@ -128,10 +128,10 @@
 			return kilobytes << 10, os.WriteFile("/proc/self/clear_refs", []byte("5"), 0)
 		}
 	}
-	return 0, errors.New("the process has no peak of memory")
+	return 0, errors.New("/proc/self/status has no VmHWM")
 }
 
-// storeProcess is a store process, seen from outside.
+// storeProcess controls a store process.
 type storeProcess struct {
 	options processOptions
 	command *exec.Cmd
@@ -194,7 +194,7 @@
 	}
 }
 
-// fleet is the stores of a measurement and their clients.
+// fleet holds the store processes of a measurement and the state of their clients.
 type fleet struct {
 	b         *testing.B
 	processes []*storeProcess
@@ -202,7 +202,7 @@
 	index     uint64
 	leaders   [measuredShards]atomic.Pointer[string]
 	turns     atomic.Int64
-	input     int // bytes of a turn's input
+	input     int // size of a turn's input in bytes
 }
 
 func newFleet(b *testing.B, bytes int) *fleet {
@@ -216,7 +216,7 @@
 	return f
 }
 
-// newOptions are those of a store with an empty disk.
+// newOptions returns options for a store with an empty disk.
 func (f *fleet) newOptions(id string) processOptions {
 	folder := filepath.Join(f.b.TempDir(), id)
 	if err := os.MkdirAll(folder, 0o700); err != nil {
@@ -230,7 +230,7 @@
 	return processOptions{ID: id, Address: listener.Addr().String(), Folder: folder}
 }
 
-// place applies a placement that has each shard on all stores.
+// place applies a placement of each shard on all stores.
 func (f *fleet) place() {
 	var replicas []view.Replica
 	for _, p := range f.processes {
@@ -249,8 +249,8 @@
 	}
 }
 
-// awaitMembers waits until each shard has a leader at which all members of the newest placement are caught up, and returns how
-// long that took.
+// awaitMembers waits until each shard has a leader that reports all members of the newest placement as caught up, and returns how long
+// that took.
 func (f *fleet) awaitMembers() time.Duration {
 	f.b.Helper()
 	began := time.Now()
@@ -260,7 +260,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	f.b.Fatalf("%d of %d shards follow the placement", f.following(), measuredShards)
+	f.b.Fatalf("%d of %d shards follow the placement within followTimeout, want all", f.following(), measuredShards)
 	return 0
 }
 
@@ -283,7 +283,7 @@
 	return following
 }
 
-// fill runs complete turns until so many more bytes of contents are stored.
+// fill runs complete turns until the given number of further bytes is stored.
 func (f *fleet) fill(bytes int) {
 	f.b.Helper()
 	each := f.input + f.input/4
@@ -300,7 +300,7 @@
 	waiting.Wait()
 }
 
-// turn begins and ends one turn, whoever owns its shard.
+// turn begins and ends one turn at the leader of its shard.
 func (f *fleet) turn() {
 	number := f.turns.Add(1)
 	shard := int(number % measuredShards)
@@ -310,7 +310,7 @@
 	f.call(shard, wire.MethodEndTurn, wire.EndTurnRequest{Shard: shard, Turn: program.EndTurn{Turn: name, Complete: true, Tokens: 100, Output: contents(number, f.input/4)}})
 }
 
-// contents are bytes as no two turns have them.
+// contents returns bytes that are different for each turn.
 func contents(number int64, size int) []byte {
 	text := make([]byte, 0, size+20)
 	for len(text) < size {
@@ -319,7 +319,7 @@
 	return text[:size]
 }
 
-// call calls the leader of a shard until it responds.
+// call calls the stores, starting with the known leader of the shard, until one accepts.
 func (f *fleet) call(shard int, method string, request any) {
 	for attempt := 0; ; attempt++ {
 		address := f.processes[attempt%len(f.processes)].options.Address
@@ -337,7 +337,7 @@
 	}
 }
 
-// peaks returns the most memory that any of the processes had since the last call.
+// peaks returns the largest peak memory of the processes since the last call, in MiB.
 func peaks(b *testing.B, processes ...*storeProcess) float64 {
 	peak := int64(0)
 	for _, p := range processes {
@@ -346,8 +346,8 @@
 	return float64(peak) / (1 << 20)
 }
 
-// BenchmarkMemoryOfStores measures the most memory (RSS) that a store process takes, in MiB, for three stores of eight shards
-// that hold so much: while it is written, while one of them comes back with an empty disk, and when all power comes back.
+// BenchmarkMemoryOfStores measures the peak resident memory of a store process in MiB, for three stores of eight shards that hold the
+// given state: while the state is written, while a store with an empty disk joins, and when all stores restart together.
 func BenchmarkMemoryOfStores(b *testing.B) {
 	for _, megabytes := range []int{1, 10, 50, 200} {
 		b.Run(fmt.Sprintf("state=%dMB", megabytes), func(b *testing.B) {
@@ -380,7 +380,7 @@
 	for i, p := range f.processes {
 		f.processes[i] = startStore(b, p.options)
 	}
-	f.place() // a member that has no snapshot yet waits for the placement
+	f.place() // a replica without a snapshot waits for the placement
 	b.ReportMetric(f.awaitMembers().Seconds(), "power-s")
 	b.ReportMetric(peaks(b, f.processes...), "power-MiB")
 	for _, p := range f.processes {
--- a/internal/tier/store/options.go
+++ b/internal/tier/store/options.go
@@ -23,38 +23,39 @@
 // defaultQueueBudgetBytes is the default of Options.QueueBudgetBytes.
 const defaultQueueBudgetBytes = 8 << 20
 
-// maxSnapshotReceivers bounds the shards that receive snapshots at once: more would need more memory, fewer would prolong the
-// start of an empty machine.
+// maxSnapshotReceivers bounds the shards that receive snapshots at the same time. More would need more memory, fewer would prolong
+// the start of an empty machine.
 const maxSnapshotReceivers = 2
 
 // Options configures a Store.
 type Options struct {
-	ID      string // identity on its disk
-	Address string // host:port at which other processes reach it
+	ID      string // identity stored on the disk
+	Address string // host:port at which other processes reach this store
 	Disk    storage.Disk
 	Pool    *transport.Pool // connections to other stores
 	Logger  log.Logger
-	Seed    uint64           // of the random election timeouts; differs from store to store
-	Now     func() time.Time // time of day, written into commands that this store proposes
+	Seed    uint64           // of the random election timeouts; must differ between stores
+	Now     func() time.Time // time of day, which is written into the commands that this store proposes
 
-	Invariants *invariant.Counter // counts surplus replicas that don't stop; nil: counts nothing
+	Invariants *invariant.Counter // counts surplus replicas that do not stop; nil: no counting
 
-	// QueueBudgetBytes bounds the messages and commands queued for all groups together; 0: 8 MiB. Beyond it messages are
-	// dropped and commands rejected, which the senders retry. A larger value tolerates longer stalls of the disk and takes
-	// as much more memory.
+	// QueueBudgetBytes bounds the messages and commands queued for all groups together; 0 selects 8 MiB. Beyond the bound
+	// messages are dropped and commands rejected, which the senders retry. A larger value tolerates longer stalls of the
+	// disk, and takes as much more memory.
 	QueueBudgetBytes int
 
-	// IsNearLimit reports whether the process is short of memory or disk. New programs are rejected while it is. Nil: never.
+	// IsNearLimit reports whether the process is short of memory or disk. While it is, new programs are rejected. Nil: never.
 	IsNearLimit func() bool
 
-	// Replacements of the pool, the clock and goroutines for tests that run a store in memory; nil: those of the process.
-	// None of them may block. Who waits for its groups to end passes a RunGroup of its own.
+	// The functions below replace the pool, the clock and goroutines in tests that run a store in memory; if nil, those of
+	// the process are used. None of them may block. Store.Wait does not wait for groups that RunGroup runs.
 	Send      func(address string, envelope group.Envelope)
 	Clock     func() time.Duration                  // monotonic
-	RunGroup  func(opened *group.Group)             // drives a group until it ends; an error of the group is the caller's then
+	RunGroup  func(opened *group.Group)             // runs a group until it ends, and handles its error
 	AfterFunc func(delay time.Duration, run func()) // calls run after the delay
-	// RunBackground runs the writes of compactions beside their groups; the default runs them within the groups' iterations.
+	// RunBackground runs the writes of compactions concurrently with their groups; by default they run within the groups'
+	// iterations.
 	RunBackground func(work func())
-	// QueryMembers asks the store at an address for the members of the groups that it leads.
+	// QueryMembers asks the store at an address for the members of the groups that the store leads.
 	QueryMembers func(address string, done func(response wire.ShardMembersResponse, err error))
 }
--- a/internal/tier/store/placement.go
+++ b/internal/tier/store/placement.go
@@ -17,10 +17,10 @@
 // openRetryDelay is the time after which opening a shard is retried.
 const openRetryDelay = 300 * time.Millisecond
 
-// groupPrefix starts the names of the shards' groups, and so of their files. It is stored and sent.
+// groupPrefix is the prefix of the names of the shards' groups and their files. It is stored on disk and sent in messages.
 const groupPrefix = "shard-"
 
-// ApplyUpdate applies a placement that was disseminated. Updates of other sections are ignored.
+// ApplyUpdate applies a disseminated placement. Updates of other sections are ignored.
 func (s *Store) ApplyUpdate(update view.Update) {
 	if update.Section != view.PlacementSection {
 		return
@@ -33,9 +33,9 @@
 	s.ApplyPlacement(update.Stamp.Sequence, placement)
 }
 
-// ApplyPlacement applies a placement with the index of its entry in the configuration shard's log: it opens the shards placed
-// here, and has every group led here change to the members placed. A shard that can't be opened, since the disk is full or
-// fails, is retried after a delay, by the newest placement that is known then.
+// ApplyPlacement applies a placement with the index of its entry in the configuration shard's log: it opens the shards placed on this
+// store, and makes every group that this store leads change to the members placed. If a shard cannot be opened, because the disk is
+// full or fails, the placement known as the newest by then is applied after a delay.
 func (s *Store) ApplyPlacement(index uint64, placement view.Placement) {
 	s.mutex.Lock()
 	if index >= s.placementIndex {
@@ -69,8 +69,8 @@
 	s.ApplyPlacement(index, placement)
 }
 
-// shouldRun reports whether a shard's replica should run here: it is placed here, or it is one of the group's initial members
-// and wasn't removed.
+// shouldRun reports whether a shard's replica should run on this store: it is placed here, or it is one of the group's initial
+// members and was not removed.
 func (s *Store) shouldRun(number int, target view.ShardPlacement) bool {
 	if contains(target.Replicas, s.options.ID) {
 		return true
@@ -78,7 +78,7 @@
 	return contains(target.Initial, s.options.ID) && !s.isRemoved(number)
 }
 
-// placementOf returns what the newest placement says of a shard.
+// placementOf returns the newest placement of a shard.
 func (s *Store) placementOf(number int) (view.ShardPlacement, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -88,7 +88,8 @@
 	return s.placement.Shards[number], true
 }
 
-// open starts the replica of a shard, unless it runs. The other shards go on meanwhile, however long the disk takes.
+// open starts the replica of a shard unless it is running. Only one shard is opened at a time; running shards continue, however long
+// the disk takes.
 func (s *Store) open(number int, target view.ShardPlacement) error {
 	s.openingToken <- struct{}{}
 	defer func() { <-s.openingToken }()
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// groupOptions returns the options of a shard's group. Initial members are given only where the group begins with this store.
+// groupOptions returns the options of a shard's group. InitialMembers is set only if this store is one of the initial members.
 func (s *Store) groupOptions(opening *shard, target view.ShardPlacement) group.Options {
 	options := replica.Options{
 		ID:                     s.options.ID,
@@ -142,7 +143,7 @@
 
 func groupName(number int) string { return groupPrefix + strconv.Itoa(number) }
 
-// shardNumber returns the number of the shard whose group has the name.
+// shardNumber returns the number of the shard whose group has the name, or false if the name is not that of a shard's group.
 func shardNumber(name string) (int, bool) {
 	digits, ok := strings.CutPrefix(name, groupPrefix)
 	if !ok {
--- a/internal/tier/store/placement_test.go
+++ b/internal/tier/store/placement_test.go
@@ -13,7 +13,7 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// blockedDisk blocks the creation of one group's files until release is closed.
+// blockedDisk is a disk that blocks the creation of one group's files until release is closed.
 type blockedDisk struct {
 	storage.Disk
 	group   string
@@ -34,7 +34,7 @@
 }
 
 func TestOpen_DiskStallsForOneShard_OthersGoOn(t *testing.T) {
-	// Given a store whose disk stands still while the second shard opens,
+	// Given a store whose disk stalls while the second shard opens,
 	disk := &blockedDisk{Disk: memorydisk.New(), group: groupName(1), blocked: make(chan struct{}, 1), release: make(chan struct{})}
 	s := New(t.Context(), Options{ID: self.ID, Address: self.Address, Disk: disk, Logger: log.NewNopLogger(), Seed: 1,
 		Now: time.Now, Send: func(string, group.Envelope) {}})
@@ -45,17 +45,17 @@
 		s.ApplyPlacement(2, alone(2))
 	}()
 	<-disk.blocked
-	// when a message for the first one comes,
+	// when a message for the first shard arrives,
 	delivered := make(chan struct{})
 	go func() {
 		defer close(delivered)
 		s.Deliver(group.Envelope{Group: groupName(0)})
 	}()
-	// then it is delivered at once.
+	// then it is delivered immediately.
 	select {
 	case <-delivered:
 	case <-time.After(waitTimeout):
-		t.Error("the message waits for the disk")
+		t.Error("the message was not delivered while the disk stalled")
 	}
 	close(disk.release)
 	<-placed
@@ -70,10 +70,10 @@
 	disk.InjectFaults(func(memorydisk.Operation, string) error { return errors.New("the disk fails") })
 	s.ApplyPlacement(4, alone(1))
 	if s.shard(0) != nil || len(retries) != 1 {
-		t.Fatalf("opened %v, %d retries", s.shard(0) != nil, len(retries))
+		t.Fatalf("shard is open: %v, %d retries; want a closed shard and 1 retry", s.shard(0) != nil, len(retries))
 	}
 
-	// When the disk still fails, it is retried later.
+	// When the disk still fails, opening is retried again.
 	retries[0]()
 	if len(retries) != 2 {
 		t.Fatalf("%d retries, want 2", len(retries))
@@ -83,6 +83,6 @@
 	disk.InjectFaults(nil)
 	retries[1]()
 	if s.shard(0) == nil || len(retries) != 2 {
-		t.Errorf("opened %v, %d retries more", s.shard(0) != nil, len(retries)-2)
+		t.Errorf("shard is open: %v, %d further retries; want an open shard and none", s.shard(0) != nil, len(retries)-2)
 	}
 }
--- a/internal/tier/store/query.go
+++ b/internal/tier/store/query.go
@@ -8,13 +8,13 @@
 	"mastusher/internal/tier/wire"
 )
 
-// queryTimeout bounds a query for the members of a store's groups. A longer one tolerates slower machines, and delays what waits
-// for the answer: the removal of surplus replicas, and the end of a decommissioning.
+// queryTimeout bounds a query for the members of a store's groups. A longer timeout tolerates slower machines, and delays the removal
+// of surplus replicas and the end of a decommissioning.
 const queryTimeout = 700 * time.Millisecond
 
-// QueryMembers returns a function that asks the store at an address for the members of the groups that it leads. Stores and the
-// controllers' leader ask. The function doesn't block: each query has a goroutine of its own, which calls done once and ends within
-// the time of a query. Nobody waits for it, so done may be called after its owner has ended.
+// QueryMembers returns a function that asks the store at an address for the members of the groups that the store leads. Stores and
+// the controllers' leader use it. The function does not block: each query runs in its own goroutine, which calls done once and ends
+// within queryTimeout. Nothing waits for the goroutine, so done may be called after its owner has ended.
 func QueryMembers(pool *transport.Pool) func(address string, done func(wire.ShardMembersResponse, error)) {
 	return func(address string, done func(wire.ShardMembersResponse, error)) {
 		go func() {
--- a/internal/tier/store/recover.go
+++ b/internal/tier/store/recover.go
@@ -10,9 +10,9 @@
 	"mastusher/internal/tier/view"
 )
 
-// Recover opens the shards whose members this store's disk knows, so that their groups elect leaders before the placement
-// arrives. Those whose members it doesn't know wait for the placement. Each takes part as soon as it is open, and follows the
-// placement known by then. Removed replicas stay closed. It returns the first error of the disk.
+// Recover opens the shards whose members are stored on this store's disk, so that their groups elect leaders before the placement
+// arrives. Shards without stored members wait for the placement. Each shard takes part as soon as it is open, and follows the
+// placement known by then. Removed replicas are not opened. Recover returns the first error of the disk.
 func (s *Store) Recover() error {
 	defer s.reviewSurplus()
 	names, err := storage.ListGroups(s.options.Disk)
@@ -39,7 +39,8 @@
 	return nil
 }
 
-// MemberAddresses lists the other members of the groups that run here, each address once, those of more groups first.
+// MemberAddresses lists the addresses of the other members of the groups that run on this store, each once, in descending order of the
+// number of groups that they share.
 func (s *Store) MemberAddresses() []string {
 	groups := map[string]int{}
 	for _, running := range s.running() {
--- a/internal/tier/store/recover_test.go
+++ b/internal/tier/store/recover_test.go
@@ -16,7 +16,7 @@
 	"mastusher/internal/tier/view"
 )
 
-// newIdleStore returns a store whose groups don't run and whose messages are dropped.
+// newIdleStore returns a store whose groups do not run and whose messages are dropped.
 func newIdleStore(disk storage.Disk) *Store {
 	return New(context.Background(), Options{ID: "a", Address: "a:1", Disk: disk, Logger: log.NewNopLogger(), Seed: 1,
 		Send: func(string, group.Envelope) {}, RunGroup: func(*group.Group) {}})
@@ -37,10 +37,10 @@
 
 	running := restarted.shard(0)
 	if running == nil {
-		t.Fatal("the shard on its disk isn't open")
+		t.Fatal("the shard on the disk is not open")
 	}
 	if got := len(running.group.Status().Members); got != len(members) {
-		t.Errorf("its group has %d members, want %d", got, len(members))
+		t.Errorf("the shard's group has %d members, want %d", got, len(members))
 	}
 	if restarted.shard(1) != nil {
 		t.Error("a shard that never ran here is open")
@@ -64,19 +64,19 @@
 		t.Fatal(err)
 	}
 	if restarted.shard(3) != nil {
-		t.Error("a shard whose members are not known is open")
+		t.Error("a shard without stored members is open")
 	}
 }
 
-// TestRecover_ShardOpensAfterPlacement_FollowsIt has the placement come while the store hasn't read its shards.
+// TestRecover_ShardOpensAfterPlacement_FollowsIt makes the placement arrive before the store has read its shards.
 func TestRecover_ShardOpensAfterPlacement_FollowsIt(t *testing.T) {
-	// Given a store on whose disk there is a shard,
+	// Given a store with a shard on its disk,
 	disk := memorydisk.New()
 	before := []view.Replica{{ID: "a", Address: "a:1"}, {ID: "b", Address: "b:1"}, {ID: "c", Address: "c:1"}}
 	newIdleStore(disk).ApplyPlacement(1, view.Placement{Shards: []view.ShardPlacement{{Initial: before, Replicas: before}}})
 	disk.LosePower(7)
 
-	// when it starts and hears of a placement that wants the shard elsewhere, and only then opens it,
+	// when it starts and receives a placement of the shard on other stores before it opens the shard,
 	scheduled := 0
 	restarted := New(t.Context(), Options{ID: "a", Address: "a:1", Disk: disk, Logger: log.NewNopLogger(), Seed: 1,
 		Send: func(string, group.Envelope) {}, RunGroup: func(*group.Group) {}, AfterFunc: func(time.Duration, func()) { scheduled++ }})
@@ -86,10 +86,10 @@
 		t.Fatal(err)
 	}
 
-	// then the replica knows which members are wanted, should it own the group, and it is looked at whether it may go.
+	// then the replica has the target members, in case it becomes the leader, and a review of surplus replicas is scheduled.
 	opened := restarted.shard(0)
 	if opened == nil {
-		t.Fatal("the shard on its disk isn't open")
+		t.Fatal("the shard on the disk is not open")
 	}
 	if opened.placementIndex != 2 || len(opened.targetMembers) != len(after) {
 		t.Errorf("the replica follows placement %d with %d members, want 2 with %d", opened.placementIndex, len(opened.targetMembers), len(after))
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestRecover_DiskIsDamaged_ReturnsError damages the files of a shard before its log was read completely.
+// TestRecover_DiskIsDamaged_ReturnsError damages the files of a shard before recovery.
 func TestRecover_DiskIsDamaged_ReturnsError(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -154,7 +154,7 @@
 			disk.Kill()
 			var damage *storage.CorruptError
 			if err := newIdleStore(disk).Recover(); !errors.As(err, &damage) {
-				t.Errorf("recovered with %v, want that the disk is damaged", err)
+				t.Errorf("Recover returned %v, want a CorruptError", err)
 			}
 		})
 	}
--- a/internal/tier/store/removed.go
+++ b/internal/tier/store/removed.go
@@ -7,11 +7,12 @@
 	"github.com/go-kit/log/level"
 )
 
-// removalMarkerSuffix ends the name of the empty file that marks the replica of a shard as removed. It is stored.
+// removalMarkerSuffix is the suffix of the empty file that marks the replica of a shard as removed. Disks of earlier versions have
+// such files.
 const removalMarkerSuffix = ".departed"
 
-// markRemoved marks the replica of a shard as removed, also for later starts: what the disk still has of it isn't read again
-// until the shard is placed here. Without a marker a later start opens it again, which costs memory and nothing else.
+// markRemoved marks the replica of a shard as removed, also for later starts: its remaining files are not read again until the shard
+// is placed on this store. Without a marker a later start opens the replica again, which only costs memory.
 func (s *Store) markRemoved(number int) {
 	s.mutex.Lock()
 	s.removed[number] = true
@@ -32,7 +33,7 @@
 	return s.options.Disk.SyncDir()
 }
 
-// isRemoved reports whether the replica of a shard was removed, since this start or an earlier one.
+// isRemoved reports whether the replica of a shard was removed, by this process or an earlier one.
 func (s *Store) isRemoved(number int) bool {
 	s.mutex.Lock()
 	removed := s.removed[number]
@@ -44,12 +45,12 @@
 	if err != nil {
 		return false
 	}
-	_ = file.Close() // nothing was written
+	_ = file.Close() // the file was only opened for reading
 	return true
 }
 
-// clearRemoved removes the marker durably. This must precede the replica's taking part, so that the next start opens it at
-// once: it may have votes and entries that count.
+// clearRemoved removes the marker durably. This must happen before the replica takes part in its group, as the next start must then
+// open it immediately: its votes and entries may count towards a majority.
 func (s *Store) clearRemoved(number int) error {
 	if !s.isRemoved(number) {
 		return nil
--- a/internal/tier/store/shard.go
+++ b/internal/tier/store/shard.go
@@ -13,7 +13,7 @@
 	"mastusher/internal/tier/wire"
 )
 
-// recordRetryDelay is the time after which proposing a placement's index to the group's log is retried.
+// recordRetryDelay is the delay before proposing a placement's index to the group's log is retried.
 const recordRetryDelay = 200 * time.Millisecond
 
 // shard is the replica of one shard, with its state machine.
@@ -23,16 +23,16 @@
 	group         *group.Group
 	machine       *machine
 	afterFunc     func(delay time.Duration, run func())
-	stoppingSince time.Time // zero: it isn't being stopped; guarded by Store.mutex
+	stoppingSince time.Time // zero unless the replica is being stopped; guarded by Store.mutex
 
-	mutex              sync.Mutex       // guards the fields below and orders the group's target members
+	mutex              sync.Mutex       // guards the fields below and orders calls of SetTargetMembers
 	placementIndex     uint64           // of the newest placement that this store knows; 0: none
-	targetMembers      []replica.Member // by that placement
-	lastTarget         []replica.Member // what the group was last given as a target by its leader here; nil: nothing in this term
-	recordingPlacement bool             // the index has been proposed to the group's log
+	targetMembers      []replica.Member // members by the newest placement
+	lastTarget         []replica.Member // last target set while this replica was the leader; nil: none since it became one
+	recordingPlacement bool             // a proposal of the index to the group's log is pending
 }
 
-// setPlacement sets the members that a placement gives to the group.
+// setPlacement sets the target members of the group by a placement, and reconciles.
 func (s *shard) setPlacement(index uint64, target []replica.Member) {
 	s.mutex.Lock()
 	if index >= s.placementIndex {
@@ -42,8 +42,8 @@
 	s.reconcileMembers()
 }
 
-// onStatusChange handles a new leader, term or membership. A follower's target are the members that there are: should it
-// become the leader, it must not continue a change that it started in an earlier term.
+// onStatusChange handles a new leader, term or membership. The target of a follower is the current membership, so that it does not
+// continue a change from an earlier term if it becomes the leader.
 func (s *shard) onStatusChange(status replica.Status) {
 	level.Info(s.logger).Log("msg", "group changed", "shard", s.number, "leader", status.Leader, "isLeader", status.IsLeader,
 		"term", status.Term, "members", len(status.Members))
@@ -60,9 +60,9 @@
 	s.group.SetTargetMembers(status.Members)
 }
 
-// reconcileMembers has the group change to the members placed, if this replica leads it. The index of a new placement is
-// recorded in the group's log first, so that no later leader returns to an older one; a leader that knows an older placement
-// than the log changes nothing.
+// reconcileMembers makes the group change to the members placed, if this replica is the leader. The index of a new placement is first
+// recorded in the group's log, so that no later leader returns to an older placement. A leader that knows an older placement than
+// the log changes nothing.
 func (s *shard) reconcileMembers() {
 	s.mutex.Lock()
 	record := uint64(0)
@@ -81,7 +81,7 @@
 	}
 }
 
-// onPlacementRecorded continues once the index is committed, or retries after a delay.
+// onPlacementRecorded continues reconcileMembers once the index is committed, or after a delay if the proposal failed.
 func (s *shard) onPlacementRecorded(_ any, err error) {
 	s.mutex.Lock()
 	s.recordingPlacement = false
@@ -93,8 +93,8 @@
 	s.reconcileMembers()
 }
 
-// reportMembers calls done with the members of the group. They are confirmed if a majority confirms by a read that this
-// replica leads the group, and if no change of them was uncommitted when the read began.
+// reportMembers calls done with the members of the group. They are confirmed if a linearizable read shows that this replica is still
+// the leader in the same term, and that the members of the start of the read are committed and unchanged.
 func (s *shard) reportMembers(done func(members wire.ShardMembers, confirmed bool)) {
 	before := s.group.Status()
 	if !before.IsLeader {
@@ -110,7 +110,7 @@
 	})
 }
 
-// membersOfStatus lists the members of a status, and those of them that are voters and caught up.
+// membersOfStatus lists the members in a status, and those that are voters and caught up.
 func (s *shard) membersOfStatus(status replica.Status) wire.ShardMembers {
 	members := wire.ShardMembers{Shard: s.number, Term: status.Term, Placement: s.machine.placement.Load()}
 	for _, member := range status.Members {
--- a/internal/tier/store/store.go
+++ b/internal/tier/store/store.go
@@ -20,19 +20,19 @@
 	options        Options
 	compactionLock sync.Mutex             // held by the group that compacts
 	receiveLimiter *group.SnapshotLimiter // shared by the groups that receive snapshots
-	openingToken   chan struct{}          // contains a token while a shard opens; taken before mutex
+	openingToken   chan struct{}          // contains a token while a shard is being opened; acquired before mutex
 	queueBudget    *group.QueueBudget     // shared by the queues of all groups
 	groups         groupRunner
 
 	mutex           sync.Mutex // guards the fields below, and shard.stoppingSince
 	shards          map[int]*shard
-	placementIndex  uint64         // index of placement; 0: none is known
-	placement       view.Placement // the newest one
-	removed         map[int]bool   // shards whose replicas were removed since the start; the disk has markers of all
+	placementIndex  uint64         // index of placement; 0: no placement is known
+	placement       view.Placement // newest placement
+	removed         map[int]bool   // shards whose replicas were removed since the start; the disk also has markers of earlier ones
 	reviewScheduled bool           // a review of surplus replicas is scheduled
 }
 
-// New returns a store without shards. Recover opens those on its disk, ApplyPlacement those that are placed here. Groups run
+// New returns a store without shards. Recover opens the shards on the disk, ApplyPlacement those placed on this store. Groups run
 // until ctx ends.
 func New(ctx context.Context, options Options) *Store {
 	if options.QueueBudgetBytes == 0 {
@@ -71,8 +71,7 @@
 	transport.Handle(handlers, wire.MethodShardMembers, s.handleShardMembers)
 }
 
-// Deliver passes a message to the group that it names. Messages for a group that doesn't run here are dropped: its members
-// retransmit.
+// Deliver passes a message to its group. Messages for a group that does not run on this store are dropped; members retransmit.
 func (s *Store) Deliver(envelope group.Envelope) {
 	if len(envelope.Group) <= len(groupPrefix) {
 		return
@@ -86,7 +85,7 @@
 	}
 }
 
-// Stats returns the number of replicas that run here, and the sum of their sizes.
+// Stats returns the number of replicas that run on this store, and the sum of their sizes.
 func (s *Store) Stats() (shards int, sum group.MemberStats) {
 	running := s.running()
 	for _, shard := range running {
@@ -99,14 +98,14 @@
 	return len(running), sum
 }
 
-// shard returns the replica of a shard that runs here, or nil.
+// shard returns the replica of a shard, or nil if it does not run on this store.
 func (s *Store) shard(number int) *shard {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.shards[number]
 }
 
-// running lists the shards that run here, by number.
+// running lists the replicas that run on this store, sorted by shard number.
 func (s *Store) running() []*shard {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/tier/store/store_test.go
+++ b/internal/tier/store/store_test.go
@@ -21,7 +21,7 @@
 	"mastusher/internal/tier/wire"
 )
 
-// waitTimeout bounds every wait of a test that goes as it should.
+// waitTimeout bounds every wait in tests; only a failing test reaches it.
 const waitTimeout = 10 * time.Second
 
 var (
@@ -29,7 +29,7 @@
 	other = view.Replica{ID: "other", Node: "storage-2", Address: "10.0.0.2:7002", Zone: "b"}
 )
 
-// alone is a placement of shards that this store holds alone.
+// alone returns a placement of shards whose only replica is on the store self.
 func alone(shards int) view.Placement {
 	var placed view.Placement
 	for range shards {
@@ -38,7 +38,7 @@
 	return placed
 }
 
-// newStore is a store whose messages to others are lost.
+// newStore returns the store self, whose messages to other stores are lost.
 func newStore(t testing.TB, disk *memorydisk.Disk) *Store {
 	t.Helper()
 	return New(t.Context(), Options{ID: self.ID, Address: self.Address, Disk: disk, Logger: log.NewNopLogger(), Seed: 1,
@@ -51,7 +51,7 @@
 	return ctx
 }
 
-// awaitPlacement waits until the store leads all its groups and they follow a placement.
+// awaitPlacement waits until the store leads the given number of groups that follow a placement.
 func awaitPlacement(t testing.TB, s *Store, shards int, index uint64) {
 	t.Helper()
 	ctx := testContext(t)
@@ -78,30 +78,30 @@
 	awaitPlacement(t, store, 2, 4)
 	ctx := testContext(t)
 
-	// Given a turn that was begun and ended.
+	// Given a turn that has begun and ended.
 	began, err := store.handleBeginTurn(ctx, "", wire.BeginTurnRequest{Shard: 1, Turn: *beginTurn("a").Begin})
 	if err != nil || began.Verdict != program.Accepted {
-		t.Fatalf("begun: %v, %v", began, err)
+		t.Fatalf("begin of the turn: %v, %v; want it accepted", began, err)
 	}
 	ended, err := store.handleEndTurn(ctx, "", wire.EndTurnRequest{Shard: 1, Turn: *endTurn("a").End})
 	if err != nil || ended.Verdict != program.Accepted {
-		t.Fatalf("ended: %v, %v", ended, err)
+		t.Fatalf("end of the turn: %v, %v; want it accepted", ended, err)
 	}
 
-	// Then its chain is found in its shard, and certainly not in another.
+	// Then its chain is found in its shard and not in another one.
 	found, err := store.handleChain(ctx, "", wire.ChainRequest{Shard: 1, Turn: "a"})
 	if diff := cmp.Diff(wire.ChainResponse{Found: true, Chain: []byte("input of aoutput")}, found); diff != "" || err != nil {
 		t.Errorf("chain (-want +got), %v:\n%s", err, diff)
 	}
 	if missing, err := store.handleChain(ctx, "", wire.ChainRequest{Shard: 0, Turn: "a"}); err != nil || missing.Found {
-		t.Errorf("chain in another shard: %v, %v", missing, err)
+		t.Errorf("chain in another shard: %v, %v; want it not found", missing, err)
 	}
 
-	// And a turn that goes on from one that isn't there is refused.
+	// And a turn whose previous turn does not exist is rejected.
 	next := *beginTurn("b").Begin
 	next.Previous = "nothing"
 	if got, err := store.handleBeginTurn(ctx, "", wire.BeginTurnRequest{Shard: 1, Turn: next}); err != nil || got.Verdict != program.TurnNotFound {
-		t.Errorf("begun without its chain: %v, %v", got, err)
+		t.Errorf("begin of a turn without its previous turn: %v, %v; want TurnNotFound", got, err)
 	}
 }
 
@@ -112,7 +112,7 @@
 		store.ApplyPlacement(4, alone(1))
 		awaitPlacement(t, store, 1, 4)
 		if got, err := store.handleBeginTurn(testContext(t), "", wire.BeginTurnRequest{Turn: *beginTurn("a").Begin}); err != nil || got.Verdict != program.Accepted {
-			t.Fatalf("begun: %v, %v", got, err)
+			t.Fatalf("begin of the turn: %v, %v; want it accepted", got, err)
 		}
 	})
 	disk.LosePower(3)
@@ -120,7 +120,7 @@
 	store.ApplyPlacement(4, alone(1))
 	awaitPlacement(t, store, 1, 4)
 	if got, err := store.handleEndTurn(testContext(t), "", wire.EndTurnRequest{Turn: *endTurn("a").End}); err != nil || got.Verdict != program.Accepted {
-		t.Errorf("the end of a turn that was acknowledged: %v, %v", got, err)
+		t.Errorf("end of a turn that began before the restart: %v, %v; want it accepted", got, err)
 	}
 }
 
@@ -135,7 +135,7 @@
 		for name, err := range map[string]error{"begin": beginErr, "end": endErr, "chain": chainErr} {
 			var notLeader *NotLeaderError
 			if !errors.As(err, &notLeader) || notLeader.Leader != "" {
-				t.Errorf("%s of shard %d: %v, want that it isn't its leader", name, shard, err)
+				t.Errorf("%s of shard %d: %v, want a NotLeaderError without a leader", name, shard, err)
 			}
 		}
 	}
@@ -151,18 +151,18 @@
 	}{
 		{"another leader", &group.NotLeaderError{Leader: other.Address}, other.Address},
 		{"no leader", &group.NotLeaderError{}, ""},
-		{"this store, as it was", &group.NotLeaderError{Leader: self.Address}, ""},
+		{"this store as the former leader", &group.NotLeaderError{Leader: self.Address}, ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			var notLeader *NotLeaderError
 			if got := store.remoteError(test.err); !errors.As(got, &notLeader) || notLeader.Leader != test.want {
-				t.Errorf("error %v, want that %q is the leader", got, test.want)
+				t.Errorf("error %v, want a NotLeaderError with leader %q", got, test.want)
 			}
 		})
 	}
 	if got := store.remoteError(context.Canceled); !errors.Is(got, context.Canceled) {
-		t.Errorf("error %v, want what it was", got)
+		t.Errorf("error %v, want context.Canceled unchanged", got)
 	}
 }
 
@@ -183,16 +183,16 @@
 	ctx := testContext(t)
 	got, err := transport.Call[wire.BeginTurnRequest, program.Result](ctx, pool, server.Address(), wire.MethodBeginTurn, wire.BeginTurnRequest{Turn: *beginTurn("a").Begin})
 	if err != nil || got.Verdict != program.Accepted {
-		t.Errorf("begun: %v, %v", got, err)
+		t.Errorf("begin of the turn: %v, %v; want it accepted", got, err)
 	}
 	_, err = transport.Call[wire.BeginTurnRequest, program.Result](ctx, pool, server.Address(), wire.MethodBeginTurn, wire.BeginTurnRequest{Shard: 5, Turn: *beginTurn("b").Begin})
 	var remote *transport.RemoteError
 	if !errors.As(err, &remote) || remote.Kind != wire.KindNotLeader {
-		t.Errorf("a shard that doesn't run here: %v", err)
+		t.Errorf("error %v for a shard that does not run on the store, want KindNotLeader", err)
 	}
 	answer, err := transport.Call[wire.ShardMembersRequest, wire.ShardMembersResponse](ctx, pool, server.Address(), wire.MethodShardMembers, wire.ShardMembersRequest{})
 	if err != nil || len(answer.Shards) != 1 {
-		t.Fatalf("members: %v, %v", answer, err)
+		t.Fatalf("members: %v, %v; want those of one shard", answer, err)
 	}
 	want := wire.ShardMembers{Term: answer.Shards[0].Term, Placement: 4, IDs: []string{self.ID}, CaughtUp: []string{self.ID}}
 	if diff := cmp.Diff(want, answer.Shards[0]); diff != "" {
@@ -210,7 +210,7 @@
 	store.ApplyPlacement(9, target)
 	store.ApplyPlacement(6, alone(1))
 
-	// Then the group adds the other store, and an older placement doesn't change that.
+	// Then the group adds the other store, and an older placement does not change that.
 	awaitPlacement(t, store, 1, 9)
 	running := store.shard(0)
 	ctx := testContext(t)
@@ -226,14 +226,14 @@
 	}
 }
 
-// TestReportMembers_NotLeader_IsEmpty checks that a follower reports no members.
+// TestReportMembers_NotLeader_IsEmpty checks that a store that leads no group reports no members.
 func TestReportMembers_NotLeader_IsEmpty(t *testing.T) {
 	store := newStore(t, memorydisk.New())
 	both := []view.Replica{self, other}
 	store.ApplyPlacement(4, view.Placement{Shards: []view.ShardPlacement{{Initial: both, Replicas: both}}})
 	answer, err := store.handleShardMembers(testContext(t), "", wire.ShardMembersRequest{})
 	if err != nil || len(answer.Shards) > 0 {
-		t.Errorf("members: %v, %v", answer, err)
+		t.Errorf("members: %v, %v; want none", answer, err)
 	}
 }
 
@@ -244,11 +244,11 @@
 	store.groups.reportFailure(cause)
 	store.groups.reportFailure(errors.New("another"))
 	if got := <-store.Failures(); !errors.Is(got, cause) {
-		t.Errorf("failed with %v, want %v", got, cause)
+		t.Errorf("reported failure %v, want the first one, %v", got, cause)
 	}
 }
 
-// TestStore_GroupEndsByItself_SaysSoAndDeliversTheError has a group whose disk is damaged while it runs.
+// TestStore_GroupEndsByItself_SaysSoAndDeliversTheError makes a group end because its disk reports damage while it runs.
 func TestStore_GroupEndsByItself_SaysSoAndDeliversTheError(t *testing.T) {
 	disk := memorydisk.New()
 	lines := make(chan string, 100)
@@ -265,10 +265,10 @@
 	select {
 	case err := <-store.Failures():
 		if !errors.Is(err, storage.ErrCorrupt) {
-			t.Errorf("failed with %v", err)
+			t.Errorf("reported failure %v, want ErrCorrupt", err)
 		}
 	case <-time.After(waitTimeout):
-		t.Fatal("the failure isn't delivered")
+		t.Fatal("the failure was not delivered within waitTimeout")
 	}
 	for line := range lines {
 		if strings.Contains(line, "replica ended") {
@@ -291,7 +291,7 @@
 }
 
 func TestBeginTurn_StoreNearLimit_OnlyNewProgramsAreRejected(t *testing.T) {
-	// Given a store that leads a shard, with a program under way, and is short of memory,
+	// Given a store that leads a shard with a program in progress and is short of memory,
 	s := newStore(t, memorydisk.New())
 	s.ApplyPlacement(5, alone(1))
 	awaitPlacement(t, s, 1, 5)
@@ -309,7 +309,7 @@
 	}
 	near := true
 	s.options.IsNearLimit = func() bool { return near }
-	// when turns begin, then those that begin a program with a history are rejected, and all others go on.
+	// when turns begin, then only turns that begin a program whose contents are kept are rejected.
 	for _, tc := range []struct {
 		name string
 		turn program.BeginTurn
@@ -317,15 +317,15 @@
 	}{
 		{"a new program", program.BeginTurn{Turn: "n", Program: "q", Remembered: true}, program.StorageFull},
 		{"the next turn of a program", program.BeginTurn{Turn: "2", Program: "p", Remembered: true, Previous: "1"}, program.Accepted},
-		{"a turn whose contents aren't kept", program.BeginTurn{Turn: "3", Program: "r"}, program.Accepted},
+		{"a turn whose contents are not kept", program.BeginTurn{Turn: "3", Program: "r"}, program.Accepted},
 	} {
 		if got := begin(tc.turn); got != tc.want {
 			t.Errorf("%s: %s, want %s", tc.name, got, tc.want)
 		}
 	}
-	// And once there is room again the new program begins.
+	// And once there is enough memory again, the new program is accepted.
 	near = false
 	if got := begin(program.BeginTurn{Turn: "n", Program: "q", Remembered: true}); got != program.Accepted {
-		t.Errorf("with room again: %s", got)
+		t.Errorf("new program with enough memory: %s, want it accepted", got)
 	}
 }
--- a/internal/tier/store/stored_format_test.go
+++ b/internal/tier/store/stored_format_test.go
@@ -13,8 +13,8 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// golden reads a file of testdata without the line feed at its end. The files were written before the names in this package
-// changed; logs and snapshots on disk hold such bytes, and stores of two versions exchange them.
+// golden reads a file of testdata without the line feed at its end. An earlier version wrote the files; logs and snapshots on disk
+// have this format, and stores of different versions exchange it.
 func golden(t *testing.T, name string) json.RawMessage {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", name))
@@ -24,7 +24,7 @@
 	return bytes.TrimSuffix(data, []byte("\n"))
 }
 
-// storedCommands lists one entry of each kind, in the order in which storedMachine applies them.
+// storedCommands lists one log entry of each kind, in the order in which storedMachine applies them.
 var storedCommands = []struct {
 	file  string
 	value command
@@ -52,7 +52,7 @@
 	}
 }
 
-// storedMachine applies the entries of the files.
+// storedMachine returns a machine to which the entries in the files were applied.
 func storedMachine(t *testing.T) *machine {
 	t.Helper()
 	m := newMachine()
@@ -113,7 +113,7 @@
 	}
 	s := newIdleStore(disk)
 	if !s.isRemoved(3) || s.isRemoved(4) {
-		t.Error("the marker is not found, or one that isn't there is")
+		t.Error("want shard 3, which has a marker, removed and shard 4 not removed")
 	}
 	s.markRemoved(4)
 	if _, err := disk.Open("shard-4.departed"); err != nil {
--- a/internal/tier/store/surplus.go
+++ b/internal/tier/store/surplus.go
@@ -11,12 +11,12 @@
 	"mastusher/internal/tier/wire"
 )
 
-// A replica is surplus if it runs here although the newest placement has its shard elsewhere. It must not stop before its
-// group has replaced it, as it may have the only copies of acknowledged entries that complete a majority. So the stores of the
-// placement are asked, at intervals, which members their groups have.
+// A replica is surplus if it runs on this store although the newest placement does not place its shard here. It must not stop before
+// its group has replaced it, as a majority for acknowledged entries may depend on its copies. Therefore the stores on which the
+// shard is placed are asked periodically for the members of their groups.
 const (
 	reviewInterval = 2 * time.Second  // between two reviews
-	maxStopTime    = 10 * time.Second // a replica that stops for longer violates an invariant
+	maxStopTime    = 10 * time.Second // a replica that takes longer to stop violates an invariant
 )
 
 // surplus lists the surplus replicas.
@@ -30,14 +30,14 @@
 	return found
 }
 
-// reviewSurplus schedules a review, if there are surplus replicas.
+// reviewSurplus schedules a review if there are surplus replicas.
 func (s *Store) reviewSurplus() {
 	if len(s.surplus()) > 0 {
 		s.scheduleReview()
 	}
 }
 
-// scheduleReview schedules a review, unless one is.
+// scheduleReview schedules a review unless one is already scheduled.
 func (s *Store) scheduleReview() {
 	s.mutex.Lock()
 	scheduled := s.reviewScheduled
@@ -48,7 +48,8 @@
 	}
 }
 
-// review queries the stores that should have what is surplus here, and schedules the next review, until nothing is.
+// review queries the stores on which the shards of surplus replicas are placed, and schedules the next review. It does nothing if
+// there are no surplus replicas.
 func (s *Store) review() {
 	s.mutex.Lock()
 	s.reviewScheduled = false
@@ -71,7 +72,7 @@
 	s.scheduleReview()
 }
 
-// placedAddresses lists the stores on which the newest placement has the shards, each once.
+// placedAddresses lists the addresses of the stores on which the newest placement places the shards, each once.
 func (s *Store) placedAddresses(shards []*shard) []string {
 	var addresses []string
 	for _, running := range shards {
@@ -85,8 +86,8 @@
 	return addresses
 }
 
-// stopSurplus stops the surplus replicas that their groups have replaced, as their leaders reported, by the placement of that
-// index.
+// stopSurplus stops the surplus replicas that their groups have replaced according to their leaders' reports, by the placement with
+// the index.
 func (s *Store) stopSurplus(index uint64, reported []wire.ShardMembers) {
 	for _, members := range reported {
 		running := s.shard(members.Shard)
@@ -99,8 +100,8 @@
 	}
 }
 
-// isReplaced reports whether a shard's leader, confirmed by a majority, has exactly the members of the placement, each caught
-// up, and not this store. Every later leader is then elected by these, so no acknowledged entry needs this replica.
+// isReplaced reports whether the members that a shard's leader reported, confirmed by a majority, are exactly those placed, without
+// this store, and all are caught up. These members then elect every later leader, so no acknowledged entry depends on this replica.
 func (s *Store) isReplaced(target view.ShardPlacement, reported wire.ShardMembers) bool {
 	if len(reported.IDs) != len(target.Replicas) || contains(target.Replicas, s.options.ID) {
 		return false
@@ -113,7 +114,7 @@
 	return true
 }
 
-// startStopping marks a replica as stopping. It reports false if it is already, or if the placement has changed since.
+// startStopping marks a replica as stopping. It returns false if the replica is already stopping or the placement has changed.
 func (s *Store) startStopping(running *shard, index uint64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -124,7 +125,7 @@
 	return true
 }
 
-// checkStopping counts a violation if a replica doesn't stop.
+// checkStopping counts an invariant violation if a replica has been stopping for longer than maxStopTime.
 func (s *Store) checkStopping(running *shard) {
 	s.mutex.Lock()
 	since := running.stoppingSince
@@ -137,7 +138,8 @@
 	}
 }
 
-// stopped removes a replica that has stopped. If it is placed here again by now, it opens with what its disk has.
+// stopped removes a replica that has stopped. If its shard has been placed on this store again, the replica is reopened with the
+// state on its disk.
 func (s *Store) stopped(ended *shard) {
 	s.markRemoved(ended.number)
 	s.mutex.Lock()
--- a/internal/tier/store/surplus_concurrency_test.go
+++ b/internal/tier/store/surplus_concurrency_test.go
@@ -20,13 +20,13 @@
 // speedup divides the delays of stores.
 const speedup = 20
 
-// moves is how often a replica of each shard moves; maxStay bounds the time in between.
+// moves is the number of moves of a replica per shard; maxStay bounds the time between them.
 const (
 	moves   = 20
 	maxStay = 300 * time.Millisecond
 )
 
-// newStores are stores that reach each other in memory, with goroutines of their own.
+// newStores returns stores by address, which run their groups in goroutines and call each other directly.
 func newStores(t *testing.T, replicas []view.Replica) map[string]*Store {
 	stores := map[string]*Store{}
 	var mutex sync.Mutex
@@ -49,7 +49,7 @@
 	return stores
 }
 
-// fleet is some stores and where their shards are to be.
+// fleet holds stores and the placement of their shards.
 type fleet struct {
 	t      *testing.T
 	all    []view.Replica
@@ -59,7 +59,7 @@
 	shards []view.ShardPlacement
 }
 
-// place applies the placement at all stores, each concurrently.
+// place applies the placement at all stores concurrently.
 func (f *fleet) place() {
 	f.index++
 	index, shards := f.index, slices.Clone(f.shards)
@@ -68,7 +68,7 @@
 	}
 }
 
-// move puts another store in the place of one of a shard's.
+// move replaces one replica of a shard by one on another store.
 func (f *fleet) move(shard int) {
 	next := slices.Clone(f.shards[shard].Replicas)
 	for _, k := range f.random.Perm(len(f.all)) {
@@ -80,7 +80,7 @@
 	f.shards[shard].Replicas = next
 }
 
-// until polls the stores until the condition is true at one.
+// until polls the stores until the condition holds for one.
 func (f *fleet) until(what string, condition func(s *Store) bool) {
 	f.t.Helper()
 	for began := time.Now(); time.Since(began) < waitTimeout; time.Sleep(2 * time.Millisecond) {
@@ -90,7 +90,7 @@
 			}
 		}
 	}
-	f.t.Errorf("%s: not within %v", what, waitTimeout)
+	f.t.Errorf("condition %q was not met within %v", what, waitTimeout)
 }
 
 // runTurn begins and ends a turn.
@@ -105,7 +105,7 @@
 	})
 }
 
-// replicas counts the replicas that run.
+// replicas counts the running replicas of all stores.
 func (f *fleet) replicas() int {
 	sum := 0
 	for _, s := range f.stores {
@@ -115,7 +115,7 @@
 	return sum
 }
 
-// TestSurplus_ReplicasMoveUnderLoad_AreRemoved has shards move among stores, back and forth, faster than replicas stop.
+// TestSurplus_ReplicasMoveUnderLoad_AreRemoved moves replicas back and forth among stores faster than they stop.
 func TestSurplus_ReplicasMoveUnderLoad_AreRemoved(t *testing.T) {
 	// Given stores with two shards,
 	var all []view.Replica
@@ -125,7 +125,7 @@
 	f := &fleet{t: t, all: all, stores: newStores(t, all), random: rand.New(rand.NewPCG(1, 2)),
 		shards: []view.ShardPlacement{{Initial: all[:3], Replicas: all[:3]}, {Initial: all[2:], Replicas: all[2:]}}}
 	f.place()
-	// when their replicas move while turns are taken,
+	// when their replicas move while turns begin and end,
 	turns := map[string]int{}
 	for move := range moves {
 		for shard := range f.shards {
@@ -137,7 +137,7 @@
 		f.place()
 		time.Sleep(time.Duration(f.random.Int64N(int64(maxStay))))
 	}
-	// then in the end only the replicas placed run, and no turn is lost.
+	// then finally only the replicas placed are running, and no turn is lost.
 	f.until("only the replicas placed run", func(*Store) bool { return f.replicas() == 6 })
 	for name, shard := range turns {
 		f.until(name+" is found", func(s *Store) bool {
