--- a/internal/tier/gossip/cluster_test.go
+++ b/internal/tier/gossip/cluster_test.go
@@ -19,7 +19,7 @@
 	options Options
 
 	loss      float64                   // fraction of datagrams that are lost
-	blocked   func(from, to *host) bool // whether nothing gets from one host to the other
+	blocked   func(from, to *host) bool // reports whether one host cannot send to the other
 	violation error                     // the first violation of the protocol
 
 	messages int
--- a/internal/tier/membership/cluster_test.go
+++ b/internal/tier/membership/cluster_test.go
@@ -19,7 +19,7 @@
 	duplicate float64
 	shortest  time.Duration // minimum one-way delay
 	longest   time.Duration
-	blocked   func(from, to *host) bool // whether nothing gets from one host to the other
+	blocked   func(from, to *host) bool // reports whether one host cannot send to the other
 	measure   bool                      // encode each message and count its bytes
 
 	tombstoneTimeout time.Duration
--- a/internal/tier/membership/event.go
+++ b/internal/tier/membership/event.go
@@ -15,7 +15,7 @@
 // Event reports a member whose state or description has changed.
 type Event struct {
 	Kind     EventKind
-	Previous Member // zero when the member was not known
+	Previous Member // before the change; zero if the member was unknown
 	Member   Member // after the change
 }
 
--- a/internal/tier/membership/message.go
+++ b/internal/tier/membership/message.go
@@ -39,7 +39,7 @@
 // are sent.
 type Update struct {
 	Member
-	From      string `json:"b,omitempty"` // name of the member that suspects it
+	From      string `json:"b,omitempty"` // name of the member that suspects Member
 	Confirmed bool   `json:"x,omitempty"` // enough members suspect it to apply the minimum suspicion timeout
 }
 
--- a/internal/tier/network/memorynetwork/connection_test.go
+++ b/internal/tier/network/memorynetwork/connection_test.go
@@ -52,7 +52,7 @@
 		w.write(w.near, "late")
 		time.Sleep(3 * delay)
 		if _, err := w.near.Write([]byte("x")); !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("got %v", err)
+			t.Errorf("error %v of a write to a closed end, want ECONNRESET", err)
 		}
 	})
 }
@@ -61,12 +61,12 @@
 	withPair(t, func(w *pair) {
 		_ = w.near.SetReadDeadline(time.Now().Add(time.Second))
 		if took := w.expectEnd(w.near, os.ErrDeadlineExceeded); took != time.Second {
-			t.Errorf("took %v", took)
+			t.Errorf("the read ended after %v, want 1s", took)
 		}
 		_ = w.near.SetReadDeadline(time.Time{})
 		_ = time.AfterFunc(time.Second, func() { _ = w.near.SetDeadline(time.Unix(1, 0)) })
 		if took := w.expectEnd(w.near, os.ErrDeadlineExceeded); took != time.Second {
-			t.Errorf("took %v", took)
+			t.Errorf("the read ended after %v, want 1s", took)
 		}
 	})
 }
--- a/internal/tier/network/memorynetwork/fault_test.go
+++ b/internal/tier/network/memorynetwork/fault_test.go
@@ -20,7 +20,7 @@
 		time.Sleep(time.Second)
 		w.network.Heal(w.here, w.there)
 		if took := w.expect(w.far, "delayed"); took < delay || took > time.Second {
-			t.Errorf("took %v", took)
+			t.Errorf("the bytes took %v, want between the link's delay and 1s", took)
 		}
 	})
 }
@@ -29,7 +29,7 @@
 	withPair(t, func(w *pair) {
 		w.network.Partition(w.there, w.here)
 		if took := w.expectEnd(w.near, syscall.ETIMEDOUT); took != 3*time.Second {
-			t.Errorf("took %v", took)
+			t.Errorf("the connection timed out after %v, want 3s", took)
 		}
 		w.network.Heal(w.there, w.here)
 		w.write(w.far, "who is there")
@@ -49,7 +49,7 @@
 		defer cancel()
 		time.AfterFunc(300*time.Millisecond, func() { w.network.Heal(w.there, w.here) })
 		if _, err := w.from.Dial(ctx, new(net.Dialer), "tcp4", address); err != nil {
-			t.Errorf("got %v", err)
+			t.Errorf("error %v of a dial while the partition heals, want none", err)
 		}
 	})
 }
@@ -60,13 +60,13 @@
 		w.expectEnd(w.near, syscall.ECONNRESET)
 		w.expectEnd(w.far, syscall.ECONNRESET)
 		if _, err := w.dial(); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Errorf("got %v", err)
+			t.Errorf("error %v of a refused dial, want ECONNREFUSED", err)
 		}
 		w.network.Heal(w.here, w.there)
 		w.connect()
 		w.listener.Close()
 		if _, err := w.dial(); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Errorf("got %v", err)
+			t.Errorf("error %v of a dial without a listener, want ECONNREFUSED", err)
 		}
 	})
 }
@@ -91,7 +91,7 @@
 	withPair(t, func(w *pair) {
 		w.there.PowerOff(w.to)
 		if took := w.expectEnd(w.near, syscall.ETIMEDOUT); took != 3*time.Second {
-			t.Errorf("took %v", took)
+			t.Errorf("the connection timed out after %v, want 3s", took)
 		}
 	})
 }
@@ -102,7 +102,7 @@
 		time.Sleep(time.Second)
 		w.there.PowerOn()
 		if took := w.expectEnd(w.near, syscall.ECONNRESET); took != time.Second {
-			t.Errorf("took %v", took)
+			t.Errorf("the connection was reset after %v, want 1s", took)
 		}
 	})
 }
@@ -117,7 +117,7 @@
 		}
 		time.AfterFunc(10*time.Second, w.there.Thaw)
 		if took := w.expect(w.far, "while it is frozen"); took != 10*time.Second {
-			t.Errorf("took %v", took)
+			t.Errorf("the bytes were read after %v, want 10s", took)
 		}
 		far, _ := w.listener.Accept()
 		w.write(far, "hello")
--- a/internal/tier/network/memorynetwork/packet.go
+++ b/internal/tier/network/memorynetwork/packet.go
@@ -15,7 +15,7 @@
 // maxQueuedDatagrams bounds the unread datagrams of a socket; further ones are lost.
 const maxQueuedDatagrams = 256
 
-// datagram is a datagram in the queue of its receiver or on the way there.
+// datagram is a datagram in transit or in the queue of its receiver.
 type datagram struct {
 	from    netip.AddrPort
 	payload []byte
--- a/internal/tier/network/memorynetwork/packet_test.go
+++ b/internal/tier/network/memorynetwork/packet_test.go
@@ -26,11 +26,11 @@
 		buffer := make([]byte, 10)
 		n, from, err := there.ReadFromUDPAddrPort(buffer)
 		if err != nil || string(buffer[:n]) != "found" || from != netip.MustParseAddrPort("10.0.0.1:7") {
-			t.Errorf("got %q from %v, %v", buffer[:n], from, err)
+			t.Errorf("read %q from %v, error %v; want the second datagram", buffer[:n], from, err)
 		}
 		time.AfterFunc(time.Second, w.to.Kill)
 		if _, _, err := there.ReadFromUDPAddrPort(buffer); !errors.Is(err, net.ErrClosed) {
-			t.Errorf("got %v", err)
+			t.Errorf("error %v of a read by a killed process, want ErrClosed", err)
 		}
 	})
 }
--- a/internal/tier/node/antientropy.go
+++ b/internal/tier/node/antientropy.go
@@ -6,7 +6,7 @@
 const (
 	missingInterval        = 100 * time.Millisecond // while a required section is missing
 	normalInterval         = 700 * time.Millisecond // repairs lost messages well within the time allowed for a change to arrive
-	frozenAfter            = time.Second            // lateness of a step from which on the process is assumed to have been frozen
+	frozenAfter            = time.Second            // a step later than this means that the process was frozen
 	controllersAfterFreeze = 3                      // asked at the start and after a freeze, as some may be partitioned and stale
 )
 
--- a/internal/tier/transport/call_test.go
+++ b/internal/tier/transport/call_test.go
@@ -43,7 +43,7 @@
 	close(release)
 	// Then each call got its own answer, including the blocked one, over one connection
 	if got := receive(t, blocked); got != "unblocked" {
-		t.Errorf("got %q", got)
+		t.Errorf("answer %q of the blocked call, want that of its handler", got)
 	}
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -83,7 +83,7 @@
 			_, err := Call[question, reply](testContext(t), pool, server.Address(), c.method, question{})
 			var remote *RemoteError
 			if !errors.As(err, &remote) {
-				t.Fatalf("got %v", err)
+				t.Fatalf("error %v, want a RemoteError", err)
 			}
 			if diff := cmp.Diff(c.want, *remote); diff != "" {
 				t.Error(diff)
@@ -97,16 +97,16 @@
 	_, err := Call[int, reply](ctx, pool, server.Address(), "echo", 7)
 	var remote *RemoteError
 	if !errors.As(err, &remote) || remote.Kind != KindBadRequest {
-		t.Fatalf("got %v", err)
+		t.Fatalf("error %v, want KindBadRequest", err)
 	}
 	_, err = Call[question, int](ctx, pool, server.Address(), "echo", question{})
 	var failed *CallError
 	if !errors.As(err, &failed) || !failed.MayHaveArrived {
-		t.Fatalf("got %v", err)
+		t.Fatalf("error %v, want a CallError after the request may have arrived", err)
 	}
 	got, err := Call[question, reply](ctx, pool, server.Address(), "echo", question{Text: "still"})
 	if err != nil || got.Text != "still" {
-		t.Fatalf("got %v, %v", got, err)
+		t.Fatalf("answer %v, error %v; want the text of the request", got, err)
 	}
 }
 
@@ -115,7 +115,7 @@
 	text := strings.Repeat("0123456789", 300_000)
 	got, err := Call[question, reply](ctx, pool, server.Address(), "echo", question{Text: text})
 	if err != nil || got.Text != text {
-		t.Fatalf("got %d bytes, %v", len(got.Text), err)
+		t.Fatalf("answer of %d bytes, error %v; want the text of the request", len(got.Text), err)
 	}
 }
 
@@ -126,7 +126,7 @@
 	_, err := Call[question, reply](ctx, pool, server.Address(), "echo", question{Text: strings.Repeat("x", 100)})
 	var tooLong *TooLongError
 	if !errors.As(err, &tooLong) || MayHaveArrived(err) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("error %v, want a TooLongError of a request that was not sent", err)
 	}
 }
 
@@ -145,7 +145,7 @@
 		_, err = Call[question, string](testContext(t), startPool(t), server.Address(), "long", question{})
 		var remote *RemoteError
 		if !errors.As(err, &remote) || remote.Kind != KindTooLong {
-			t.Fatalf("got %v", err)
+			t.Fatalf("error %v, want KindTooLong", err)
 		}
 	})
 	t.Run("of the client breaks the connection", func(t *testing.T) {
@@ -155,7 +155,7 @@
 		_, err := Call[question, string](testContext(t), pool, server.Address(), "long", question{})
 		var tooLong *TooLongError
 		if !errors.As(err, &tooLong) || !MayHaveArrived(err) {
-			t.Fatalf("got %v", err)
+			t.Fatalf("error %v, want a TooLongError after the request may have arrived", err)
 		}
 	})
 }
@@ -167,7 +167,7 @@
 	})
 	_, err := Call[question, reply](testContext(t), startPool(t), address, "echo", question{})
 	if !errors.Is(err, ErrBadLine) || !MayHaveArrived(err) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("error %v, want ErrBadLine after the request may have arrived", err)
 	}
 }
 
@@ -191,7 +191,7 @@
 		err := receive(t, failures)
 		var failed *CallError
 		if !errors.As(err, &failed) || !failed.MayHaveArrived || errors.Is(err, context.DeadlineExceeded) {
-			t.Fatalf("got %v", err)
+			t.Fatalf("error %v, want a CallError before the deadline, after the request may have arrived", err)
 		}
 	}
 }
@@ -215,7 +215,7 @@
 	receive(t, started)
 	cancel()
 	if err := receive(t, failure); !errors.Is(err, context.Canceled) || !MayHaveArrived(err) {
-		t.Errorf("got %v", err)
+		t.Errorf("error %v, want context.Canceled after the request may have arrived", err)
 	}
 	receive(t, ended)
 }
--- a/internal/tier/transport/datagram_test.go
+++ b/internal/tier/transport/datagram_test.go
@@ -23,6 +23,6 @@
 	}
 	var tooLong *TooLongError
 	if err := there.SendDatagram(here.Address(), make([]byte, MaxDatagramBytes+1)); !errors.As(err, &tooLong) {
-		t.Errorf("got %v", err)
+		t.Errorf("error %v of a payload over the limit, want a TooLongError", err)
 	}
 }
--- a/internal/tier/transport/errors.go
+++ b/internal/tier/transport/errors.go
@@ -17,7 +17,7 @@
 var (
 	// ErrClosed means that the pool or the connection to the peer was closed.
 	ErrClosed = errors.New("transport: pool or connection is closed")
-	// ErrBackoff means that the last dial of the peer failed and the backoff is not over.
+	// ErrBackoff means that the last connection to the peer failed and the backoff is not over.
 	ErrBackoff = errors.New("transport: peer is not dialled during the backoff after a failure")
 	// ErrQueueFull means that too many bytes are queued for the peer.
 	ErrQueueFull = errors.New("transport: send queue of the peer is full")
--- a/internal/tier/transport/limits.go
+++ b/internal/tier/transport/limits.go
@@ -27,7 +27,7 @@
 	maxConnections     = 2048                   // per server; further ones are closed immediately
 	maxRunningHandlers = 4096                   // per connection; further calls and streams get KindBusy
 	maxCachedAddresses = 1024                   // address texts of datagram senders
-	streamBacklogBytes = 256 << 10              // queued bytes from which on the handler of a stream blocks
+	streamBacklogBytes = 256 << 10              // at this many queued bytes the handler of a stream blocks
 )
 
 // limits holds the bounds, in bytes, that tests can reduce.
--- a/internal/tier/transport/line_test.go
+++ b/internal/tier/transport/line_test.go
@@ -96,7 +96,7 @@
 	_, err := encodeLine(callLine, 1, "m", "0123456789", 20)
 	var tooLong *TooLongError
 	if !errors.As(err, &tooLong) || tooLong.Bound != 20 {
-		t.Fatalf("got %v", err)
+		t.Fatalf("error %v, want a TooLongError with bound 20", err)
 	}
 }
 
--- a/internal/tier/transport/notify_test.go
+++ b/internal/tier/transport/notify_test.go
@@ -72,6 +72,6 @@
 	ctx, cancel := context.WithTimeout(testContext(t), 50*time.Millisecond)
 	defer cancel()
 	if _, err := Call[question, reply](ctx, pool, address, "echo", question{}); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("got %v", err)
+		t.Errorf("error %v, want context.DeadlineExceeded", err)
 	}
 }
--- a/internal/tier/transport/outbox_test.go
+++ b/internal/tier/transport/outbox_test.go
@@ -34,7 +34,7 @@
 		t.Fatalf("an empty queue rejects a call: %v", err)
 	}
 	if err := out.push(second); err != ErrQueueFull {
-		t.Fatalf("got %v", err)
+		t.Fatalf("error %v, want ErrQueueFull", err)
 	}
 	if out.withdraw(first) {
 		t.Error("a queued call was reported as dequeued")
--- a/internal/tier/transport/pool_test.go
+++ b/internal/tier/transport/pool_test.go
@@ -23,22 +23,22 @@
 	_, err = Call[question, reply](ctx, pool, address, "echo", question{})
 	var failed *CallError
 	if !errors.As(err, &failed) || MayHaveArrived(err) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("error %v, want a CallError of a request that was not sent", err)
 	}
 	// And during the backoff calls and notices fail immediately
 	setBackoff(t, pool, address, time.Hour)
 	_, err = Call[question, reply](ctx, pool, address, "echo", question{})
 	if !errors.Is(err, ErrBackoff) || MayHaveArrived(err) {
-		t.Errorf("got %v", err)
+		t.Errorf("error %v of a call during the backoff, want ErrBackoff of a request that was not sent", err)
 	}
 	if err := Notify(pool, address, "offer", question{}); !errors.Is(err, ErrBackoff) {
-		t.Errorf("got %v", err)
+		t.Errorf("error %v of a notice during the backoff, want ErrBackoff", err)
 	}
 	// And after the backoff the peer is dialled again
 	startServer(t, address, echoHandlers())
 	setBackoff(t, pool, address, -time.Hour)
 	if _, err := Call[question, reply](ctx, pool, address, "echo", question{}); err != nil {
-		t.Errorf("got %v", err)
+		t.Errorf("error %v of a call after the backoff, want none", err)
 	}
 }
 
@@ -94,7 +94,7 @@
 	// Then the next call dials immediately
 	got, err := Call[question, reply](ctx, pool, address, "echo", question{Text: "again"})
 	if err != nil || got.Text != "again" {
-		t.Fatalf("got %v, %v", got, err)
+		t.Fatalf("answer %v, error %v; want the text of the request", got, err)
 	}
 }
 
@@ -115,10 +115,10 @@
 	receive(t, started)
 	pool.Close()
 	if err := receive(t, failure); !errors.Is(err, ErrClosed) || !MayHaveArrived(err) {
-		t.Errorf("got %v", err)
+		t.Errorf("error %v of a pending call, want ErrClosed after the request may have arrived", err)
 	}
 	if err := Notify(pool, server.Address(), "offer", question{}); !errors.Is(err, ErrClosed) {
-		t.Errorf("got %v", err)
+		t.Errorf("error %v of a notice after Close, want ErrClosed", err)
 	}
 }
 
--- a/internal/tier/transport/server_test.go
+++ b/internal/tier/transport/server_test.go
@@ -29,7 +29,7 @@
 			_ = socket.SetDeadline(time.Now().Add(testTimeout))
 			fmt.Fprint(socket, text)
 			if got, err := bufio.NewReader(socket).ReadString('\n'); err == nil || errors.Is(err, context.DeadlineExceeded) {
-				t.Errorf("got %q, %v", got, err)
+				t.Errorf("received %q, error %v; want that the server closes the connection", got, err)
 			}
 		})
 	}
--- a/internal/tier/transport/stream_test.go
+++ b/internal/tier/transport/stream_test.go
@@ -23,13 +23,13 @@
 	next := 5
 	err := Stream(testContext(t), pool, server.Address(), "count", next, func(item string) error {
 		if !strings.HasPrefix(item, fmt.Sprint(next, ".")) {
-			t.Errorf("got %.10s, want %d", item, next)
+			t.Errorf("item %.10s, want prefix %d", item, next)
 		}
 		next++
 		return nil
 	})
 	if err != nil || next != 5+count {
-		t.Fatalf("got %d items, %v", next-5, err)
+		t.Fatalf("%d items, error %v; want all items", next-5, err)
 	}
 }
 
@@ -69,7 +69,7 @@
 			var remote *RemoteError
 			err := Stream(testContext(t), pool, server.Address(), c.method, 1, ignoreItem)
 			if !errors.As(err, &remote) || remote.Kind != c.kind {
-				t.Errorf("got %v", err)
+				t.Errorf("error %v, want a RemoteError of the expected kind", err)
 			}
 		})
 	}
@@ -80,7 +80,7 @@
 	server, pool := startServer(t, "127.0.0.1:0", handlers), startPool(t)
 	err := Stream(testContext(t), pool, server.Address(), "endless", 1, func(int) error { return errEnough })
 	if err != errEnough {
-		t.Errorf("got %v", err)
+		t.Errorf("error %v, want errEnough", err)
 	}
 	_ = receive(t, ended)
 }
@@ -91,7 +91,7 @@
 	ctx, cancel := context.WithCancel(testContext(t))
 	err := Stream(ctx, pool, server.Address(), "endless", 1, func(int) error { cancel(); return nil })
 	if !errors.Is(err, context.Canceled) || !MayHaveArrived(err) {
-		t.Errorf("got %v", err)
+		t.Errorf("error %v, want context.Canceled after the request may have arrived", err)
 	}
 	_ = receive(t, ended)
 }
@@ -101,7 +101,7 @@
 	server, pool := startServer(t, "127.0.0.1:0", handlers), startPool(t)
 	err := Stream(testContext(t), pool, server.Address(), "endless", 1, func(int) error { pool.Close(); return nil })
 	if !errors.Is(err, ErrClosed) {
-		t.Errorf("got %v", err)
+		t.Errorf("error %v, want ErrClosed", err)
 	}
 	_ = receive(t, ended)
 	err = Stream(testContext(t), pool, server.Address(), "endless", 1, ignoreItem)
@@ -126,7 +126,7 @@
 		return nil
 	})
 	if err != errEnough {
-		t.Errorf("got %v", err)
+		t.Errorf("error %v, want errEnough", err)
 	}
 	_ = receive(t, ended)
 }
@@ -141,7 +141,7 @@
 		return nil
 	})
 	if !MayHaveArrived(err) {
-		t.Errorf("got %v", err)
+		t.Errorf("error %v, want one after the request may have arrived", err)
 	}
 }
 
@@ -155,7 +155,7 @@
 	for range 500 {
 		err := Stream(testContext(t), pool, server.Address(), "end", 1, func(int) error { return nil })
 		if !errors.Is(err, ErrClosed) || MayHaveArrived(err) {
-			t.Fatalf("got %v", err)
+			t.Fatalf("error %v, want ErrClosed of a request that was not sent", err)
 		}
 	}
 }
