--- a/internal/tier/gossip/cluster_test.go
+++ b/internal/tier/gossip/cluster_test.go
@@ -101,7 +101,7 @@
 	}
 	h.version++
 	version := h.version
-	if effects.NextWake == never || c.busy(h, effects.NextWake) {
+	if effects.NextWake == never || c.isSpinning(h, effects.NextWake) {
 		return
 	}
 	c.after(effects.NextWake-c.loop.Now(), func() {
@@ -111,8 +111,8 @@
 	})
 }
 
-// busy reports whether a host keeps asking for an immediate wake-up.
-func (c *cluster) busy(h *host, wake time.Duration) bool {
+// isSpinning reports whether a host keeps asking for an immediate wake-up.
+func (c *cluster) isSpinning(h *host, wake time.Duration) bool {
 	const maxImmediateSteps = 100
 	if wake > c.loop.Now() {
 		h.immediateSteps = 0
@@ -122,7 +122,7 @@
 	if h.immediateSteps < maxImmediateSteps {
 		return false
 	}
-	c.violate("%s asked for an immediate wake-up in too many consecutive steps", h.address)
+	c.recordViolation("%s asked for an immediate wake-up in too many consecutive steps", h.address)
 	return true
 }
 
@@ -130,7 +130,7 @@
 func (c *cluster) checkReport(h *host, update view.Update) {
 	last, found := h.reported[update.Section]
 	if found && !last.Less(update.Stamp) {
-		c.violate("%s reported %v of %s after %v", h.address, update.Stamp, update.Section, last)
+		c.recordViolation("%s reported %v of %s after %v", h.address, update.Stamp, update.Section, last)
 	}
 	h.reported[update.Section] = update.Stamp
 	h.reportedAt[update.Section] = c.loop.Now()
@@ -141,13 +141,13 @@
 	for section := range fetch.Requested {
 		since, found := h.fetching[section]
 		if found && c.loop.Now()-since < h.gossiper.options.FetchTimeout {
-			c.violate("%s fetches %s while another fetch of it is pending", h.address, section)
+			c.recordViolation("%s fetches %s while another fetch of it is pending", h.address, section)
 		}
 		h.fetching[section] = c.loop.Now()
 	}
 }
 
-func (c *cluster) violate(format string, values ...any) {
+func (c *cluster) recordViolation(format string, values ...any) {
 	if c.violation == nil {
 		c.violation = fmt.Errorf(format, values...)
 	}
--- a/internal/tier/gossip/figures_test.go
+++ b/internal/tier/gossip/figures_test.go
@@ -11,8 +11,8 @@
 
 // Bounds on the measurements.
 const (
-	maxMessagesCalm = 1.2   // per member and second
-	maxBytesCalm    = 300.0 // per member and second
+	maxIdleMessages = 1.2   // per member and second
+	maxIdleBytes    = 300.0 // per member and second
 	maxSpread       = 4 * time.Second
 )
 
@@ -31,14 +31,14 @@
 				fleet.write(fleet.hosts[0], section, 1, 1)
 			}
 			fleet.runFor(5 * time.Second)
-			const calmSeconds = 10
+			const idleSeconds = 10
 			messages, bytes := fleet.messages, fleet.bytes
-			fleet.runFor(calmSeconds * time.Second)
-			perSecond := 1 / float64(size*calmSeconds)
-			calmMessages, calmBytes := float64(fleet.messages-messages)*perSecond, float64(fleet.bytes-bytes)*perSecond
-			t.Logf("idle, per member and second: %.2f messages, %.0f bytes", calmMessages, calmBytes)
-			if calmMessages > maxMessagesCalm || calmBytes > maxBytesCalm {
-				t.Error("an idle cluster exceeds maxMessagesCalm or maxBytesCalm")
+			fleet.runFor(idleSeconds * time.Second)
+			perSecond := 1 / float64(size*idleSeconds)
+			idleMessages, idleBytes := float64(fleet.messages-messages)*perSecond, float64(fleet.bytes-bytes)*perSecond
+			t.Logf("idle, per member and second: %.2f messages, %.0f bytes", idleMessages, idleBytes)
+			if idleMessages > maxIdleMessages || idleBytes > maxIdleBytes {
+				t.Error("an idle cluster exceeds maxIdleMessages or maxIdleBytes")
 			}
 
 			var times []time.Duration
@@ -54,7 +54,7 @@
 			slices.Sort(times)
 			t.Logf("a new update arrives after: median %v, 99 %% %v, longest %v; each write takes %.2f messages and %.2f fetches per member",
 				times[len(times)/2], times[len(times)*99/100], times[len(times)-1],
-				float64(fleet.messages-messages)/float64(size*writes)-calmMessages*maxSpread.Seconds(),
+				float64(fleet.messages-messages)/float64(size*writes)-idleMessages*maxSpread.Seconds(),
 				float64(fleet.fetches-fetches)/float64(size*writes))
 			if fleet.violation != nil {
 				t.Error(fleet.violation)
--- a/internal/tier/gossip/scenario_test.go
+++ b/internal/tier/gossip/scenario_test.go
@@ -15,7 +15,7 @@
 }
 
 var scenarios = []scenario{
-	{"given a calm network, when an update is written, then all members get it soon", written},
+	{"given a network without faults, when an update is written, then all members get it soon", written},
 	{"given many writes, when they follow each other, then all members end with the newest", manyWrites},
 	{"given a leader that was replaced, when it still writes, then no member reverts to its update", formerLeader},
 	{"given a member that restarts empty, when it sends its digest, then it gets all updates", restartsEmpty},
--- a/internal/tier/membership/figures_test.go
+++ b/internal/tier/membership/figures_test.go
@@ -11,9 +11,9 @@
 const (
 	maxConvergence  = 15 * time.Second // until hosts that started together all know each other
 	maxDetection    = 15 * time.Second // until all members know of a death
-	maxMessagesCalm = 5.0
-	maxBytesCalm    = 3000.0
-	maxStepsCalm    = 5.0
+	maxIdleMessages = 5.0
+	maxIdleBytes    = 3000.0
+	maxIdleSteps    = 5.0
 )
 
 // TestFleet_CostAndDetection_WithinTheBounds measures, for clusters of several sizes with 2 % datagram loss, the messages, bytes and
@@ -27,7 +27,7 @@
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
 			fleet := newCluster(size, 7)
-			const quietSeconds = 12 // until the updates of the start are not broadcast any more
+			const settleSeconds = 12 // until the updates of the start are not broadcast any more
 			fleet.measure = true
 			fleet.startAll()
 			fleet.runFor(300 * time.Millisecond)
@@ -39,14 +39,14 @@
 			t.Logf("all members known after %v; until then, per member: %.0f bytes in datagrams, %.0f bytes in %.1f calls",
 				met, start.bytes, start.callBytes, start.calls)
 
-			fleet.runFor(quietSeconds * time.Second)
+			fleet.runFor(settleSeconds * time.Second)
 			before := fleet.totals()
-			const calmSeconds = 10
-			fleet.runFor(calmSeconds * time.Second)
-			calm := fleet.totals().since(before, calmSeconds)
+			const idleSeconds = 10
+			fleet.runFor(idleSeconds * time.Second)
+			idle := fleet.totals().since(before, idleSeconds)
 			t.Logf("idle, per member and second: %.2f messages, %.0f bytes, %.2f steps, %.3f calls",
-				calm.messages, calm.bytes, calm.steps, calm.calls)
-			if calm.messages > maxMessagesCalm || calm.bytes > maxBytesCalm || calm.steps > maxStepsCalm || calm.calls > 0.1 {
+				idle.messages, idle.bytes, idle.steps, idle.calls)
+			if idle.messages > maxIdleMessages || idle.bytes > maxIdleBytes || idle.steps > maxIdleSteps || idle.calls > 0.1 {
 				t.Error("an idle cluster exceeds the bounds on messages, bytes, steps or calls")
 			}
 
--- a/internal/tier/membership/scenario_test.go
+++ b/internal/tier/membership/scenario_test.go
@@ -38,26 +38,26 @@
 }
 
 var scenarios = []scenario{
-	{"given loss and duplicates, when nothing else happens, then nobody dies", calm},
-	{"given a calm network, when a member is killed, then all declare it dead", killed},
+	{"given loss and duplicates, when nothing else happens, then no member is declared dead", lossAndDuplicates},
+	{"given a network without faults, when a member is killed, then all declare it dead", killed},
 	{"given a killed member, when it restarts, then all know the new process", restarts},
 	{"given a killed member, when it restarts with its clock set back, then all know it", clockBack},
-	{"given a pending probe, when the member freezes, then it suspects nobody", frozenMember},
-	{"given a calm network, when a member is slow, then nobody else dies", slowMember},
+	{"given a pending probe, when the member freezes, then it suspects no member", frozenMember},
+	{"given a network without faults, when a member is slow, then no other member is declared dead", slowMember},
 	{"given a one-way partition, when probes are lost, then indirect probes reach the target", oneWayPartition},
-	{"given an isolated member, when it is back, then it declares nobody dead", isolatedMember},
+	{"given an isolated member, when it is back, then it declares no member dead", isolatedMember},
 	{"given two halves, when the partition heals, then they merge again", halves},
 	{"given two partitions that have forgotten each other, when they heal, then they merge", forgottenPartitions},
 	{"given a healthy member, when it is suspected, then it refutes", suspected},
 	{"given a new process, when a stale update arrives, then the record stays", staleUpdate},
-	{"given a calm network, when a member leaves, then all know and nobody declares it dead", gracefulLeave},
+	{"given a network without faults, when a member leaves, then all know that it has left and none declares it dead", gracefulLeave},
 	{"given stale seeds, when one is valid or is replaced, then the member joins", staleSeeds},
 	{"given seeds that are down, when they start, then all members know each other", seedsDown},
 	{"given a hundred members, when they start at once, then datagrams stay small", manyJoin},
 	{"given a dead member, when its tombstone expires, then it is reaped", reaped},
 }
 
-func calm(seed uint64) error {
+func lossAndDuplicates(seed uint64) error {
 	fleet, err := startedCluster(24, seed)
 	if err != nil {
 		return err
--- a/internal/tier/network/memorynetwork/http_test.go
+++ b/internal/tier/network/memorynetwork/http_test.go
@@ -10,15 +10,15 @@
 )
 
 func TestHTTP_ServerAndClient_WorkOverTheNetwork(t *testing.T) {
-	withPair(t, func(w *pair) {
+	withPair(t, func(p *pair) {
 		server := &http.Server{Handler: http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 			_, _ = io.Copy(response, request.Body)
 		})}
-		w.near.Close()
-		w.far.Close()
-		go func() { _ = server.Serve(w.listener) }()
+		p.near.Close()
+		p.far.Close()
+		go func() { _ = server.Serve(p.listener) }()
 		transport := &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
-			return w.from.Dial(ctx, new(net.Dialer), network, address)
+			return p.from.Dial(ctx, new(net.Dialer), network, address)
 		}}
 		client := &http.Client{Transport: transport}
 		for range 3 {
--- a/internal/tier/network/memorynetwork/pair_test.go
+++ b/internal/tier/network/memorynetwork/pair_test.go
@@ -29,25 +29,25 @@
 }
 
 // withPair runs a test with a pair in virtual time.
-func withPair(t *testing.T, run func(w *pair)) {
+func withPair(t *testing.T, run func(p *pair)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &pair{t: t, network: memorynetwork.New(memorynetwork.Options{Delay: delay})}
-		w.here, w.there = w.network.Machine("10.0.0.1"), w.network.Machine("10.0.0.2")
-		w.from, w.to = w.here.Start(), w.there.Start()
-		w.listen()
-		w.near, w.far = w.connect()
-		run(w)
-		w.from.Kill()
-		w.to.Kill()
+		p := &pair{t: t, network: memorynetwork.New(memorynetwork.Options{Delay: delay})}
+		p.here, p.there = p.network.Machine("10.0.0.1"), p.network.Machine("10.0.0.2")
+		p.from, p.to = p.here.Start(), p.there.Start()
+		p.listen()
+		p.near, p.far = p.connect()
+		run(p)
+		p.from.Kill()
+		p.to.Kill()
 		time.Sleep(lingering)
 	})
 }
 
-func (w *pair) listen() {
-	w.t.Helper()
+func (p *pair) listen() {
+	p.t.Helper()
 	var err error
-	if w.listener, err = w.to.Listen(w.t.Context(), new(net.ListenConfig), "tcp4", address); err != nil {
-		w.t.Fatal(err)
+	if p.listener, err = p.to.Listen(p.t.Context(), new(net.ListenConfig), "tcp4", address); err != nil {
+		p.t.Fatal(err)
 	}
 }
 
@@ -57,46 +57,46 @@
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
 }
 
-func (w *pair) dial() (net.Conn, error) {
-	return w.from.Dial(w.t.Context(), keepAliveDialer(), "tcp4", address)
+func (p *pair) dial() (net.Conn, error) {
+	return p.from.Dial(p.t.Context(), keepAliveDialer(), "tcp4", address)
 }
 
-func (w *pair) connect() (near, far net.Conn) {
-	w.t.Helper()
-	near, err := w.dial()
+func (p *pair) connect() (near, far net.Conn) {
+	p.t.Helper()
+	near, err := p.dial()
 	if err != nil {
-		w.t.Fatal(err)
+		p.t.Fatal(err)
 	}
-	if far, err = w.listener.Accept(); err != nil {
-		w.t.Fatal(err)
+	if far, err = p.listener.Accept(); err != nil {
+		p.t.Fatal(err)
 	}
 	return near, far
 }
 
-func (w *pair) write(to net.Conn, text string) {
-	w.t.Helper()
+func (p *pair) write(to net.Conn, text string) {
+	p.t.Helper()
 	if _, err := io.WriteString(to, text); err != nil {
-		w.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 }
 
 // expect checks that the next bytes read are the text, and returns how long reading took.
-func (w *pair) expect(from net.Conn, text string) time.Duration {
-	w.t.Helper()
+func (p *pair) expect(from net.Conn, text string) time.Duration {
+	p.t.Helper()
 	started := time.Now()
 	buffer := make([]byte, len(text))
 	if _, err := io.ReadFull(from, buffer); err != nil || string(buffer) != text {
-		w.t.Fatalf("read %q, %v; want %q", buffer, err, text)
+		p.t.Fatalf("read %q, %v; want %q", buffer, err, text)
 	}
 	return time.Since(started)
 }
 
 // expectEnd checks that the next read fails with the error, and returns how long the read took.
-func (w *pair) expectEnd(from net.Conn, want error) time.Duration {
-	w.t.Helper()
+func (p *pair) expectEnd(from net.Conn, want error) time.Duration {
+	p.t.Helper()
 	started := time.Now()
 	if n, err := from.Read(make([]byte, 1)); n != 0 || !errors.Is(err, want) {
-		w.t.Fatalf("read %d bytes, %v; want %v", n, err, want)
+		p.t.Fatalf("read %d bytes, %v; want %v", n, err, want)
 	}
 	return time.Since(started)
 }
--- a/internal/tier/network/partitionnetwork/network_test.go
+++ b/internal/tier/network/partitionnetwork/network_test.go
@@ -109,7 +109,7 @@
 	to := socket.LocalAddr().(*net.UDPAddr).AddrPort()
 	for _, c := range []struct {
 		addresses string
-		comes     bool
+		arrives   bool
 	}{{"", true}, {here, false}, {"127.83.7.9", true}} {
 		partition(c.addresses)
 		if _, err := sender.WriteToUDPAddrPort([]byte{7}, to); err != nil {
@@ -118,7 +118,7 @@
 		if err := socket.SetReadDeadline(time.Now().Add(dropWait)); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := receiver.ReadFromUDPAddrPort(make([]byte, 1)); (err == nil) != c.comes {
+		if _, _, err := receiver.ReadFromUDPAddrPort(make([]byte, 1)); (err == nil) != c.arrives {
 			t.Errorf("partitioned from %q: %v", c.addresses, err)
 		}
 	}
--- a/internal/tier/node/stale_test.go
+++ b/internal/tier/node/stale_test.go
@@ -20,7 +20,7 @@
 type simulatedAgent struct {
 	t              *testing.T
 	now            time.Duration
-	agent          *gossip.Gossiper
+	gossiper       *gossip.Gossiper
 	store          *gossip.Store
 	antiEntropy    antiEntropy
 	nextController int
@@ -62,7 +62,7 @@
 // start starts or restarts the agent with an empty store.
 func (a *simulatedAgent) start() {
 	a.store, a.antiEntropy, a.input, a.applied, a.nextController = gossip.NewStore(), antiEntropy{nextAt: a.now}, gossip.Input{}, nil, 0
-	a.agent = gossip.New(gossip.Options{DigestInterval: -1}, a.store)
+	a.gossiper = gossip.New(gossip.Options{DigestInterval: -1}, a.store)
 }
 
 func (a *simulatedAgent) address(number int) string { return fmt.Sprintf("core-%d", number) }
@@ -80,7 +80,7 @@
 func (a *simulatedAgent) step() {
 	input := a.input
 	a.input = gossip.Input{}
-	effects := a.agent.Step(a.now, input)
+	effects := a.gossiper.Step(a.now, input)
 	a.applied = append(a.applied, effects.Updated...)
 	for _, fetch := range effects.Fetches {
 		a.fetch(fetch)
@@ -99,7 +99,7 @@
 	if asked.isPartitioned {
 		return
 	}
-	answer := asked.gossiper.Step(a.now, gossip.Input{Datagrams: []gossip.Datagram{{Address: "agent", Message: a.agent.CompleteDigest()}}})
+	answer := asked.gossiper.Step(a.now, gossip.Input{Datagrams: []gossip.Datagram{{Address: "agent", Message: a.gossiper.CompleteDigest()}}})
 	for _, notice := range answer.Datagrams {
 		a.input.Datagrams = append(a.input.Datagrams, gossip.Datagram{Address: a.address(number), Message: notice.Message})
 	}
--- a/internal/tier/store/placement_test.go
+++ b/internal/tier/store/placement_test.go
@@ -38,11 +38,11 @@
 	disk := &blockedDisk{Disk: memorydisk.New(), group: groupName(1), blocked: make(chan struct{}, 1), release: make(chan struct{})}
 	s := New(t.Context(), Options{ID: self.ID, Address: self.Address, Disk: disk, Logger: log.NewNopLogger(), Seed: 1,
 		Now: time.Now, Send: func(string, group.Envelope) {}})
-	s.ApplyPlacement(1, alone(1))
+	s.ApplyPlacement(1, selfPlacement(1))
 	placed := make(chan struct{})
 	go func() {
 		defer close(placed)
-		s.ApplyPlacement(2, alone(2))
+		s.ApplyPlacement(2, selfPlacement(2))
 	}()
 	<-disk.blocked
 	// when a message for the first shard arrives,
@@ -68,7 +68,7 @@
 	s := New(testContext(t), Options{ID: self.ID, Address: self.Address, Disk: disk, Logger: log.NewNopLogger(),
 		Send: func(string, group.Envelope) {}, RunGroup: func(*group.Group) {}, AfterFunc: func(_ time.Duration, run func()) { retries = append(retries, run) }})
 	disk.InjectFaults(func(memorydisk.Operation, string) error { return errors.New("the disk fails") })
-	s.ApplyPlacement(4, alone(1))
+	s.ApplyPlacement(4, selfPlacement(1))
 	if s.shard(0) != nil || len(retries) != 1 {
 		t.Fatalf("shard is open: %v, %d retries; want a closed shard and 1 retry", s.shard(0) != nil, len(retries))
 	}
--- a/internal/tier/store/store_test.go
+++ b/internal/tier/store/store_test.go
@@ -29,8 +29,8 @@
 	other = view.Replica{ID: "other", Node: "storage-2", Address: "10.0.0.2:7002", Zone: "b"}
 )
 
-// alone returns a placement of shards whose only replica is on the store self.
-func alone(shards int) view.Placement {
+// selfPlacement returns a placement of shards whose only replica is on the store self.
+func selfPlacement(shards int) view.Placement {
 	var placed view.Placement
 	for range shards {
 		placed.Shards = append(placed.Shards, view.ShardPlacement{Initial: []view.Replica{self}, Replicas: []view.Replica{self}})
@@ -74,7 +74,7 @@
 
 func TestStore_Turns(t *testing.T) {
 	store := newStore(t, memorydisk.New())
-	store.ApplyUpdate(view.Update{Section: view.PlacementSection, Stamp: view.Stamp{Sequence: 4}, Body: encode(t, alone(2))})
+	store.ApplyUpdate(view.Update{Section: view.PlacementSection, Stamp: view.Stamp{Sequence: 4}, Body: encode(t, selfPlacement(2))})
 	awaitPlacement(t, store, 2, 4)
 	ctx := testContext(t)
 
@@ -109,7 +109,7 @@
 	disk := memorydisk.New()
 	t.Run("before", func(t *testing.T) {
 		store := newStore(t, disk)
-		store.ApplyPlacement(4, alone(1))
+		store.ApplyPlacement(4, selfPlacement(1))
 		awaitPlacement(t, store, 1, 4)
 		if got, err := store.handleBeginTurn(testContext(t), "", wire.BeginTurnRequest{Turn: *beginTurn("a").Begin}); err != nil || got.Verdict != program.Accepted {
 			t.Fatalf("begin of the turn: %v, %v; want it accepted", got, err)
@@ -117,7 +117,7 @@
 	})
 	disk.LosePower(3)
 	store := newStore(t, disk)
-	store.ApplyPlacement(4, alone(1))
+	store.ApplyPlacement(4, selfPlacement(1))
 	awaitPlacement(t, store, 1, 4)
 	if got, err := store.handleEndTurn(testContext(t), "", wire.EndTurnRequest{Turn: *endTurn("a").End}); err != nil || got.Verdict != program.Accepted {
 		t.Errorf("end of a turn that began before the restart: %v, %v; want it accepted", got, err)
@@ -169,7 +169,7 @@
 // TestStore_OverTransport calls a store as proxies and controllers do.
 func TestStore_OverTransport(t *testing.T) {
 	store := newStore(t, memorydisk.New())
-	store.ApplyPlacement(4, alone(1))
+	store.ApplyPlacement(4, selfPlacement(1))
 	awaitPlacement(t, store, 1, 4)
 	handlers := transport.NewHandlers()
 	store.Register(handlers)
@@ -203,12 +203,12 @@
 // TestLeader_FollowsNewestPlacement applies placements in any order.
 func TestLeader_FollowsNewestPlacement(t *testing.T) {
 	store := newStore(t, memorydisk.New())
-	store.ApplyPlacement(4, alone(1))
+	store.ApplyPlacement(4, selfPlacement(1))
 	awaitPlacement(t, store, 1, 4)
-	target := alone(1)
+	target := selfPlacement(1)
 	target.Shards[0].Replicas = []view.Replica{self, other}
 	store.ApplyPlacement(9, target)
-	store.ApplyPlacement(6, alone(1))
+	store.ApplyPlacement(6, selfPlacement(1))
 
 	// Then the group adds the other store, and an older placement does not change that.
 	awaitPlacement(t, store, 1, 9)
@@ -219,7 +219,7 @@
 			t.Fatal(err)
 		}
 	}
-	store.ApplyPlacement(8, alone(1))
+	store.ApplyPlacement(8, selfPlacement(1))
 	store.ApplyPlacement(9, target)
 	if got := running.machine.placement.Load(); got != 9 {
 		t.Errorf("follows placement %d, want 9", got)
@@ -257,7 +257,7 @@
 			lines <- fmt.Sprint(pairs...)
 			return nil
 		})})
-	store.ApplyPlacement(5, alone(1))
+	store.ApplyPlacement(5, selfPlacement(1))
 	awaitPlacement(t, store, 1, 5)
 	damaged := &storage.CorruptError{File: "shard-0.log-1", Reason: "test"}
 	disk.InjectFaults(func(memorydisk.Operation, string) error { return damaged })
@@ -279,7 +279,7 @@
 
 func TestApplyUpdate_OtherSectionOrMalformed_IsIgnored(t *testing.T) {
 	store := newStore(t, memorydisk.New())
-	store.ApplyUpdate(view.Update{Section: view.RolloutsSection, Body: encode(t, alone(1))})
+	store.ApplyUpdate(view.Update{Section: view.RolloutsSection, Body: encode(t, selfPlacement(1))})
 	store.ApplyUpdate(view.Update{Section: view.PlacementSection, Body: []byte(`{"shards":7}`)})
 	store.Deliver(group.Envelope{Group: "shard-"})
 	store.Deliver(group.Envelope{Group: "shard-x"})
@@ -293,7 +293,7 @@
 func TestBeginTurn_StoreNearLimit_OnlyNewProgramsAreRejected(t *testing.T) {
 	// Given a store that leads a shard with a program in progress and is short of memory,
 	s := newStore(t, memorydisk.New())
-	s.ApplyPlacement(5, alone(1))
+	s.ApplyPlacement(5, selfPlacement(1))
 	awaitPlacement(t, s, 1, 5)
 	begin := func(turn program.BeginTurn) program.Verdict {
 		t.Helper()
--- a/internal/tier/transport/pool_test.go
+++ b/internal/tier/transport/pool_test.go
@@ -60,18 +60,18 @@
 func TestBackoff(t *testing.T) {
 	cases := []struct {
 		failures int
-		share    float64
+		jitter   float64
 		want     time.Duration
 	}{
-		{failures: 1, share: 0, want: 50 * time.Millisecond},
-		{failures: 1, share: 1, want: 25 * time.Millisecond},
-		{failures: 3, share: 0, want: 200 * time.Millisecond},
-		{failures: 6, share: 0, want: 200 * time.Millisecond},
-		{failures: 1000, share: 0.5, want: 150 * time.Millisecond},
+		{failures: 1, jitter: 0, want: 50 * time.Millisecond},
+		{failures: 1, jitter: 1, want: 25 * time.Millisecond},
+		{failures: 3, jitter: 0, want: 200 * time.Millisecond},
+		{failures: 6, jitter: 0, want: 200 * time.Millisecond},
+		{failures: 1000, jitter: 0.5, want: 150 * time.Millisecond},
 	}
 	for _, c := range cases {
-		if got := backoff(c.failures, c.share); got != c.want {
-			t.Errorf("%d failures, share %v: %v, want %v", c.failures, c.share, got, c.want)
+		if got := backoff(c.failures, c.jitter); got != c.want {
+			t.Errorf("%d failures, jitter %v: %v, want %v", c.failures, c.jitter, got, c.want)
 		}
 	}
 }
--- a/internal/tier/transport/socket_test.go
+++ b/internal/tier/transport/socket_test.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// option reads a TCP option of a socket.
-func option(t *testing.T, socket net.Conn, name int) int {
+// tcpOption reads a TCP option of a socket.
+func tcpOption(t *testing.T, socket net.Conn, name int) int {
 	t.Helper()
 	raw, err := socket.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -44,7 +44,7 @@
 			unix.TCP_KEEPINTVL:    int(keepAliveInterval.Seconds()),
 			unix.TCP_KEEPCNT:      keepAliveCount,
 		} {
-			if got := option(t, socket, name); got != want {
+			if got := tcpOption(t, socket, name); got != want {
 				t.Errorf("%s: option %d is %d, want %d", side, name, got, want)
 			}
 		}
