--- a/internal/tier/membership/gossip.go
+++ b/internal/tier/membership/gossip.go
@@ -22,8 +22,8 @@
 	queue.queueBroadcast(update)
 }
 
-// gossip sends the queued updates to a few random members without waiting for the next probe as SWIM section 4.1 does, at most
-// once per gossipInterval.
+// gossip sends the queued updates to a few random members, at most once per gossipInterval. In SWIM (section 4.1) they would wait
+// for the next probe.
 func (n *Node) gossip() {
 	if !n.gossipDue || n.now < n.lastGossip+n.gossipInterval() {
 		return
--- a/internal/tier/membership/probe.go
+++ b/internal/tier/membership/probe.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// handleProbeFailure suspects the target of a failed probe. If helpers were asked and none has sent a nack, this node itself may be slow or
-// partitioned.
+// handleProbeFailure suspects the target of a failed probe. If helpers were asked and none has sent a nack, this node itself may be
+// slow or partitioned, which lowers its health.
 func (n *Node) handleProbeFailure(failed probe) {
 	if failed.expectedNacks > 0 && len(failed.nacks) == 0 {
 		n.awareness.applyDelta(1)
--- a/internal/tier/membership/pushpull.go
+++ b/internal/tier/membership/pushpull.go
@@ -33,8 +33,9 @@
 // recentlyStarted reports whether the node started less than PushPullInterval ago, while tables still differ much.
 func (n *Node) recentlyStarted() bool { return n.now-n.started < n.options.PushPullInterval }
 
-// compareHash compares this table's hash with the sender's. As tables differ briefly after every change, a push-pull is scheduled
-// only if the difference persists for convergenceTime without a change here, or for PushPullInterval in total.
+// compareHash compares this table's hash with the sender's. As tables differ briefly after every change, a node that has not recently
+// started schedules a push-pull only if the difference persists for convergenceTime without a change of this table, or for
+// PushPullInterval in total.
 func (n *Node) compareHash(address string, message *Message) {
 	if message.Hash == 0 {
 		return
--- a/internal/tier/store/recover.go
+++ b/internal/tier/store/recover.go
@@ -54,7 +54,7 @@
 	})
 }
 
-// placeShard passes the newest placement to a shard, as it may have arrived before the shard was open.
+// placeShard passes the newest placement to a shard, as the placement may have arrived before the shard was open.
 func (s *Store) placeShard(number int) {
 	s.mutex.Lock()
 	index, placement, opened := s.placementIndex, s.placement, s.shards[number]
--- a/internal/tier/store/shard.go
+++ b/internal/tier/store/shard.go
@@ -94,7 +94,7 @@
 }
 
 // reportMembers calls done with the members of the group. They are confirmed if a linearizable read shows that this replica is still
-// the leader in the same term, and that the members of the start of the read are committed and unchanged.
+// the leader in the same term, and that the members at the start of the read are committed and unchanged.
 func (s *shard) reportMembers(done func(members wire.ShardMembers, confirmed bool)) {
 	before := s.group.Status()
 	if !before.IsLeader {
--- a/internal/tier/transport/clientconnection.go
+++ b/internal/tier/transport/clientconnection.go
@@ -45,7 +45,7 @@
 	return connection
 }
 
-// run dials and reads until the connection breaks or fail closes the socket or cancels the dial. Pool.Close waits for run.
+// run dials and reads until the connection breaks. fail ends it by closing the socket or cancelling the dial. Pool.Close waits for run.
 func (c *clientConnection) run() {
 	socket, err := c.peer.pool.network.Dial(c.dialCtx, newDialer(), "tcp4", c.peer.address)
 	if err != nil {
