--- a/internal/relay/capture/batch.go
+++ b/internal/relay/capture/batch.go
@@ -7,9 +7,9 @@
 	"mastusher/control"
 )
 
-// batch holds records as they are, until the writer encodes them all at once: a turn that comes after a pause finds the
-// encoder's code in no cache, and would take several times as long. What records point to stands in lists that are used
-// again.
+// batch holds records unencoded until the writer encodes them all together: encoding each turn by itself takes several times
+// as long, since after a pause the encoder's code is no longer in the processor's caches. The values that records point to
+// are kept in slices that are reused.
 type batch struct {
 	order    []Type
 	turns    []Turn
@@ -26,12 +26,12 @@
 	coreEvents []CoreEvent
 	arrivals   []Arrival
 
-	weight     int       // about the bytes it will take before it is compressed
-	beginsFile bool      // a file begins with it
+	weight     int       // approximate size of the encoded records before compression, in bytes
+	beginsFile bool      // the writer starts a new file with this batch
 	since      time.Time // when its first turn ended
 }
 
-// What records weigh, as measured.
+// Measured sizes of encoded records, in bytes before compression.
 const (
 	turnWeight, eventWeight, actionWeight = 14, 24, 22
 	coreEventWeight, nameWeight           = 36, 30
@@ -83,7 +83,7 @@
 	}
 }
 
-// appendCopy copies a list to the end of another and returns the copy: nil if it is empty.
+// appendCopy appends the elements of list to *all and returns the appended part: nil if list is empty.
 func appendCopy[T any](all *[]T, list []T) []T {
 	if len(list) == 0 {
 		return nil
@@ -93,9 +93,9 @@
 	return (*all)[start:len(*all):len(*all)]
 }
 
-// encode adds all records to a block, in order. It lets others run in between: there may be one processor for all.
+// encode adds all records to a block, in order. It yields every 16 records: the relay may have a single processor.
 func (b *batch) encode(to *block) (err error) {
-	var next [TypeInput + 1]int // in the list of each type
+	var next [TypeInput + 1]int // by type: the index of its next record
 	for n, t := range b.order {
 		i := next[t]
 		next[t]++
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// reset empties a batch for other records.
+// reset empties a batch for reuse.
 func (b *batch) reset() {
 	clear(b.inputs)
 	clear(b.names)
--- a/internal/relay/capture/chunk.go
+++ b/internal/relay/capture/chunk.go
@@ -12,24 +12,24 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Head is what a chunk says of itself.
+// Head is the header of a chunk, which tells what the chunk holds.
 type Head struct {
-	First    time.Duration `cbor:"1,keyasint"` // the module's clock in its first turn and its last
+	First    time.Duration `cbor:"1,keyasint"` // time of the chunk's first turn, on the module's clock; Last: of its last turn
 	Last     time.Duration `cbor:"2,keyasint"`
 	Turn     uint64        `cbor:"3,keyasint"` // number of its first turn
 	Turns    int           `cbor:"4,keyasint"`
-	Size     int           `cbor:"5,keyasint"`           // of its body before it was compressed
-	State    bool          `cbor:"6,keyasint,omitempty"` // it begins with the whole state: a replay can begin here
-	Messages []uint32      `cbor:"7,keyasint,omitempty"` // low halves of xxhash64 of the ids of messages that arrive in it, sorted
+	Size     int           `cbor:"5,keyasint"`           // bytes of the body before compression
+	State    bool          `cbor:"6,keyasint,omitempty"` // the chunk begins with the whole state, so a replay can start here
+	Messages []uint32      `cbor:"7,keyasint,omitempty"` // low halves of xxhash64 of the ids of messages in the chunk, sorted
 }
 
-// block gathers records that will make a chunk.
+// block collects the encoded records of the next chunk.
 type block struct {
 	body bytes.Buffer
 	head Head
 }
 
-// bufferEncoder encodes records right into a block's buffer.
+// bufferEncoder encodes records directly into a block's buffer.
 var bufferEncoder = func() cbor.UserBufferEncMode {
 	mode, err := cbor.EncOptions{}.UserBufferEncMode()
 	if err != nil {
@@ -70,7 +70,7 @@
 	b.head.Last = now
 }
 
-// reset empties a block for other records. A buffer that a large state has grown is let go.
+// reset empties a block for reuse. A buffer that has grown for a large state is released.
 func (b *block) reset(keep int) {
 	messages := b.head.Messages[:0]
 	if b.head = (Head{}); cap(messages) <= 1<<12 {
@@ -83,14 +83,14 @@
 
 func idHash(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
-// packer makes chunks of blocks.
+// packer compresses blocks into chunks.
 type packer struct {
 	encoder *zstd.Encoder
 	buffer  []byte
 }
 
 func newPacker() (*packer, error) {
-	// The window is no larger than a chunk, and one goroutine does it all: a capture may cost the relay 2 MB.
+	// A small window and a single goroutine keep a capture within its budget of 2 MB of the relay's memory.
 	enc, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1),
 		zstd.WithWindowSize(128<<10), zstd.WithLowerEncoderMem(true))
 	if err != nil {
@@ -99,7 +99,7 @@
 	return &packer{encoder: enc}, nil
 }
 
-// pack returns the chunk of a block, good until the next call; nil: the block is empty.
+// pack returns the chunk of a block, valid until the next call; nil: the block is empty.
 func (p *packer) pack(b *block) ([]byte, error) {
 	if b.body.Len() == 0 {
 		return nil, nil
@@ -122,7 +122,7 @@
 	return p.buffer, nil
 }
 
-// chunker gathers records and writes chunks of them, for tools that nothing waits for.
+// chunker collects records and writes them as chunks, for tools that may block while it does.
 type chunker struct {
 	block
 	*packer
@@ -142,11 +142,10 @@
 	return err
 }
 
-// MayContain tells whether a message arrives in a chunk, or is open where it begins. It may rarely be wrong about one that
-// does not.
+// MayContain reports whether a message arrives in a chunk or is open at its start. False positives are possible but rare.
 func (h *Head) MayContain(id string) bool {
 	_, ok := slices.BinarySearch(h.Messages, idHash(id))
-	if !ok { // heads of minor version 0 are not sorted
+	if !ok { // in heads of minor version 0 the hashes are not sorted
 		ok = slices.Contains(h.Messages, idHash(id))
 	}
 	return ok
--- a/internal/relay/capture/core_actions.go
+++ b/internal/relay/capture/core_actions.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Input is one turn of the core: what its queue brought, how the journal fared, and what it did.
+// Input is one turn of the core: the events from its queue, the journal's results, and a checksum of the core's actions.
 type Input struct {
-	No      uint64        `cbor:"1,keyasint,omitempty"` // of the module's turn in it; 0: it had none
+	No      uint64        `cbor:"1,keyasint,omitempty"` // number of the module's turn within this turn; 0: none
 	Now     time.Duration `cbor:"2,keyasint"`
 	Events  []CoreEvent   `cbor:"3,keyasint,omitempty"`
-	Full    []int         `cbor:"4,keyasint,omitempty"` // which of the messages to be taken on the journal had no room for
+	Full    []int         `cbor:"4,keyasint,omitempty"` // indexes of the submitted messages that the journal had no room for
 	Failed  bool          `cbor:"5,keyasint,omitempty"` // the journal could not be written
-	Sum     uint64        `cbor:"6,keyasint,omitempty"` // of what it did, see Add; 0: nothing
-	Actions []Action      `cbor:"-"`                    // the same in full, in a replay
+	Sum     uint64        `cbor:"6,keyasint,omitempty"` // checksum of the core's actions, see Add; 0: no action
+	Actions []Action      `cbor:"-"`                    // the actions themselves, in a replay only
 }
 
-// Add takes an action into the sum. The actions themselves follow from the rest, and would take as much time to write as all
-// of it.
+// Add adds an action to the checksum. The actions themselves are not recorded: a replay computes them from the events, and
+// writing them would take as much time as all the rest.
 func (in *Input) Add(d *Action) {
 	h := in.Sum ^ uint64(d.Kind)
 	for _, v := range [...]uint64{d.Number, uint64(d.Target), uint64(d.Wait), uint64(d.WriteBefore), uint64(d.After), uint64(d.Verdict)} {
@@ -29,22 +29,22 @@
 	in.Sum = max(h, 1)
 }
 
-// ActionKind tells what an Action is.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// What the core does.
+// Kinds of actions, each with the fields of Action that it uses.
 const (
-	Replied         ActionKind = iota + 1 // Number: of the message submitted, Verdict, Wait: when to come again
-	AttemptBegan                          // Number: of the attempt, Target, Refs, Wait: its time-out, WriteBefore
+	Replied         ActionKind = iota + 1 // Number: of the message submitted, Verdict, Wait: the client's retry delay
+	AttemptBegan                          // Number: of the attempt, Target, Refs, Wait: its timeout, WriteBefore
 	AttemptCanceled                       // Number: of the attempt that is canceled
-	AttemptRecalled                       // Number: of the attempt that is canceled if nothing of it was written
+	AttemptRecalled                       // Number: of the attempt that is canceled unless it has begun to write
 	NoticesSent                           // Number: of the front, Refs of the notices in the call
 	WatchStarted                          // Number: of the front, Target: number of the watch, After
 	IdleClosed                            // Target: the destination whose idle connections are closed
-	MessageFinished                       // Number: of the message that is over and owes nothing more
+	MessageFinished                       // Number: of the message that has ended with no notice outstanding
 )
 
-// Action is one thing that the core did.
+// Action is one action of the core.
 type Action struct {
 	Kind        ActionKind
 	Number      uint64
--- a/internal/relay/capture/core_events.go
+++ b/internal/relay/capture/core_events.go
@@ -6,10 +6,10 @@
 	"mastusher/control"
 )
 
-// CoreKind tells what a CoreEvent is.
+// CoreKind is the kind of a CoreEvent.
 type CoreKind uint8
 
-// The core's events.
+// Kinds of core events, each with the fields of CoreEvent that it uses.
 const (
 	Submitted    CoreKind = iota + 1 // Front, Arrival
 	Withdrawn                        // Ref
@@ -23,14 +23,14 @@
 	QuotaGranted                     // Shared
 )
 
-// CoreEvent is one thing that came by the core's queue.
+// CoreEvent is one event from the core's queue.
 type CoreEvent struct {
 	Kind     CoreKind      `cbor:"1,keyasint"`
-	Front    int           `cbor:"2,keyasint,omitempty"` // below 0: there is no such front
+	Front    int           `cbor:"2,keyasint,omitempty"` // index of the front; below 0: no such front exists
 	Ref      uint64        `cbor:"3,keyasint,omitempty"`
 	Number   uint64        `cbor:"4,keyasint,omitempty"`
 	Arrival  *Arrival      `cbor:"5,keyasint,omitempty"`
-	Outcomes []Outcome     `cbor:"6,keyasint,omitempty"` // nil: as the module is told in the same turn
+	Outcomes []Outcome     `cbor:"6,keyasint,omitempty"` // nil: the same as in the module's events of this turn
 	List     *EndpointList `cbor:"7,keyasint,omitempty"`
 	Accepted []bool        `cbor:"8,keyasint,omitempty"`
 	Text     string        `cbor:"9,keyasint,omitempty"`
@@ -40,7 +40,7 @@
 	Shared *control.SharedLimits `cbor:"12,keyasint,omitempty"`
 }
 
-// Arrival is a message handed in, with what an inspector (a plug-in) ruled.
+// Arrival is a submitted message, with the verdict of the inspector (a plug-in).
 type Arrival struct {
 	ID              string        `cbor:"1,keyasint"`
 	KeySize         int           `cbor:"2,keyasint,omitempty"`
@@ -52,12 +52,12 @@
 	Headers         uint64        `cbor:"8,keyasint,omitempty"`
 	MayHaveRun      bool          `cbor:"9,keyasint,omitempty"`
 	MayHaveRunAt    time.Duration `cbor:"10,keyasint,omitempty"`
-	QueuedFor       time.Duration `cbor:"11,keyasint,omitempty"` // since it was handed in
-	Verdict         uint8         `cbor:"12,keyasint,omitempty"` // of the inspector
+	QueuedFor       time.Duration `cbor:"11,keyasint,omitempty"` // time since it was submitted
+	Verdict         uint8         `cbor:"12,keyasint,omitempty"` // the inspector's
 	Status          int           `cbor:"13,keyasint,omitempty"`
 	Reason          string        `cbor:"14,keyasint,omitempty"`
 	Tenant          int           `cbor:"15,keyasint,omitempty"`
-	SeenUnderPolicy uint64        `cbor:"16,keyasint,omitempty"` // one more than the version of the policy under which the inspector saw it
+	SeenUnderPolicy uint64        `cbor:"16,keyasint,omitempty"` // version of the policy under which the inspector saw it, plus one
 }
 
 // Outcome is how an attempt ended for one of its messages.
@@ -70,9 +70,9 @@
 	Limit      float64        `cbor:"6,keyasint,omitempty"`
 }
 
-// EndpointList is an endpoint list, or what has changed in it.
+// EndpointList is an endpoint list: the whole list where Complete, otherwise the changes to it.
 type EndpointList struct {
 	Index        int64              `cbor:"1,keyasint,omitempty"`
 	Complete     bool               `cbor:"2,keyasint,omitempty"`
-	Destinations []DestinationState `cbor:"3,keyasint,omitempty"` // without numbers
+	Destinations []DestinationState `cbor:"3,keyasint,omitempty"` // their Number is not set
 }
--- a/internal/relay/capture/core_state.go
+++ b/internal/relay/capture/core_state.go
@@ -6,7 +6,7 @@
 	"mastusher/control"
 )
 
-// CoreSettings is what the core itself goes by, beside the module's settings.
+// CoreSettings holds the core's own settings, in addition to the module's.
 type CoreSettings struct {
 	Kinds          []string      `cbor:"1,keyasint,omitempty"`
 	Zones          []string      `cbor:"2,keyasint,omitempty"`
@@ -21,57 +21,57 @@
 	NoticeRetry    time.Duration `cbor:"11,keyasint,omitempty"`
 	NoticeRetryMax time.Duration `cbor:"12,keyasint,omitempty"`
 	WatchRetry     time.Duration `cbor:"13,keyasint,omitempty"`
-	Weights        bool          `cbor:"14,keyasint,omitempty"` // the list's weights are rates
+	Weights        bool          `cbor:"14,keyasint,omitempty"` // the weights in the endpoint list are rates
 	WatchSpread    time.Duration `cbor:"15,keyasint,omitempty"`
 	EndedRetention time.Duration `cbor:"16,keyasint,omitempty"`
 	MaxEnded       int           `cbor:"17,keyasint,omitempty"`
 }
 
-// Core is the core's whole state between two turns, beside the module's. Lists are sorted by their numbers.
+// Core is the core's whole state between two turns, without the module's. Lists are sorted by number.
 type Core struct {
 	Fronts           []FrontState       `cbor:"1,keyasint"`
 	Destinations     []DestinationState `cbor:"2,keyasint,omitempty"`
-	Numbers          []Name             `cbor:"3,keyasint,omitempty"` // also of destinations that stand in the journal only
+	Numbers          []Name             `cbor:"3,keyasint,omitempty"` // names of destinations, including those that only the journal mentions
 	Messages         []MessageState     `cbor:"4,keyasint,omitempty"`
-	Attempts         []AttemptState     `cbor:"5,keyasint,omitempty"` // that are out
-	Events           []control.Event    `cbor:"6,keyasint,omitempty"` // the module learns of them next turn
+	Attempts         []AttemptState     `cbor:"5,keyasint,omitempty"` // in flight
+	Events           []control.Event    `cbor:"6,keyasint,omitempty"` // to be passed to the module in the next turn
 	LastDestination  uint32             `cbor:"7,keyasint,omitempty"`
 	LastRef          uint64             `cbor:"8,keyasint,omitempty"`
 	LastAttempt      uint64             `cbor:"9,keyasint,omitempty"`
 	Submitted        uint64             `cbor:"10,keyasint,omitempty"`
-	WakeAt           time.Duration      `cbor:"11,keyasint,omitempty"` // 0: not at all, as for the next ones
+	WakeAt           time.Duration      `cbor:"11,keyasint,omitempty"` // 0: not set; the same for WatchAt and DrainAt
 	WatchAt          time.Duration      `cbor:"12,keyasint,omitempty"`
 	DrainAt          time.Duration      `cbor:"13,keyasint,omitempty"`
 	LastHousekeeping time.Duration      `cbor:"14,keyasint,omitempty"`
 	Mandate          *Mandate           `cbor:"15,keyasint,omitempty"` // nil: the relay belongs to no fleet
-	Ended            []EndedState       `cbor:"16,keyasint,omitempty"` // the oldest first
+	Ended            []EndedState       `cbor:"16,keyasint,omitempty"` // oldest first
 }
 
-// EndedState is a message that has ended a moment ago.
+// EndedState is a message that ended recently.
 type EndedState struct {
-	Key     string        `cbor:"1,keyasint"` // its front and id
+	Key     string        `cbor:"1,keyasint"` // front and id of the message
 	At      time.Duration `cbor:"2,keyasint"`
-	Verdict uint8         `cbor:"3,keyasint,omitempty"` // the answer if it comes again
+	Verdict uint8         `cbor:"3,keyasint,omitempty"` // the reply to a resubmission
 }
 
-// FrontState is what the core keeps for a front.
+// FrontState is the core's state of a front.
 type FrontState struct {
 	Name               string        `cbor:"1,keyasint"`
-	NotifiesDeliveries bool          `cbor:"2,keyasint,omitempty"` // its clients are sent a notice of a delivery too
+	NotifiesDeliveries bool          `cbor:"2,keyasint,omitempty"` // clients also get notices of deliveries
 	List               []uint32      `cbor:"3,keyasint,omitempty"`
 	Index              int64         `cbor:"4,keyasint,omitempty"`
 	LastWatch          int           `cbor:"5,keyasint,omitempty"`
 	Watching           bool          `cbor:"6,keyasint,omitempty"`
-	Outstanding        []uint64      `cbor:"7,keyasint,omitempty"` // refs of messages whose notices wait
-	Sending            []uint64      `cbor:"8,keyasint,omitempty"` // and of those in the call that is out
+	Outstanding        []uint64      `cbor:"7,keyasint,omitempty"` // refs of messages whose notices wait to be sent
+	Sending            []uint64      `cbor:"8,keyasint,omitempty"` // refs of messages whose notices are in the call in flight
 	Calling            bool          `cbor:"9,keyasint,omitempty"`
-	MovedMeanwhile     bool          `cbor:"10,keyasint,omitempty"` // the front has moved while that call was out
+	MovedMeanwhile     bool          `cbor:"10,keyasint,omitempty"` // the front's discovery moved while the call was in flight
 	RetryAt            time.Duration `cbor:"11,keyasint,omitempty"`
 	Backoff            time.Duration `cbor:"12,keyasint,omitempty"`
-	ListReportedBy     int           `cbor:"13,keyasint,omitempty"` // number of the watch that told the newest list
+	ListReportedBy     int           `cbor:"13,keyasint,omitempty"` // number of the watch that delivered the newest list
 }
 
-// DestinationState is a destination as listed.
+// DestinationState is a destination as the endpoint list has it.
 type DestinationState struct {
 	Number    uint32        `cbor:"1,keyasint"`
 	Front     int           `cbor:"2,keyasint,omitempty"`
@@ -84,7 +84,7 @@
 	Weight    float64       `cbor:"9,keyasint,omitempty"`
 }
 
-// MessageState is a message that is not over.
+// MessageState is a message that has not ended.
 type MessageState struct {
 	Ref           uint64        `cbor:"1,keyasint"`
 	Front         int           `cbor:"2,keyasint,omitempty"`
@@ -95,7 +95,7 @@
 	Deadline      time.Duration `cbor:"7,keyasint,omitempty"`
 	Resubmitted   bool          `cbor:"8,keyasint,omitempty"`
 	Size          int           `cbor:"9,keyasint,omitempty"`
-	Headers       uint64        `cbor:"10,keyasint,omitempty"` // a hash: those of one call are the same
+	Headers       uint64        `cbor:"10,keyasint,omitempty"` // hash of the headers: messages of one call have the same headers
 	Attempts      int           `cbor:"11,keyasint,omitempty"`
 	InFlight      bool          `cbor:"12,keyasint,omitempty"`
 	MayHaveRun    bool          `cbor:"13,keyasint,omitempty"`
@@ -107,23 +107,23 @@
 	Delivered     bool          `cbor:"19,keyasint,omitempty"`
 	HandedBack    bool          `cbor:"20,keyasint,omitempty"`
 	RetryAfter    time.Duration `cbor:"21,keyasint,omitempty"`
-	Attempt       uint64        `cbor:"22,keyasint,omitempty"` // out now; 0: none
+	Attempt       uint64        `cbor:"22,keyasint,omitempty"` // number of the attempt in flight; 0: none
 	Tenant        int           `cbor:"23,keyasint,omitempty"`
-	PolicyVersion uint64        `cbor:"24,keyasint,omitempty"` // version under which it was taken on
-	MaxAttempts   int           `cbor:"25,keyasint,omitempty"` // attempts that it may have by that
+	PolicyVersion uint64        `cbor:"24,keyasint,omitempty"` // version of the policy under which it was accepted
+	MaxAttempts   int           `cbor:"25,keyasint,omitempty"` // maximum number of attempts under that policy
 }
 
-// AttemptState is an attempt that is out.
+// AttemptState is an attempt in flight.
 type AttemptState struct {
 	Number   uint64   `cbor:"1,keyasint"`
 	To       uint32   `cbor:"2,keyasint,omitempty"`
 	Refs     []uint64 `cbor:"3,keyasint,omitempty"`
 	Attempts []int    `cbor:"4,keyasint,omitempty"`
 
-	QueuePosition int           `cbor:"5,keyasint,omitempty"` // its place among those that wait until the relay may act, from 1
-	ScheduledAt   time.Duration `cbor:"6,keyasint,omitempty"` // of those: when it was decided, its time-out, and until when it may write
-	Timeout       time.Duration `cbor:"7,keyasint,omitempty"`
-	WriteBefore   time.Duration `cbor:"8,keyasint,omitempty"`
-	Canceled      bool          `cbor:"9,keyasint,omitempty"`  // it has been called off
-	StartAfter    time.Duration `cbor:"10,keyasint,omitempty"` // it waits until then, behind others to its partner
+	QueuePosition int           `cbor:"5,keyasint,omitempty"` // from 1, among attempts that wait until the relay may act
+	ScheduledAt   time.Duration `cbor:"6,keyasint,omitempty"` // when a waiting attempt was decided
+	Timeout       time.Duration `cbor:"7,keyasint,omitempty"` // of a waiting attempt
+	WriteBefore   time.Duration `cbor:"8,keyasint,omitempty"` // after this time a waiting attempt must not write
+	Canceled      bool          `cbor:"9,keyasint,omitempty"`
+	StartAfter    time.Duration `cbor:"10,keyasint,omitempty"` // it waits until then, behind other attempts to its partner
 }
--- a/internal/relay/capture/describe.go
+++ b/internal/relay/capture/describe.go
@@ -7,7 +7,7 @@
 	"mastusher/control"
 )
 
-// nameFor returns the name of a code; unknown: there is none.
+// nameFor returns the name of a code, or unknown if it has none.
 func nameFor(names []string, code int, unknown string) string {
 	if code < len(names) {
 		return names[code]
@@ -31,14 +31,14 @@
 
 var actionNames = [...]string{"?", "send", "refuse", "fail", "cancel", "wake", "subscribe", "close", "recall", "log"}
 
-// Action is an action in words.
+// Action describes an action of the module.
 func (res *Result) Action(a control.Action) string {
 	kind := nameFor(actionNames[:], int(a.Kind), actionNames[0])
 	switch a.Kind {
 	case control.Send:
 		return fmt.Sprintf("send %s to %s within %v", res.message(a.ID), res.name(a.Endpoint), a.For)
 	case control.Refuse:
-		return fmt.Sprintf("refuse %s, come again after %v", res.message(a.ID), a.For)
+		return fmt.Sprintf("refuse %s, retry after %v", res.message(a.ID), a.For)
 	case control.Wake:
 		return fmt.Sprintf("wake at %v", a.At)
 	case control.Close:
@@ -51,17 +51,17 @@
 	return kind + " " + res.message(a.ID)
 }
 
-var resultNames = [...]string{"delivered", "error", "full", "timed out", "could not connect", "reset", "called off", "moot", "refused for good", "spoilt"}
+var resultNames = [...]string{"delivered", "error", "full", "timed out", "could not connect", "reset", "canceled", "moot", "rejected for good", "spoilt"}
 
 func resultName(result control.Result) string { return nameFor(resultNames[:], int(result), "unknown") }
 
-// Event is an event in words.
+// Event describes an event of the module.
 func (res *Result) Event(event control.Event) string {
 	switch event.Kind {
 	case control.Listed:
-		return fmt.Sprintf("list: %d endpoints, whole %t", len(event.Endpoints), event.Complete)
+		return fmt.Sprintf("endpoint list: %d endpoints, complete %t", len(event.Endpoints), event.Complete)
 	case control.ListFailed:
-		return "the list could not be had"
+		return "the endpoint list could not be fetched"
 	case control.Arrived:
 		s := fmt.Sprintf("%s arrives for destination %d, class %d", res.message(event.ID), event.Destination, event.Class)
 		if event.Attempt > 0 {
@@ -93,68 +93,68 @@
 	return strings.Join(all, ", ")
 }
 
-// CoreEvent is an event of the core in words.
+// CoreEvent describes an event of the core.
 func (res *Result) CoreEvent(event *CoreEvent) string {
 	switch event.Kind {
 	case Submitted:
-		s := fmt.Sprintf("%s is handed in to front %d for partner %d, class %d", event.Arrival.ID, event.Front, event.Arrival.Partner, event.Arrival.Class)
+		s := fmt.Sprintf("%s is submitted to front %d for partner %d, class %d", event.Arrival.ID, event.Front, event.Arrival.Partner, event.Arrival.Class)
 		if event.Arrival.Verdict != 0 {
 			s += fmt.Sprintf("; a plug-in's verdict is %d (%d %s)", event.Arrival.Verdict, event.Arrival.Status, event.Arrival.Reason)
 		}
 		return s
 	case Withdrawn:
-		return res.message(event.Ref) + " is withdrawn: its client never heard the answer"
+		return res.message(event.Ref) + " is withdrawn: its client never received the answer"
 	case Moved:
-		return fmt.Sprintf("the discovery of front %d has moved", event.Front)
+		return fmt.Sprintf("the discovery service of front %d has moved", event.Front)
 	case DrainStarted:
 		return "the relay is told to drain"
 	case AttemptEnded:
 		if event.Outcomes == nil {
-			return fmt.Sprintf("route step %d ends for its %d messages, as the module is told", event.Number, event.Items)
+			return fmt.Sprintf("attempt %d ends for its %d messages, with the module's outcomes of this turn", event.Number, event.Items)
 		}
 		var ends []string
 		for _, outcome := range event.Outcomes {
 			ends = append(ends, resultName(outcome.Result))
 		}
-		return fmt.Sprintf("route step %d ends: %s", event.Number, strings.Join(ends, ", "))
+		return fmt.Sprintf("attempt %d ends: %s", event.Number, strings.Join(ends, ", "))
 	case ListReported:
-		return fmt.Sprintf("pool config %d of front %d: %d destinations, whole %t", event.List.Index, event.Front, len(event.List.Destinations), event.List.Complete)
+		return fmt.Sprintf("endpoint list %d of front %d: %d destinations, complete %t", event.List.Index, event.Front, len(event.List.Destinations), event.List.Complete)
 	case WatchEnded:
 		return fmt.Sprintf("watch %d of front %d is lost: %s", event.Number, event.Front, event.Text)
 	case Notified:
-		taken := 0
+		accepted := 0
 		for _, ok := range event.Accepted {
 			if ok {
-				taken++
+				accepted++
 			}
 		}
-		return fmt.Sprintf("%d of %d notices are taken from front %d", taken, len(event.Accepted), event.Front)
+		return fmt.Sprintf("%d of %d notices from front %d are accepted", accepted, len(event.Accepted), event.Front)
 	}
 	return fmt.Sprintf("event of kind %d", event.Kind)
 }
 
-var verdictNames = [...]string{"taken on", "busy", "given up", "rejected"}
+var verdictNames = [...]string{"accepted", "busy", "given up", "rejected"}
 
-// CoreAction is what the core did in words.
-func (res *Result) CoreAction(d Action) string {
-	switch d.Kind {
+// CoreAction describes an action of the core.
+func (res *Result) CoreAction(action Action) string {
+	switch action.Kind {
 	case Replied:
-		verdict := nameFor(verdictNames[:], int(d.Verdict), "?")
-		return fmt.Sprintf("answer to message %d handed in: %s, come again after %v", d.Number, verdict, d.Wait)
+		verdict := nameFor(verdictNames[:], int(action.Verdict), "?")
+		return fmt.Sprintf("reply to submission %d: %s, retry after %v", action.Number, verdict, action.Wait)
 	case AttemptBegan:
-		return fmt.Sprintf("route step %d to %s within %v: %s", d.Number, res.name(d.Target), d.Wait, res.messages(d.Refs))
+		return fmt.Sprintf("attempt %d to %s within %v: %s", action.Number, res.name(action.Target), action.Wait, res.messages(action.Refs))
 	case AttemptCanceled:
-		return fmt.Sprintf("route step %d is called off", d.Number)
+		return fmt.Sprintf("attempt %d is canceled", action.Number)
 	case AttemptRecalled:
-		return fmt.Sprintf("route step %d is called back unless it has begun", d.Number)
+		return fmt.Sprintf("attempt %d is canceled unless it has begun", action.Number)
 	case NoticesSent:
-		return fmt.Sprintf("notices by front %d: %s", d.Number, res.messages(d.Refs))
+		return fmt.Sprintf("notices by front %d: %s", action.Number, res.messages(action.Refs))
 	case WatchStarted:
-		return fmt.Sprintf("watch %d of front %d, after index %d", d.Target, d.Number, d.After)
+		return fmt.Sprintf("watch %d of front %d, after index %d", action.Target, action.Number, action.After)
 	case IdleClosed:
-		return "idle connections to " + res.name(d.Target) + " are closed"
+		return "idle connections to " + res.name(action.Target) + " are closed"
 	case MessageFinished:
-		return res.message(d.Number) + " is over"
+		return res.message(action.Number) + " has ended"
 	}
-	return fmt.Sprintf("deed of kind %d", d.Kind)
+	return fmt.Sprintf("action of kind %d", action.Kind)
 }
--- a/internal/relay/capture/fast.go
+++ b/internal/relay/capture/fast.go
@@ -7,8 +7,8 @@
 	"mastusher/control"
 )
 
-// The records that come with every turn, in the very bytes that the CBOR library makes of them (a test holds both
-// together), without its walk through their types: on a processor that was asleep that walk is most of a capture's cost.
+// This file encodes the most frequent records to exactly the bytes that the CBOR library produces (a test compares them),
+// but without reflection: on a processor that was asleep the library's reflection is most of a capture's cost.
 
 // appendHead appends the head of a data item: its major type and its count or value.
 func appendHead(b []byte, major byte, v uint64) []byte {
@@ -25,10 +25,10 @@
 	return binary.BigEndian.AppendUint64(append(b, major|27), v)
 }
 
-// fields is a map of at most 23 fields with numbers below 24, whose head is set at the end.
+// fields encodes a CBOR map of at most 23 fields with keys below 24. Each new field increments the count in the map's head.
 type fields struct {
 	b  []byte
-	at int
+	at int // index of the map's head in b
 }
 
 func newFields(b []byte) fields { return fields{append(b, 0xa0), len(b)} }
@@ -47,12 +47,12 @@
 
 func (f *fields) int(k byte, v int64) {
 	if v != 0 {
-		f.must(k, v)
+		f.requiredInt(k, v)
 	}
 }
 
-// must writes a field that is never left out.
-func (f *fields) must(k byte, v int64) {
+// requiredInt writes a field that is written even if it is zero.
+func (f *fields) requiredInt(k byte, v int64) {
 	f.key(k)
 	if v < 0 {
 		f.b = appendHead(f.b, 1, uint64(-1-v))
@@ -82,7 +82,7 @@
 	}
 }
 
-// appendList writes a list as a field, unless it is empty.
+// appendList writes a list as a field, unless the list is empty.
 func appendList[T any](f *fields, k byte, list []T, item func([]byte, *T) []byte) {
 	if len(list) == 0 {
 		return
@@ -148,13 +148,14 @@
 	f := newFields(b)
 	f.key(1)
 	f.b = appendHead(f.b, 0, t.No)
-	f.must(2, int64(t.Now))
+	f.requiredInt(2, int64(t.Now))
 	appendList(&f, 3, t.Events, appendEvent)
 	appendList(&f, 4, t.Actions, appendAction)
 	return f.b
 }
 
-// hasFastPath tells whether appendTurn knows all of a turn: what others share comes a few times a second.
+// hasFastPath reports whether appendTurn can encode the turn. It can't encode the events with shared limits, which come only
+// a few times a second.
 func (t *Turn) hasFastPath() bool {
 	for i := range t.Events {
 		if t.Events[i].Shared != nil {
@@ -175,17 +176,17 @@
 	return f.b
 }
 
-// appendInput is for inputs that are usual: others are left to the library.
+// appendInput encodes the inputs for which hasFastPath is true; the CBOR library encodes the others.
 func appendInput(b []byte, in *Input) []byte {
 	f := newFields(b)
 	f.uint(1, in.No)
-	f.must(2, int64(in.Now))
+	f.requiredInt(2, int64(in.Now))
 	appendList(&f, 3, in.Events, appendCoreEvent)
 	f.uint(6, in.Sum)
 	return f.b
 }
 
-// hasFastPath tells whether appendInput knows all of an input.
+// hasFastPath reports whether appendInput can encode all fields of the input.
 func (in *Input) hasFastPath() bool {
 	for i := range in.Events {
 		if e := &in.Events[i]; e.List != nil || e.Mandate != nil || e.Shared != nil || len(e.Outcomes) > 0 || len(e.Accepted) > 0 {
@@ -197,7 +198,7 @@
 
 func appendCoreEvent(b []byte, e *CoreEvent) []byte {
 	f := newFields(b)
-	f.must(1, int64(e.Kind))
+	f.requiredInt(1, int64(e.Kind))
 	f.int(2, int64(e.Front))
 	f.uint(3, e.Ref)
 	f.uint(4, e.Number)
@@ -217,7 +218,7 @@
 	f.int(2, int64(a.KeySize))
 	f.int(3, int64(a.Partner))
 	f.int(4, int64(a.Class))
-	f.must(5, int64(a.Deadline))
+	f.requiredInt(5, int64(a.Deadline))
 	f.bool(6, a.Resubmitted)
 	f.int(7, int64(a.Size))
 	f.uint(8, a.Headers)
@@ -232,7 +233,7 @@
 	return f.b
 }
 
-// appendFast encodes a record that is frequent and usual; false: it is neither.
+// appendFast encodes a record without the CBOR library; false: the record has no fast path.
 func appendFast(b []byte, record any) ([]byte, bool) {
 	switch r := record.(type) {
 	case *Turn:
--- a/internal/relay/capture/fast_test.go
+++ b/internal/relay/capture/fast_test.go
@@ -11,7 +11,7 @@
 	"mastusher/control"
 )
 
-// fill draws a value of any of the records' types, with many zeros.
+// fill sets a value of any type that occurs in records to random content, with many zeros.
 func fill(t *rapid.T, value reflect.Value) {
 	if rapid.IntRange(0, 2).Draw(t, "zero") == 0 {
 		return
@@ -42,11 +42,11 @@
 	case reflect.Int, reflect.Int64:
 		value.SetInt(rapid.Int64().Draw(t, "int") >> rapid.IntRange(0, 63).Draw(t, "shift"))
 	default:
-		t.Fatalf("a %v cannot be filled", value.Type())
+		t.Fatalf("fill does not support type %v", value.Type())
 	}
 }
 
-// TestFast_AnyRecord_SameBytesAsLibrary: the short way to a record's bytes ends where the library's does, whatever the record holds.
+// TestFast_AnyRecord_SameBytesAsLibrary checks that appendFast and the CBOR library encode any record to the same bytes.
 func TestFast_AnyRecord_SameBytesAsLibrary(t *testing.T) {
 	encoded := map[string]int{} // bytes, by type
 	rapid.Check(t, func(t *rapid.T) {
@@ -54,9 +54,9 @@
 			fill(t, reflect.ValueOf(record).Elem())
 			got, ok := appendFast([]byte("x"), record)
 			if !ok {
-				makeUsual(record)
+				removeSlowFields(record)
 				if got, ok = appendFast([]byte("x"), record); !ok {
-					t.Fatalf("%+v is not usual", record)
+					t.Fatalf("%+v has no fast path", record)
 				}
 			}
 			encoded[reflect.TypeOf(record).String()] += len(got)
@@ -65,17 +65,17 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(got[1:], want) {
-				t.Fatalf("%+v is\n%x, want\n%x", record, got[1:], want)
+				t.Fatalf("%+v is encoded as\n%x, want\n%x", record, got[1:], want)
 			}
 		}
 	})
 	if len(encoded) != 3 {
-		t.Errorf("%v", encoded)
+		t.Errorf("encoded bytes by record type: %v, want 3 types", encoded)
 	}
 }
 
-// makeUsual leaves out of a record what only the library encodes.
-func makeUsual(record any) {
+// removeSlowFields clears the fields of a record that only the CBOR library encodes.
+func removeSlowFields(record any) {
 	switch record := record.(type) {
 	case *Turn:
 		for i := range record.Events {
@@ -90,14 +90,14 @@
 	}
 }
 
-// TestFast_FieldCounts: a field that is added to a frequent record must be added to its short way too.
+// TestFast_FieldCounts fails when a record gets a new field, which fast.go must then encode too.
 func TestFast_FieldCounts(t *testing.T) {
 	for _, c := range []struct {
 		record any
 		want   int
 	}{{control.Endpoint{}, 7}, {control.Event{}, 22}, {control.Action{}, 7}, {Turn{}, 4}, {Message{}, 3}, {Input{}, 7}, {CoreEvent{}, 12}, {Arrival{}, 16}} {
 		if n := reflect.TypeOf(c.record).NumField(); n != c.want {
-			t.Errorf("%T has %d fields, fast.go knows %d", c.record, n, c.want)
+			t.Errorf("%T has %d fields, fast.go encodes %d", c.record, n, c.want)
 		}
 	}
 }
--- a/internal/relay/capture/format.go
+++ b/internal/relay/capture/format.go
@@ -5,7 +5,7 @@
 // Major changes when older readers can't read a file, Minor when they can.
 const (
 	Major = 1
-	Minor = 1 // 1: the core's own inputs, TypeCore and TypeInput
+	Minor = 1 // 1 added the core's own state and inputs, TypeCore and TypeInput
 
 	fileMagic  = "MCAP"
 	chunkMagic = "CHNK"
@@ -18,13 +18,13 @@
 	return []byte{fileMagic[0], fileMagic[1], fileMagic[2], fileMagic[3], Major, Minor, 0, 0}
 }
 
-// chunkHeader is the part of a chunk that is of fixed size.
+// chunkHeader is the fixed-size part of a chunk.
 type chunkHeader struct {
 	headSize, bodySize int64 // bytes
 	checksum           uint64
 }
 
-// parseChunkHeader reads the first chunkHead bytes of a chunk; false: none begins here.
+// parseChunkHeader decodes the first chunkHead bytes of a chunk; false: they are not a chunk's.
 func parseChunkHeader(text []byte) (chunkHeader, bool) {
 	header := chunkHeader{
 		headSize: int64(binary.LittleEndian.Uint32(text[4:])),
@@ -34,7 +34,7 @@
 	return header, string(text[:4]) == chunkMagic && header.headSize <= maxChunk && header.bodySize <= maxChunk
 }
 
-// size is how many bytes the whole chunk takes.
+// size returns the size of the whole chunk in bytes.
 func (h *chunkHeader) size() int64 { return chunkHead + h.headSize + h.bodySize }
 
 // putChunkHeader writes the first chunkHead bytes of a chunk.
--- a/internal/relay/capture/helpers_test.go
+++ b/internal/relay/capture/helpers_test.go
@@ -26,7 +26,7 @@
 	return module
 }
 
-// recordTurn steps a module with the next turn of a world, which a recorder is handed as the core does it.
+// recordTurn steps a module with the next turn of a world, and records it with the calls that the core makes.
 func recordTurn(recorder *Recorder, module *control.Sender, world *world, no int) {
 	now, events := world.turn(no)
 	if recorder.WantsState() {
@@ -41,7 +41,7 @@
 	world.apply(actions)
 }
 
-// arrived returns the records of the messages that arrive in a turn.
+// arrived returns a Message record for each message that arrives in a turn.
 func arrived(events []control.Event) (messages []Message) {
 	for _, event := range events {
 		if event.Kind == control.Arrived {
@@ -51,7 +51,7 @@
 	return messages
 }
 
-// recordWorld records a run of a world, from a turn on, and returns the recorder and its folder.
+// recordWorld runs a world and records it from the turn with number from on. It returns the recorder and its folder.
 func recordWorld(t testing.TB, seed uint64, turns int, limits Limits, from int) (dir string, recorder *Recorder) {
 	t.Helper()
 	dir = t.TempDir()
@@ -75,12 +75,12 @@
 	return dir, recorder
 }
 
-// onlyFile returns the text of the one capture that is in a folder.
+// onlyFile returns the content of a folder's single capture.
 func onlyFile(t testing.TB, dir string) []byte {
 	t.Helper()
 	files, err := Files(dir)
 	if err != nil || len(files) != 1 {
-		t.Fatalf("%v, %v", files, err)
+		t.Fatalf("files %v, error %v; want one file", files, err)
 	}
 	text, err := os.ReadFile(files[0])
 	if err != nil {
@@ -89,7 +89,7 @@
 	return text
 }
 
-// openText returns a reader of a capture's text.
+// openText returns a reader of a capture's bytes.
 func openText(t testing.TB, text []byte) *Reader {
 	t.Helper()
 	reader, err := NewReader(bytes.NewReader(text))
@@ -99,7 +99,7 @@
 	return reader
 }
 
-// replayed replays a capture's text.
+// replayed replays a capture's bytes.
 func replayed(text []byte, o Options) (*Result, error) {
 	reader, err := NewReader(bytes.NewReader(text))
 	if err != nil {
--- a/internal/relay/capture/mutant_test.go
+++ b/internal/relay/capture/mutant_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestMutants_Corpus_FindsEach builds the module with its logic altered in small ways; the corpus must tell each from the one that made
-// it, in a turn that it names, and the one unaltered not.
+// TestMutants_Corpus_FindsEach builds mutants of the decision module, each with one small change of its logic. For each mutant at least
+// one capture of the corpus must replay differently, in a turn that the error names; for the unaltered module none may.
 func TestMutants_Corpus_FindsEach(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*" + Ext)
 	for name, mutation := range map[string]struct{ file, old, new string }{
@@ -19,7 +19,7 @@
 		"a comparison": {"outcome.go", "took >= s.lateAge(endpoint)", "took < s.lateAge(endpoint)"},
 		"the decay":    {"latency_table.go", "tableHalfLife = 20 * time.Second", "tableHalfLife = 21 * time.Second"},
 		"a tie-break":  {"selection.go", "cmp.Compare(a.seq, b.seq)", "cmp.Compare(b.seq, a.seq)"},
-		"a time-out": {"selection.go", "timeout = min(timeout, toDuration(s.bounds[stop]))",
+		"a timeout": {"selection.go", "timeout = min(timeout, toDuration(s.bounds[stop]))",
 			"timeout = min(timeout, 2*toDuration(s.bounds[stop]))"},
 		"a price": {"selection.go", "inFlightCostFactor  = 0.5\n", "inFlightCostFactor  = 0.4\n"},
 		"a share": {"slots.go", "maxShareUnhealthy = 0.5\n", "maxShareUnhealthy = 0.25\n"},
@@ -32,13 +32,14 @@
 			}
 			same, differ := strings.Count(string(out), ": <nil>\n"), strings.Count(string(out), ": capture: turn ")
 			if same+differ != len(files) || (differ == 0) != (mutation.old == "") {
-				t.Errorf("%d captures replay, %d differ\n%s", same, differ, out)
+				t.Errorf("%d captures replay the same, %d differ\n%s", same, differ, out)
 			}
 		})
 	}
 }
 
-// buildReplayer builds testdata/replayer with a text of one of the module's files replaced, which must stand there once (or be empty).
+// buildReplayer builds testdata/replayer with one of the module's files changed: before, which must occur once there or be empty, is
+// replaced by after.
 func buildReplayer(t *testing.T, file, before, after string) (program string) {
 	t.Helper()
 	original, err := filepath.Abs(filepath.Join("../../../control", file))
@@ -50,7 +51,7 @@
 		t.Fatal(err)
 	}
 	if strings.Count(string(source), before) != 1 && before != "" {
-		t.Fatalf("%q does not stand in %s once", before, file)
+		t.Fatalf("%q does not occur exactly once in %s", before, file)
 	}
 	dir := t.TempDir()
 	mutant, overlay := filepath.Join(dir, "mutant.go"), filepath.Join(dir, "overlay.json")
--- a/internal/relay/capture/reader.go
+++ b/internal/relay/capture/reader.go
@@ -15,16 +15,16 @@
 	source   io.ReadSeeker
 	decoder  *zstd.Decoder
 	offset   int64
-	replayed int64 // by Each
+	replayed int64 // offset of the chunk whose records Each is passing on
 	size     int64
 	Minor    byte
-	// Torn is why reading ended before the end of the file, a *TornError; nil: it did not.
+	// Torn is a *TornError if reading ended before the end of the file, otherwise nil.
 	Torn error
-	// Skipped counts records of types that this program does not know.
+	// Skipped counts records of unknown types.
 	Skipped int
 }
 
-// NewReader checks the head of a file. It returns ErrNotCapture or ErrVersion for a file that can't be read.
+// NewReader checks the head of a file. It returns ErrNotCapture or ErrVersion for a file in another format or major version.
 func NewReader(source io.ReadSeeker) (*Reader, error) {
 	size, err := source.Seek(0, io.SeekEnd)
 	if err == nil {
@@ -47,14 +47,14 @@
 	return &Reader{source: source, decoder: decoder, offset: fileHead, size: size, Minor: head[5]}, nil
 }
 
-// Chunk is one chunk as it stands in a file.
+// Chunk is one chunk of a file.
 type Chunk struct {
 	Head
-	At   int64 // where it stands in the file
+	At   int64 // offset in the file, in bytes
 	body []byte
 }
 
-// Progress is the share of the file whose records Each has handed on.
+// Progress returns the share of the file, from 0 to 1, whose records Each has passed on.
 func (r *Reader) Progress() float64 { return float64(r.replayed) / float64(max(r.size, 1)) }
 
 // Next returns the next chunk; io.EOF after the last complete one.
@@ -67,7 +67,7 @@
 	}
 	var start [chunkHead]byte
 	if _, err := io.ReadFull(r.source, start[:]); err != nil {
-		return r.torn("the head of a chunk is cut short")
+		return r.torn("the fixed head of a chunk is cut short")
 	}
 	header, ok := parseChunkHeader(start[:])
 	if !ok {
@@ -91,13 +91,13 @@
 	return chunk, nil
 }
 
-// torn ends reading here for good.
+// torn records that the file can't be read past the current offset, and returns io.EOF.
 func (r *Reader) torn(reason string) (*Chunk, error) {
 	r.Torn = &TornError{Offset: r.offset, Size: r.size, Reason: reason}
 	return nil, io.EOF
 }
 
-// Records hands the records of a chunk to do, as pointers to their types, until it returns an error. Its own error is a *ChunkError.
+// Records calls do with each record of a chunk, as a pointer, until do returns an error. Its own error is a *ChunkError.
 func (r *Reader) Records(chunk *Chunk, do func(record any) error) error {
 	text, err := r.decoder.DecodeAll(chunk.body, make([]byte, 0, min(chunk.Size, maxChunk)))
 	if err != nil {
@@ -124,8 +124,7 @@
 	return nil
 }
 
-// Index reads the heads of all complete chunks from here on, and no bodies: where each stands, its times, and the messages
-// that arrive in it. It leaves the reader where it was.
+// Index reads the heads, but not the bodies, of all complete chunks from the current position on. The position stays the same.
 func (r *Reader) Index() ([]Chunk, error) {
 	var index []Chunk
 	for offset := r.offset; offset+chunkHead <= r.size; {
@@ -154,29 +153,29 @@
 	return index, nil
 }
 
-// SeekTo has reading go on at a chunk of the index.
+// SeekTo moves the reader to a chunk of the index.
 func (r *Reader) SeekTo(c *Chunk) { r.offset = c.At }
 
-// decodedChunk is what Each's decoder has made of a chunk: records, and what ended them.
+// decodedChunk holds the decoded records of a chunk, and the error that ended decoding.
 type decodedChunk struct {
 	records []any
 	offset  int64
-	err     error // stands behind the records
+	err     error // what ended decoding after these records; nil: the chunk was complete
 }
 
-// Each hands all records from here on to do, in order, until it returns an error. Chunks are decoded ahead on another
-// goroutine, which has ended when Each returns; where the reader stands then is not said.
+// Each calls do with every record from the current position on, in order, until do returns an error. Chunks are decoded ahead
+// on another goroutine, which has ended when Each returns. The reader's position is then unspecified.
 func (r *Reader) Each(do func(record any) error) error {
 	chunks, stop := make(chan decodedChunk, 4), make(chan struct{})
 	go r.decodeAhead(chunks, stop)
 	defer func() {
 		close(stop)
-		for range chunks { // until it has ended
+		for range chunks { // wait until the decoder has ended
 		}
 	}()
 	for chunk := range chunks {
 		r.replayed = chunk.offset
-		for _, record := range chunk.records { // also those before an error
+		for _, record := range chunk.records { // including those before an error
 			if err := do(record); err != nil {
 				return err
 			}
@@ -189,7 +188,7 @@
 	return nil
 }
 
-// decodeAhead sends all chunks from here on, up to the first error, until stop is closed. It closes chunks when it ends.
+// decodeAhead sends decoded chunks from the current position on, until the first error or until stop is closed. Then it closes chunks.
 func (r *Reader) decodeAhead(chunks chan<- decodedChunk, stop <-chan struct{}) {
 	defer close(chunks)
 	for {
--- a/internal/relay/capture/reader_test.go
+++ b/internal/relay/capture/reader_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// TestReader_TruncatedAtAnyByte_ReadsCompleteChunks: a capture cut off at any byte is read up to its last complete chunk, and what is read replays.
+// TestReader_TruncatedAtAnyByte_ReadsCompleteChunks: a capture cut off at any byte is read and replayed up to its last complete chunk.
 func TestReader_TruncatedAtAnyByte_ReadsCompleteChunks(t *testing.T) {
 	text := smallChunks(t)
 	turns := 0
@@ -24,13 +24,13 @@
 			continue
 		}
 		if result.Turns < turns || (err != nil) != (result.Turns == 0) {
-			t.Fatalf("cut at %d: %d turns, %v", size, result.Turns, err)
+			t.Fatalf("cut at byte %d: %d turns, error %v", size, result.Turns, err)
 		}
 		turns = result.Turns
 	}
 }
 
-// TestReader_AnyByteChanged_ReadsNoFurther: a byte that has changed hides the rest, and no more.
+// TestReader_AnyByteChanged_ReadsNoFurther: a changed byte ends reading at its chunk; earlier chunks are still read.
 func TestReader_AnyByteChanged_ReadsNoFurther(t *testing.T) {
 	text := smallChunks(t)
 	for offset := fileHead; offset < len(text); offset += 7 {
@@ -39,14 +39,14 @@
 		result, _ := replayed(damaged, Options{})
 		var torn *TornError
 		if !errors.As(result.Torn, &torn) || torn.Offset > int64(offset) || torn.Size != int64(len(text)) || result.Turns > smallTurns {
-			t.Fatalf("byte %d: %+v", offset, result)
+			t.Fatalf("byte %d changed: %+v, want reading to end at its chunk", offset, result)
 		}
 	}
 }
 
 const smallTurns = 40
 
-// smallChunks returns a capture of smallTurns turns, in chunks of some kilobyte.
+// smallChunks returns a capture of smallTurns turns, in chunks of about one kilobyte.
 func smallChunks(t *testing.T) []byte {
 	t.Helper()
 	limits := testLimits
@@ -55,17 +55,17 @@
 	return onlyFile(t, dir)
 }
 
-// TestReader_OtherMajorVersion_IsRejected: the error names the version of the file.
+// TestReader_OtherMajorVersion_IsRejected: the error names the file's version.
 func TestReader_OtherMajorVersion_IsRejected(t *testing.T) {
 	dir, _ := recordWorld(t, 4, 50, testLimits, 0)
 	text := onlyFile(t, dir)
 	text[4] = Major + 1
 	if _, err := replayed(text, Options{}); !errors.Is(err, ErrVersion) || !strings.Contains(err.Error(), fmt.Sprint(Major+1)) {
-		t.Errorf("another major version: %v", err)
+		t.Errorf("file of major version %d: error %v, want %v with that version", Major+1, err, ErrVersion)
 	}
 }
 
-// TestReader_LaterMinorVersion_SkipsUnknownRecords: a later minor version is read, but for records of types that are not known yet.
+// TestReader_LaterMinorVersion_SkipsUnknownRecords: a file of a later minor version is read without its records of unknown types.
 func TestReader_LaterMinorVersion_SkipsUnknownRecords(t *testing.T) {
 	dir, _ := recordWorld(t, 4, 50, testLimits, 0)
 	text := onlyFile(t, dir)
@@ -80,11 +80,11 @@
 	}
 	reader := openText(t, file.Bytes())
 	if result, err := Replay(reader, Options{}); err != nil || result.Turns != 50 || reader.Skipped != 1 {
-		t.Errorf("%+v, %v, %d skipped", result, err, reader.Skipped)
+		t.Errorf("%+v, error %v, %d records skipped; want 50 turns and 1 skipped", result, err, reader.Skipped)
 	}
 }
 
-// TestReader_ChunkWithoutRecords_NamesItsPlace: a chunk whose checksum is right and whose body holds no record is an error with its place.
+// TestReader_ChunkWithoutRecords_NamesItsPlace: a chunk with a correct checksum whose body is not a record is an error with its offset.
 func TestReader_ChunkWithoutRecords_NamesItsPlace(t *testing.T) {
 	chunker, err := newChunker()
 	if err != nil {
@@ -97,12 +97,12 @@
 	}
 	var chunkError *ChunkError
 	if _, err := replayed(file.Bytes(), Options{}); !errors.As(err, &chunkError) || chunkError.Offset != fileHead {
-		t.Errorf("%v, want a chunk at byte %d named", err, fileHead)
+		t.Errorf("error %v, want a *ChunkError for the chunk at byte %d", err, fileHead)
 	}
 }
 
-// TestReader_OlderMinorVersion_IsReadComplete: captures by an older minor version are read to their ends, and replay where the module decides as it
-// did then: most of the corpus was written by version 1.0.
+// TestReader_OlderMinorVersion_IsReadComplete: captures of an older minor version are read to their ends and replay without a difference.
+// Most of the corpus is of version 1.0.
 func TestReader_OlderMinorVersion_IsReadComplete(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*" + Ext)
 	older := 0
@@ -116,11 +116,11 @@
 			continue
 		}
 		if _, err := Replay(reader, Options{}); err != nil {
-			t.Errorf("%s, of version %d.%d: %v", file, Major, reader.Minor, err)
+			t.Errorf("%s of version %d.%d: %v", file, Major, reader.Minor, err)
 		}
 		older++
 	}
 	if older == 0 {
-		t.Error("no capture of the corpus is older than this program")
+		t.Error("the corpus has no capture of an older minor version")
 	}
 }
--- a/internal/relay/capture/recorder.go
+++ b/internal/relay/capture/recorder.go
@@ -11,17 +11,17 @@
 	"mastusher/control"
 )
 
-// Limits bounds a capture.
+// Limits holds the limits of a capture.
 type Limits struct {
-	Queue    int           // batches on their way to the writer
-	Chunk    int           // bytes of records, about, that make a batch, and so a chunk
-	Within   time.Duration // after which what there is makes one
-	FileSize int64         // from which on the next file begins
-	DirSize  int64         // of all files together: the oldest go first
+	Queue    int           // batches waiting for the writer
+	Chunk    int           // approximate size of a batch, and so of a chunk, in bytes before compression
+	Within   time.Duration // a batch goes to the writer after this time even if it is smaller
+	FileSize int64         // size in bytes from which the next file begins
+	DirSize  int64         // bytes of all files together: the oldest are removed
 }
 
-// Recorder takes turns from the core's goroutine, which never waits for it, and gathers them in batches. Those are encoded,
-// compressed and written on a goroutine of its own.
+// Recorder collects turns from the core's goroutine in batches. The core never waits: the writer's goroutine encodes,
+// compresses and writes the batches.
 type Recorder struct {
 	dir    string
 	begin  Begin
@@ -30,31 +30,31 @@
 
 	batches chan *batch // to the writer
 	mu      sync.Mutex
-	free    []*batch // the one used last comes first: as long as the writer keeps up two are all that grow
+	free    []*batch // last in, first out: while the writer keeps up, only two batches are ever used and grow
 	done    chan struct{}
 	create  func(name string) (file, error)
 
-	// Of the core's goroutine:
-	current   *batch // nil: none was free
+	// Only the core's goroutine uses these fields, but the writer sets wantsFile:
+	current   *batch // the batch being filled; nil: none
 	turn      uint64
-	lostInGap uint64 // turns since the last that was taken
-	hasGap    bool   // something was
-	hasState  bool   // a state has been taken, and nothing has been lost since
+	lostInGap uint64 // turns lost since the last recorded one
+	hasGap    bool   // records have been lost since then
+	hasState  bool   // a state has been recorded, and no record lost since
 	gapReason string
-	wantsFile atomic.Bool // the writer has a file that is long enough: a state is to come, and another begins with it
+	wantsFile atomic.Bool // the file is full: the next turn comes with a state, which begins another file
 
-	Lost  atomic.Uint64 // turns that are in no file
-	Bytes atomic.Int64  // that were written
+	Lost  atomic.Uint64 // turns that were not recorded
+	Bytes atomic.Int64  // bytes written
 	err   atomic.Pointer[error]
 	once  sync.Once
 }
 
-// New begins a capture in a folder, with a new file.
+// New starts a capture with a new file in a folder.
 func New(dir string, begin Begin, limits Limits, log *slog.Logger) (*Recorder, error) {
 	return open(dir, begin, limits, log, create)
 }
 
-// open is New with another way to create files.
+// open is New with a given function to create files.
 func open(dir string, begin Begin, limits Limits, log *slog.Logger, create func(string) (file, error)) (*Recorder, error) {
 	recorder, writer, err := build(dir, begin, limits, log, create)
 	if err == nil {
@@ -63,7 +63,7 @@
 	return recorder, err
 }
 
-// build makes a recorder whose writer does not run yet.
+// build makes a recorder and its writer without starting the writer's goroutine.
 func build(dir string, begin Begin, limits Limits, log *slog.Logger, create func(string) (file, error)) (*Recorder, *writer, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, fmt.Errorf("capture: %w", err)
@@ -77,12 +77,11 @@
 	return r, w, err
 }
 
-// WantsState tells whether the next turn is to come with the module's state before it, since a file begins there or
-// turns have been lost.
+// WantsState reports whether State has to be called before the next turn, because a new file begins or turns have been lost.
 func (r *Recorder) WantsState() bool { return !r.hasState || r.wantsFile.Load() }
 
-// State is handed the module's state, the core's (nil: it is not recorded), the names of destinations and the ids of
-// messages, right before a turn.
+// State records the state of the module, that of the core (nil: not recorded), the names of destinations and the ids of
+// messages. It is called immediately before a turn.
 func (r *Recorder) State(snapshot *control.Snapshot, core *Core, names []Name, messages []Message) {
 	if r.Err() != nil {
 		return
@@ -90,8 +89,8 @@
 	if r.current != nil && len(r.current.order) > 0 {
 		r.send()
 	}
-	if r.current == nil && !r.takeFree() {
-		return // behind as it is
+	if r.current == nil && !r.acquireBatch() {
+		return // the writer is behind; WantsState stays true
 	}
 	r.current.beginsFile = r.wantsFile.Swap(false)
 	r.hasState = true
@@ -108,10 +107,10 @@
 	r.current.state(snapshot, core)
 }
 
-// Turn is handed each turn of the module. Nothing of events and actions is kept.
+// Turn records a turn of the module. It copies events and actions.
 func (r *Recorder) Turn(now time.Duration, events []control.Event, actions []control.Action) {
 	r.turn++
-	if r.canTake() {
+	if r.canRecord() {
 		r.current.turn(r.turn, now, events, actions)
 	} else {
 		r.lostInGap++
@@ -119,43 +118,43 @@
 	}
 }
 
-// Turns is the number of the module's last turn.
+// Turns returns the number of the module's last turn.
 func (r *Recorder) Turns() uint64 { return r.turn }
 
-// Input is handed each turn of the core, behind the module's. Nothing of it is kept but texts and lists in its events.
+// Input records a turn of the core, after the module's turn. It keeps the texts and lists in the events, and copies the rest.
 func (r *Recorder) Input(in *Input) {
-	if r.canTake() {
+	if r.canRecord() {
 		r.current.input(in)
 	}
 }
 
-// Name is handed each destination that becomes known.
+// Name records the name of a new destination.
 func (r *Recorder) Name(n Name) {
-	if r.canTake() {
+	if r.canRecord() {
 		r.current.name(n)
 	}
 }
 
-// Message is handed each message that is taken up.
+// Message records the id of a new message.
 func (r *Recorder) Message(m Message) {
-	if r.canTake() {
+	if r.canRecord() {
 		r.current.message(m)
 	}
 }
 
-// Note is handed what happens to the relay itself.
+// Note records an event of the relay itself.
 func (r *Recorder) Note(n Note) {
-	if r.canTake() {
+	if r.canRecord() {
 		r.current.note(n)
 	}
 }
 
-// canTake tells whether a record can be taken. What can't leaves a gap: a replay could not go on past it.
-func (r *Recorder) canTake() bool {
+// canRecord reports whether a record can be added. If not, there is a gap until the next state, which a replay can't pass.
+func (r *Recorder) canRecord() bool {
 	if !r.hasState || r.Err() != nil {
 		return false
 	}
-	if r.current == nil && !r.takeFree() {
+	if r.current == nil && !r.acquireBatch() {
 		r.hasState, r.gapReason = false, "the writer could not keep up"
 		r.hasGap = true
 		return false
@@ -163,7 +162,7 @@
 	return true
 }
 
-// Tick ends a turn: what has stood long enough, or is long enough, goes to the writer.
+// Tick ends a turn: it passes the batch to the writer if the batch is large enough or old enough.
 func (r *Recorder) Tick(now time.Time) {
 	if r.current == nil || len(r.current.order) == 0 {
 		return
@@ -176,8 +175,8 @@
 	}
 }
 
-// takeFree finds a batch to fill.
-func (r *Recorder) takeFree() bool {
+// acquireBatch sets current to a free batch; false: none is free.
+func (r *Recorder) acquireBatch() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	last := len(r.free) - 1
@@ -188,28 +187,28 @@
 	return true
 }
 
-// giveBack takes an empty batch.
-func (r *Recorder) giveBack(b *batch) {
+// releaseBatch empties a batch and adds it to the free ones.
+func (r *Recorder) releaseBatch(b *batch) {
 	b.reset()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.free = append(r.free, b)
 }
 
-// send gives the batch to the writer: there are no more than it has room for.
+// send passes the current batch to the writer. It never blocks: the channel has room for all batches.
 func (r *Recorder) send() {
 	r.batches <- r.current
 	r.current = nil
 }
 
-// fail ends the capture at an error: what stands in the file can be read.
+// fail ends the capture after an error: what has been written stays readable.
 func (r *Recorder) fail(err error) {
 	if r.err.CompareAndSwap(nil, &err) {
 		r.log.Error("capture failed, recording no more", "err", err)
 	}
 }
 
-// Err is why nothing is written any more; nil: all is well.
+// Err returns the error that ended the capture; nil: none.
 func (r *Recorder) Err() error {
 	if e := r.err.Load(); e != nil {
 		return *e
@@ -217,7 +216,7 @@
 	return nil
 }
 
-// Close ends the capture; what was handed over is written. It must not be called beside the others.
+// Close writes all records so far and ends the capture. It must not be called concurrently with other methods.
 func (r *Recorder) Close() {
 	r.once.Do(func() {
 		if r.current != nil {
--- a/internal/relay/capture/recorder_test.go
+++ b/internal/relay/capture/recorder_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestRecorder_SlowWriter_LosesTurnsAndNeverBlocks: a writer that can't keep up loses turns and never makes the core wait; a replay stops there, and goes on at
-// the next state if it is told to.
+// TestRecorder_SlowWriter_LosesTurnsAndNeverBlocks: with a writer that can't keep up turns are lost, and the core never waits. A replay
+// stops at the gap, or continues at the next state with Options.PastGap.
 func TestRecorder_SlowWriter_LosesTurnsAndNeverBlocks(t *testing.T) {
 	limits := testLimits
 	limits.Queue, limits.Chunk = 3, 1<<10
@@ -18,7 +18,7 @@
 	}
 	module, world := newModule(t, 5), newWorld(3)
 	for no := range 300 {
-		if no < 100 || no >= 200 { // in between the writer hangs
+		if no < 100 || no >= 200 { // from 100 to 199 the writer hangs
 			writeBatches(t, recorder, writer)
 		}
 		recordTurn(recorder, module, world, no)
@@ -29,17 +29,17 @@
 	text := onlyFile(t, recorder.dir)
 	lost := int(recorder.Lost.Load())
 	if lost < 30 || lost > 100 {
-		t.Errorf("%d turns lost", lost)
+		t.Errorf("%d turns lost, want 30 to 100", lost)
 	}
 	if result, err := replayed(text, Options{}); !errors.Is(err, ErrGap) || result.Turns < 100 {
-		t.Errorf("%d turns, then %v; want the gap", result.Turns, err)
+		t.Errorf("%d turns, then error %v; want at least 100 and %v", result.Turns, err, ErrGap)
 	}
 	if result, err := replayed(text, Options{PastGap: true}); err != nil || result.Turns != 300-lost || result.Gaps != 1 {
-		t.Errorf("%+v, %v; want 300 less %d turns", result, err, lost)
+		t.Errorf("%+v, error %v; want 300 turns less %d, and one gap", result, err, lost)
 	}
 }
 
-// writeBatches writes all batches that are on their way, in the place of the writer's goroutine.
+// writeBatches writes all waiting batches, in place of the writer's goroutine.
 func writeBatches(t *testing.T, recorder *Recorder, writer *writer) {
 	t.Helper()
 	for len(recorder.batches) > 0 {
@@ -47,13 +47,13 @@
 		if err := writer.writeBatch(batch); err != nil {
 			t.Fatal(err)
 		}
-		recorder.giveBack(batch)
+		recorder.releaseBatch(batch)
 	}
 }
 
-// TestRecorder_DirSize_OldestFilesGoFirst: files follow one another, each stands for itself, and the oldest go first.
+// TestRecorder_DirSize_OldestFilesGoFirst: a capture goes on in new files, each of which replays by itself, and the oldest are removed.
 func TestRecorder_DirSize_OldestFilesGoFirst(t *testing.T) {
-	for name, size := range map[string]int64{"several chunks a file": 16 << 10, "files over their size with their first state": 1 << 10} {
+	for name, size := range map[string]int64{"several chunks a file": 16 << 10, "the first state exceeds the file size": 1 << 10} {
 		t.Run(name, func(t *testing.T) {
 			limits := testLimits
 			limits.FileSize, limits.DirSize = size, 80<<10
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestRecorder_FullDisk_EndsCleanly: when nothing can be written any more the capture ends cleanly, and whoever hands in turns goes on.
+// TestRecorder_FullDisk_EndsCleanly: on a full disk the capture ends with a readable file, and the core can go on calling the recorder.
 func TestRecorder_FullDisk_EndsCleanly(t *testing.T) {
 	dir := t.TempDir()
 	disk := &fullDisk{left: 20 << 10}
@@ -95,11 +95,11 @@
 		t.Error("no error is reported for a full disk")
 	}
 	if result, err := replayed(onlyFile(t, dir), Options{}); err != nil || result.Turns == 0 || result.Torn != nil {
-		t.Errorf("what was written before: %+v, %v", result, err)
+		t.Errorf("replay of what was written before the disk was full: %+v, error %v", result, err)
 	}
 }
 
-// fullDisk takes so many bytes, and of the write that is too much a part.
+// fullDisk accepts left bytes, and of the write that exceeds them the part that fits.
 type fullDisk struct{ left int }
 
 type fullFile struct {
--- a/internal/relay/capture/records.go
+++ b/internal/relay/capture/records.go
@@ -8,7 +8,7 @@
 	"mastusher/control"
 )
 
-// Type is a record's type. Numbers are never given to another type.
+// Type is the type of a record. Its numbers are stored in files and never reused.
 type Type uint8
 
 // The types of records.
@@ -23,12 +23,12 @@
 	TypeCore    Type = 8
 	TypeInput   Type = 9
 
-	maxType = 24 // types stay below: each is one byte of CBOR
-	// recordStart is the first byte of a record: a CBOR array of two, type and record.
+	maxType = 24 // all types are below this, so that each is one byte of CBOR
+	// recordStart is the first byte of a record: the head of a CBOR array of two, type and content.
 	recordStart = 0x82
 )
 
-// newRecord returns a record of a type, to be decoded into; false: the type is not known here, and the record only takes up its bytes.
+// newRecord returns an empty record of a type, to decode into; false: the type is unknown, and the record takes the raw bytes.
 func newRecord(t Type) (record any, known bool) {
 	switch t {
 	case TypeBegin:
@@ -53,7 +53,7 @@
 	return &cbor.RawMessage{}, false
 }
 
-// typeOf is the type of a record, given as a pointer.
+// typeOf returns the type of a record, which is passed as a pointer; false: it is not a record.
 func typeOf(record any) (Type, bool) {
 	switch record.(type) {
 	case *Begin:
@@ -78,24 +78,24 @@
 	return 0, false
 }
 
-// Begin is a file's first record: what is needed to make sense of it.
+// Begin is the first record of a file: the relay, its settings and its clock.
 type Begin struct {
 	Relay    string           `cbor:"1,keyasint"`
-	At       int64            `cbor:"2,keyasint"` // Unix µs when the module's clock stood at Clock
+	At       int64            `cbor:"2,keyasint"` // Unix time in µs at which the module's clock showed Clock
 	Clock    time.Duration    `cbor:"3,keyasint"`
 	Seed     uint64           `cbor:"4,keyasint"`
-	Build    string           `cbor:"5,keyasint"` // of the program that decided
+	Build    string           `cbor:"5,keyasint"` // of the program that recorded
 	Settings control.Settings `cbor:"6,keyasint"`
 	Classes  []string         `cbor:"7,keyasint,omitempty"`
 	Core     *CoreSettings    `cbor:"8,keyasint,omitempty"` // nil: only the module is recorded
 }
 
-// State is the module's whole state before the turn that follows, or the start, where Snapshot is nil.
+// State is the module's whole state before the next turn. A nil Snapshot stands for the state of a new module.
 type State struct {
 	Snapshot *control.Snapshot `cbor:"1,keyasint,omitempty"`
 }
 
-// Turn is one Step of the module: what the module was told and what it decided.
+// Turn is one Step of the module: its events and its actions.
 type Turn struct {
 	No      uint64           `cbor:"1,keyasint"`
 	Now     time.Duration    `cbor:"2,keyasint"`
@@ -103,27 +103,27 @@
 	Actions []control.Action `cbor:"4,keyasint,omitempty"`
 }
 
-// Name gives the module's number of a destination its name.
+// Name maps the module's number of a destination to its name.
 type Name struct {
 	Number uint32 `cbor:"1,keyasint"`
 	Front  string `cbor:"2,keyasint"`
 	Name   string `cbor:"3,keyasint"`
 }
 
-// Message gives the module's number of a message its id.
+// Message maps the module's number of a message to its id.
 type Message struct {
 	Ref   uint64 `cbor:"1,keyasint"`
 	Front string `cbor:"2,keyasint"`
 	ID    string `cbor:"3,keyasint"`
 }
 
-// Gap stands where turns are missing.
+// Gap marks a place where turns are missing.
 type Gap struct {
 	Turns  uint64 `cbor:"1,keyasint"`
 	Reason string `cbor:"2,keyasint"`
 }
 
-// Note is what happened to the relay itself.
+// Note is an event of the relay itself, in words.
 type Note struct {
 	Now  time.Duration `cbor:"1,keyasint"`
 	Text string        `cbor:"2,keyasint"`
--- a/internal/relay/capture/replay.go
+++ b/internal/relay/capture/replay.go
@@ -9,38 +9,39 @@
 	"mastusher/control"
 )
 
-// Options is how to replay.
+// Options holds the options of a replay.
 type Options struct {
-	Until   time.Duration // on the module's clock; 0: to the end
-	PastGap bool          // go on at the state behind a gap
-	// Settings, if not nil, takes the place of the capture's: then differences are counted and do not end the replay.
+	Until   time.Duration // time at which the replay ends, on the module's clock; 0: at the end of the file
+	PastGap bool          // continue after a gap, at the next state
+	// Settings, if not nil, replaces the capture's settings. Then differences are counted and do not end the replay.
 	Settings *control.Settings
-	// Core, if not nil, is handed each record: see engine.CoreReplay. Where the capture is of a whole core, the module that it
-	// drives is the one that is compared, and none is replayed beside it. Its error ends the replay.
+	// Core, if not nil, is called with each record; see engine.CoreReplay. If the capture is of a whole core, only the module
+	// inside that core is compared with the recording, and Replay runs none of its own. An error of Core ends the replay.
 	Core func(record any) error
-	// Progress, if not nil, is told the share of the file that has been replayed.
+	// Progress, if not nil, is called with the share of the file, from 0 to 1, that has been replayed.
 	Progress func(share float64)
 }
 
-// Result is what a replay has shown.
+// Result is the result of a replay.
 type Result struct {
 	Begin    Begin
 	Turns    int
 	Events   int
 	Actions  int
-	Differ   int // turns, under other settings
+	Differ   int // turns that differ, counted under other settings
 	Gaps     int
-	First    time.Duration
-	Last     time.Duration
+	First    time.Duration // time of the first turn, on the module's clock
+	Last     time.Duration // time of the last turn
 	Names    map[uint32]Name
 	Messages map[uint64]Message
 	Notes    []Note
-	Outcomes map[string]int // by what became of messages
-	Torn     error
+	Outcomes map[string]int // number of messages, by what became of them
+	Torn     error          // see Reader.Torn
 }
 
-// Replay feeds a capture's events to a module and compares what it decides. It returns a *DifferenceError at the first turn
-// that differs, ErrGap where turns are missing, ErrNoTurn where there is none, and otherwise nil at the end of what can be read.
+// Replay passes a capture's events to a module and compares its actions with the recorded ones. It returns a *DifferenceError
+// at the first turn that differs, ErrGap where turns are missing, ErrNoTurn for a capture without turns, and otherwise nil at
+// the end of the readable part.
 func Replay(r *Reader, o Options) (*Result, error) {
 	p := newPlayer()
 	p.options = o
@@ -63,7 +64,7 @@
 	return p.result, err
 }
 
-// player replays records one by one: it drives a module with the events of each turn, and compares what that decides.
+// player replays records one by one: it steps a module with the events of each turn and compares the module's actions.
 type player struct {
 	options Options
 	result  *Result
@@ -71,14 +72,14 @@
 	actions []control.Action
 	inGap   bool
 
-	before, after func(t *Turn) // a turn is played, if they are not nil
+	before, after func(t *Turn) // if not nil, called before and after each turn
 }
 
 func newPlayer() *player {
 	return &player{result: &Result{Names: map[uint32]Name{}, Messages: map[uint64]Message{}, Outcomes: map[string]int{}}}
 }
 
-// record takes the next record of a capture.
+// record replays the next record of a capture.
 func (p *player) record(record any) error {
 	switch record := record.(type) {
 	case *Begin:
@@ -92,7 +93,7 @@
 	case *Gap:
 		p.result.Gaps++
 		if p.inGap = true; !p.options.PastGap {
-			return fmt.Errorf("%w: %d after turn %d (%s)", ErrGap, record.Turns, p.result.Turns, record.Reason)
+			return fmt.Errorf("%w: %d after %d replayed turns (%s)", ErrGap, record.Turns, p.result.Turns, record.Reason)
 		}
 	case *State:
 		return p.restore(record)
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// restore begins with a recorded state. Under other settings the module goes on with what it has made of the past instead.
+// restore sets the module to a recorded state. Under other settings the module keeps its own state instead, except after a gap.
 func (p *player) restore(state *State) (err error) {
 	if p.module != nil && p.options.Settings != nil && !p.inGap {
 		return nil
@@ -120,7 +121,7 @@
 	return err
 }
 
-// turn has the module decide a recorded turn. It returns a *DifferenceError where it decides otherwise, unless differences are only counted.
+// turn steps the module with a recorded turn. It returns a *DifferenceError if the actions differ, unless differences are only counted.
 func (p *player) turn(t *Turn) error {
 	if p.module == nil || p.inGap {
 		return nil
@@ -131,8 +132,8 @@
 	if p.before != nil {
 		p.before(t)
 	}
-	driven := p.options.Core != nil && p.result.Begin.Core != nil
-	if driven {
+	replayedByCore := p.options.Core != nil && p.result.Begin.Core != nil
+	if replayedByCore {
 		p.actions = append(p.actions[:0], t.Actions...)
 	} else {
 		p.actions = p.module.Step(t.Now, t.Events, p.actions[:0])
@@ -148,7 +149,7 @@
 	if p.after != nil {
 		p.after(t)
 	}
-	if driven || slices.Equal(t.Actions, p.actions) {
+	if replayedByCore || slices.Equal(t.Actions, p.actions) {
 		return nil
 	}
 	if p.options.Settings != nil {
@@ -158,7 +159,7 @@
 	return &DifferenceError{Turn: t, Got: slices.Clone(p.actions), State: Explain(p.module.Snapshot(), p.result, Concerned(t, p.actions))}
 }
 
-// count notes how messages end in the replay: what the destinations answered stands as recorded.
+// count counts what becomes of messages in the replay, where the destinations' answers are those recorded.
 func (p *player) count(t *Turn) {
 	for _, e := range t.Events {
 		switch {
--- a/internal/relay/capture/replay_test.go
+++ b/internal/relay/capture/replay_test.go
@@ -14,8 +14,8 @@
 	"mastusher/control"
 )
 
-// TestSnapshot_RestoredAtAnyTurn_DecidesTheSame: a sender restored at any turn, from the bytes of a snapshot, decides as the one that went on, for the
-// rest of the run.
+// TestSnapshot_RestoredAtAnyTurn_DecidesTheSame: a module restored from an encoded snapshot at any turn decides the same as the original
+// module for the rest of the run.
 func TestSnapshot_RestoredAtAnyTurn_DecidesTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		world := newWorld(rapid.Uint64().Draw(t, "seed"))
@@ -34,18 +34,18 @@
 			actions := module.Step(now, events, nil)
 			if restored != nil {
 				if d := cmp.Diff(actions, restored.Step(now, events, nil)); d != "" {
-					t.Fatalf("turn %d, restored at %d (-went on +restored)\n%s", no, restoredAt, d)
+					t.Fatalf("turn %d, restored at turn %d (-original +restored)\n%s", no, restoredAt, d)
 				}
 			}
 			world.apply(actions)
 		}
 		if d := cmp.Diff(module.Snapshot(), restored.Snapshot()); d != "" {
-			t.Fatalf("the states differ in the end: %s", d)
+			t.Fatalf("the final states differ (-original +restored)\n%s", d)
 		}
 	})
 }
 
-// restoreFromBytes returns a module made of the encoded snapshot of another.
+// restoreFromBytes returns a module restored from another one's encoded snapshot.
 func restoreFromBytes(t *rapid.T, module *control.Sender) *control.Sender {
 	text, err := cbor.Marshal(module.Snapshot())
 	if err != nil {
@@ -62,7 +62,7 @@
 	return restored
 }
 
-// TestReplay_TenTimes_DecidesTheSame: a capture of a troubled run, from its start or from its middle, replays the same ten times.
+// TestReplay_TenTimes_DecidesTheSame: a capture of a run with faults, from its start or its middle, replays ten times without a difference.
 func TestReplay_TenTimes_DecidesTheSame(t *testing.T) {
 	for _, from := range []int{0, 700} {
 		dir, _ := recordWorld(t, 3, 1500, testLimits, from)
@@ -70,24 +70,24 @@
 		for range 10 {
 			result, err := replayed(text, Options{})
 			if err != nil || result.Turns != 1500-from || result.Torn != nil {
-				t.Fatalf("%+v, %v", result, err)
+				t.Fatalf("recorded from turn %d: %+v, error %v", from, result, err)
 			}
 		}
 	}
 }
 
-// TestReplay_AlteredRecord_IsFoundAndExplained: what was recorded otherwise is found in its turn, and explained.
+// TestReplay_AlteredRecord_IsFoundAndExplained: a replay finds the turn with an altered recorded action and explains the difference.
 func TestReplay_AlteredRecord_IsFoundAndExplained(t *testing.T) {
 	dir, _ := recordWorld(t, 3, 400, testLimits, 0)
 	altered, want := alterTurnAfter(t, onlyFile(t, dir), 200)
 	_, err := replayed(altered, Options{})
 	var difference *DifferenceError
 	if !errors.As(err, &difference) || difference.Turn.No != want || len(difference.State) < 2 {
-		t.Errorf("%v, want a difference in turn %d that is explained: %+v", err, want, difference)
+		t.Errorf("error %v, want an explained difference in turn %d; got %+v", err, want, difference)
 	}
 }
 
-// alterTurnAfter returns a capture in which the first call after a turn has another time-out, and the number of the turn that it is in.
+// alterTurnAfter returns a capture with the timeout of the first call after a turn altered, and the number of that call's turn.
 func alterTurnAfter(t *testing.T, text []byte, after uint64) (altered []byte, no uint64) {
 	t.Helper()
 	chunker, err := newChunker()
@@ -112,22 +112,22 @@
 	return file.Bytes(), no
 }
 
-// TestReplay_OtherSettings_CountsDifferences: under other settings differences are counted, and do not end the replay.
+// TestReplay_OtherSettings_CountsDifferences: under other settings differences are counted and do not end the replay.
 func TestReplay_OtherSettings_CountsDifferences(t *testing.T) {
 	dir, _ := recordWorld(t, 6, 600, testLimits, 0)
 	fewer := settings()
 	fewer.Slots = 2
 	res, err := replayed(onlyFile(t, dir), Options{Settings: &fewer})
 	if err != nil || res.Differ == 0 || res.Turns != 600 {
-		t.Errorf("%+v, %v", res, err)
+		t.Errorf("%+v, error %v; want 600 turns and some that differ", res, err)
 	}
 }
 
-// TestReplay_Corpus_DecidesTheSame replays the captures of past faults: each is a decision that must stay as it is, or be changed knowingly.
+// TestReplay_Corpus_DecidesTheSame replays captures of past faults: the module's decisions in them must change only on purpose.
 func TestReplay_Corpus_DecidesTheSame(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*" + Ext)
 	if len(files) == 0 {
-		t.Fatal("the corpus is not there")
+		t.Fatal("testdata has no captures")
 	}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
@@ -140,7 +140,7 @@
 	}
 }
 
-// TestReplay_NoTurn_IsSaid: a capture that ends before its first turn is told from one that replays.
+// TestReplay_NoTurn_IsSaid: the replay of a capture that ends before its first turn returns ErrNoTurn.
 func TestReplay_NoTurn_IsSaid(t *testing.T) {
 	chunker, err := newChunker()
 	if err != nil {
@@ -151,6 +151,6 @@
 		t.Fatal(err)
 	}
 	if _, err := replayed(file.Bytes(), Options{}); !errors.Is(err, ErrNoTurn) {
-		t.Errorf("%v, want %v", err, ErrNoTurn)
+		t.Errorf("error %v, want %v", err, ErrNoTurn)
 	}
 }
--- a/internal/relay/capture/ring.go
+++ b/internal/relay/capture/ring.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// file is what a writer needs of one.
+// file is the part of *os.File that a writer uses.
 type file interface {
 	io.Writer
 	io.Closer
@@ -20,17 +20,17 @@
 	return os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 }
 
-// Ext ends the names of captures.
+// Ext is the file name extension of captures.
 const Ext = ".mcap"
 
-// writer is the goroutine that writes.
+// writer encodes and writes batches on its own goroutine, run.
 type writer struct {
 	recorder *Recorder
 	packer   *packer
 	block    block
 	file     file
-	number   int
-	size     int64
+	number   int   // of the current file, in its name
+	size     int64 // of the current file, in bytes
 }
 
 func newWriter(r *Recorder) (*writer, error) {
@@ -50,14 +50,14 @@
 	return w, w.nextFile()
 }
 
-// Files are the captures in a folder, the oldest first.
+// Files returns the captures in a folder, oldest first.
 func Files(dir string) ([]string, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "capture-*"+Ext))
 	slices.Sort(files)
 	return files, err
 }
 
-// nextFile begins another file.
+// nextFile closes the current file and starts the next.
 func (w *writer) nextFile() error {
 	if w.file != nil {
 		_ = w.file.Close()
@@ -78,7 +78,7 @@
 	return w.writeChunk()
 }
 
-// writeChunk writes what has been gathered.
+// writeChunk writes the records in the block as a chunk.
 func (w *writer) writeChunk() error {
 	text, err := w.packer.pack(&w.block)
 	if err == nil && text != nil {
@@ -88,7 +88,7 @@
 	return err
 }
 
-// removeOldest removes the oldest files until there is room for what the newest still lacks of its size.
+// removeOldest removes the oldest files until the newest can grow to FileSize within DirSize.
 func (w *writer) removeOldest() {
 	files, _ := Files(w.recorder.dir)
 	total := max(w.recorder.limits.FileSize-w.size, 0)
@@ -107,7 +107,7 @@
 	n, err := w.file.Write(b)
 	w.size += int64(n)
 	w.recorder.Bytes.Add(int64(n))
-	if err != nil { // what was written of it would hide all that follows
+	if err != nil { // a partial chunk would make all that follows unreadable
 		_ = w.file.Truncate(w.size - int64(n))
 		return fmt.Errorf("capture: %w", err)
 	}
@@ -118,11 +118,11 @@
 	defer close(w.recorder.done)
 	for b := range w.recorder.batches {
 		if w.recorder.Err() == nil {
-			if err := w.writeBatch(b); err != nil { // a disk that is full ends the capture and nothing else
+			if err := w.writeBatch(b); err != nil { // a full disk ends the capture, but the relay goes on
 				w.recorder.fail(err)
 			}
 		}
-		w.recorder.giveBack(b)
+		w.recorder.releaseBatch(b)
 	}
 	_ = w.file.Close()
 }
@@ -138,8 +138,8 @@
 	}
 	err := w.writeChunk()
 	if w.size >= w.recorder.limits.FileSize {
-		w.removeOldest()                 // it grows until the core is asked and brings the next
-		w.recorder.wantsFile.Store(true) // the core brings the state for the next file
+		w.removeOldest()                 // the file grows beyond FileSize until the next one begins
+		w.recorder.wantsFile.Store(true) // asks the core for the state with which the next file begins
 	}
 	return err
 }
--- a/internal/relay/capture/stored_format_test.go
+++ b/internal/relay/capture/stored_format_test.go
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// storedKey is what a field is called in a file: what its tag says, or its Go name.
+// storedKey returns a field's key in a file: the one in its tag, or its Go name.
 func storedKey(f reflect.StructField) string {
 	if key, _, _ := strings.Cut(f.Tag.Get("cbor"), ","); key != "" {
 		return key
@@ -20,12 +20,12 @@
 	return f.Name
 }
 
-// fillStored sets every field that is stored to a value that follows from its place in the file alone, none of them zero.
+// fillStored sets every stored field to a value, never zero, that depends only on the field's place in the file.
 func fillStored(t *testing.T, value reflect.Value, place string) {
 	t.Helper()
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(place))
-	drawn := hash.Sum64()
+	number := hash.Sum64()
 	switch value.Kind() {
 	case reflect.Struct:
 		for i := range value.NumField() {
@@ -52,22 +52,22 @@
 		value.Set(reflect.New(value.Type().Elem()))
 		fillStored(t, value.Elem(), place)
 	case reflect.String:
-		value.SetString(fmt.Sprintf("%x", drawn))
+		value.SetString(fmt.Sprintf("%x", number))
 	case reflect.Bool:
 		value.SetBool(true)
 	case reflect.Float32, reflect.Float64:
-		value.SetFloat(float64(drawn%1_000_000+1) / 8)
+		value.SetFloat(float64(number%1_000_000+1) / 8)
 	case reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64, reflect.Uint:
-		value.SetUint(drawn%(1<<min(value.Type().Bits(), 40)-1) + 1)
+		value.SetUint(number%(1<<min(value.Type().Bits(), 40)-1) + 1)
 	case reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64, reflect.Int:
-		value.SetInt(int64(drawn%(1<<min(value.Type().Bits()-1, 40)-1) + 1))
+		value.SetInt(int64(number%(1<<min(value.Type().Bits()-1, 40)-1) + 1))
 	default:
-		t.Fatalf("%s: a %v can't be filled", place, value.Type())
+		t.Fatalf("%s: fillStored does not support type %v", place, value.Type())
 	}
 }
 
-// storedRecords are the records of testdata/stored/every-record.mcap: one of each type, and a turn and an input of the kinds that
-// are left to the library.
+// storedRecords returns the records of testdata/stored/every-record.mcap: one of each type, but two turns and two inputs, one encoded by
+// the CBOR library and one by the fast path.
 func storedRecords(t *testing.T) (all []any) {
 	t.Helper()
 	add := func(record any, name string) {
@@ -97,7 +97,7 @@
 	return all
 }
 
-// writeStored writes a file of records in one chunk, and returns it with the chunk's records as they are before they are compressed.
+// writeStored returns a file with the records in one chunk, and the chunk's body before compression.
 func writeStored(t *testing.T, records []any) (file, body []byte) {
 	t.Helper()
 	c, err := newChunker()
@@ -121,8 +121,8 @@
 	return w.Bytes(), body
 }
 
-// TestStoredFormat_ReadsFilesOfEarlierVersions: a capture that an earlier version wrote, with every field of every record, is read
-// with each value in place; and the same records are still written as the same bytes.
+// TestStoredFormat_ReadsFilesOfEarlierVersions: every field of every record in a capture written by an earlier version is read correctly,
+// and the same records are still encoded to the same bytes.
 func TestStoredFormat_ReadsFilesOfEarlierVersions(t *testing.T) {
 	stored, err := os.ReadFile("testdata/stored/every-record.mcap")
 	if err != nil {
@@ -140,7 +140,7 @@
 	turn, usual, message := want[5].(*Turn), want[8].(*Input), want[4].(*Message)
 	head := Head{First: turn.Now, Last: usual.Now, Turn: turn.No, Turns: 2, State: true, Size: c.Size, Messages: []uint32{idHash(message.ID)}}
 	if d := cmp.Diff(head, c.Head); d != "" {
-		t.Errorf("the chunk's head (-want +got)\n%s", d)
+		t.Errorf("chunk head (-want +got)\n%s", d)
 	}
 	var got []any
 	if err = r.Records(c, func(record any) error { got = append(got, record); return nil }); err != nil {
@@ -154,6 +154,6 @@
 		t.Fatal(err)
 	}
 	if _, written := writeStored(t, want); !bytes.Equal(written, body) {
-		t.Errorf("the same records are written as other bytes:\n%x\nwant\n%x", written, body)
+		t.Errorf("the records are encoded as\n%x\nwant\n%x", written, body)
 	}
 }
--- a/internal/relay/capture/trace.go
+++ b/internal/relay/capture/trace.go
@@ -10,19 +10,19 @@
 	"mastusher/control"
 )
 
-// Trace tells a message's way through a capture, attempt by attempt. It replays from the last state before the message
-// comes, and no further than it must: the index says where that is. Its error is ErrNoMessage where the capture knows nothing of it.
+// Trace returns what happened to a message, one line for each event and action. It uses the index to replay only from the last
+// state before the message arrives to the message's end. Its error is ErrNoMessage if the capture has no message with that id.
 func Trace(r *Reader, id string) ([]string, error) {
 	t := &messageTracer{player: newPlayer(), id: id, openRefs: map[uint64]bool{}}
-	last, Trace := r.seekMessage(id, t)
-	if Trace != nil {
-		return nil, Trace
+	last, seekErr := r.seekMessage(id, t)
+	if seekErr != nil {
+		return nil, seekErr
 	}
 	t.player.before, t.player.after = t.snapshotBefore, t.traceTurn
 	for {
 		chunk, err := r.Next()
 		if err != nil {
-			break // io.EOF: what is torn is left out
+			break // io.EOF: the trace ends before a torn chunk
 		}
 		if err := r.Records(chunk, t.record); err != nil {
 			return t.trace, err
@@ -37,8 +37,8 @@
 	return t.trace, nil
 }
 
-// seekMessage goes to where a replay must begin to see all of a message, and tells where the last chunk stands in which
-// it comes.
+// seekMessage moves the reader to the state from which a replay covers all of a message, and returns the offset of the last
+// chunk that may contain the message.
 func (r *Reader) seekMessage(id string, t *messageTracer) (last int64, err error) {
 	index, err := r.Index()
 	if err != nil {
@@ -62,7 +62,7 @@
 	return last, t.player.seekTo(r, index, from)
 }
 
-// firstTurn is when the first turn of a file was.
+// firstTurn returns the time of a file's first turn, on the module's clock.
 func firstTurn(index []Chunk) time.Duration {
 	for i := range index {
 		if index[i].Turns > 0 {
@@ -72,7 +72,7 @@
 	return 0
 }
 
-// seekTo has reading go on at a chunk that begins with a state; what the file itself begins with is taken before.
+// seekTo moves the reader to a chunk that begins with a state, after replaying the Begin record of the file.
 func (p *player) seekTo(r *Reader, index []Chunk, to int) error {
 	if to == 0 {
 		return nil
@@ -80,7 +80,7 @@
 	r.SeekTo(&index[0])
 	chunk, err := r.Next()
 	if err != nil {
-		return fmt.Errorf("capture: its first chunk can't be read: %w", err)
+		return fmt.Errorf("capture: reading the first chunk: %w", err)
 	}
 	err = r.Records(chunk, func(record any) error {
 		if _, ok := record.(*Begin); !ok {
@@ -95,18 +95,18 @@
 	return err
 }
 
-// messageTracer writes down what concerns one message.
+// messageTracer collects the trace of one message.
 type messageTracer struct {
 	player   *player
 	id       string
 	found    bool
-	start    time.Duration
-	openRefs map[uint64]bool // its numbers, as long as it is not over
-	before   *control.Snapshot
+	start    time.Duration     // time of the capture's first turn
+	openRefs map[uint64]bool   // the module's numbers of the message, until it ends
+	before   *control.Snapshot // before the current turn; nil: the message is not open
 	trace    []string
 }
 
-// record replays a record, and goes on past gaps.
+// record replays a record. It adds a gap to the trace and continues after it.
 func (t *messageTracer) record(record any) error {
 	if m, ok := record.(*Message); ok && m.ID == t.id {
 		t.found, t.openRefs[m.Ref] = true, true
@@ -120,14 +120,14 @@
 	return err
 }
 
-// snapshotBefore keeps the state in which the module decides the next turn, while the message is not over.
+// snapshotBefore saves the module's state before a turn while the message is open.
 func (t *messageTracer) snapshotBefore(*Turn) {
 	if t.before = nil; len(t.openRefs) > 0 {
 		t.before = t.player.module.Snapshot()
 	}
 }
 
-// traceTurn writes down what concerns the message in a turn that has been replayed.
+// traceTurn adds the message's events and actions in a replayed turn to the trace.
 func (t *messageTracer) traceTurn(turn *Turn) {
 	if t.before == nil {
 		return
@@ -148,7 +148,7 @@
 	}
 }
 
-// traceEvent writes down an event of the message, and returns whether that ends it.
+// traceEvent adds an event to the trace if it is the message's, and reports whether it ends the message.
 func (t *messageTracer) traceEvent(turn *Turn, event control.Event) (ends bool) {
 	switch event.Kind {
 	case control.Arrived, control.Resolved, control.Withdrawn:
@@ -162,8 +162,8 @@
 	return event.Kind == control.Withdrawn || event.Kind == control.Resolved && (event.Result == control.Delivered || event.Final)
 }
 
-// traceAction writes down what the module does with the message, and returns whether that ends it. A call comes with the state of
-// all destinations that it might have gone to.
+// traceAction adds an action to the trace if it is the message's, and reports whether it ends the message. With a call it adds the
+// state of all endpoints that the call might have gone to.
 func (t *messageTracer) traceAction(turn *Turn, action control.Action) (ends bool) {
 	switch action.Kind {
 	case control.Log, control.Wake, control.Subscribe, control.Close:
@@ -181,12 +181,12 @@
 	return action.Kind == control.Refuse || action.Kind == control.Fail
 }
 
-// add writes down a line with its time and turn.
+// add adds a line with its time and turn to the trace.
 func (t *messageTracer) add(turn *Turn, text string) {
 	t.trace = append(t.trace, fmt.Sprintf("%12v turn %d: %s", turn.Now-t.start, turn.No, text))
 }
 
-// alternatives are an endpoint and those that its messages might have gone to as well.
+// alternatives returns an endpoint and all others of the same destination.
 func alternatives(snapshot *control.Snapshot, endpoint uint32) map[uint32]bool {
 	all := map[uint32]bool{}
 	for _, destination := range snapshot.Destinations {
--- a/internal/relay/capture/trace_test.go
+++ b/internal/relay/capture/trace_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// TestWindow_StandsForItself: a window replays without the capture that it was taken from.
+// TestWindow_StandsForItself: a window replays without the capture that it was cut from.
 func TestWindow_StandsForItself(t *testing.T) {
 	dir, _ := recordWorld(t, 6, 1000, testLimits, 0)
 	var window bytes.Buffer
@@ -20,41 +20,41 @@
 	}
 	result, err := replayed(window.Bytes(), Options{})
 	if err != nil || result.Turns != turns || turns < 50 || result.Last-result.First > 4*time.Second {
-		t.Errorf("%d turns: %+v, %v", turns, result, err)
+		t.Errorf("window of %d turns: %+v, error %v", turns, result, err)
 	}
 }
 
-// TestWindow_BehindLastTurn_IsEmpty: a window that lies behind the capture's end is an error.
+// TestWindow_BehindLastTurn_IsEmpty: a window after the capture's last turn is an error.
 func TestWindow_BehindLastTurn_IsEmpty(t *testing.T) {
 	dir, _ := recordWorld(t, 6, 100, testLimits, 0)
 	if _, err := Window(openText(t, onlyFile(t, dir)), io.Discard, time.Hour, 2*time.Hour, nil); !errors.Is(err, ErrEmptyWindow) {
-		t.Errorf("%v, want %v", err, ErrEmptyWindow)
+		t.Errorf("error %v, want %v", err, ErrEmptyWindow)
 	}
 }
 
-// TestTrace_OneMessage: one message's way is traced from its arrival to its end.
+// TestTrace_OneMessage: a trace begins with the message's arrival; an unknown id is an error.
 func TestTrace_OneMessage(t *testing.T) {
 	dir, _ := recordWorld(t, 6, 600, testLimits, 0)
 	text := onlyFile(t, dir)
 	trace, err := Trace(openText(t, text), "m-20")
 	if text := strings.Join(trace, "\n"); err != nil || !strings.Contains(text, "m-20 arrives") {
-		t.Errorf("%v\n%s", err, text)
+		t.Errorf("error %v, want the arrival of m-20 in\n%s", err, text)
 	}
 	if _, err := Trace(openText(t, text), "nobody"); !errors.Is(err, ErrNoMessage) {
-		t.Errorf("a message that is not in the capture: %v, want %v", err, ErrNoMessage)
+		t.Errorf("a message that is not in the capture: error %v, want %v", err, ErrNoMessage)
 	}
 }
 
-// TestIndex_EarlierChunksDamaged_AreNotRead: a message's trace and a window are made from the last state before them: what stands earlier is not read,
-// and may be damaged.
+// TestIndex_EarlierChunksDamaged_AreNotRead: a trace or window is made from the last state before it, so damage in earlier chunks does
+// not matter.
 func TestIndex_EarlierChunksDamaged_AreNotRead(t *testing.T) {
 	capture := damagedCapture(t)
 	if index, err := openText(t, capture.text).Index(); err != nil || len(index) != 3 || !index[2].State || index[1].Turns != 200 {
-		t.Fatalf("%+v, %v", index, err)
+		t.Fatalf("index %+v, error %v", index, err)
 	}
 	late := fmt.Sprint("m-", capture.lastRef-20)
 	if trace, err := Trace(openText(t, capture.text), late); err != nil || !strings.Contains(strings.Join(trace, "\n"), late+" arrives") {
-		t.Errorf("%v\n%s", err, strings.Join(trace, "\n"))
+		t.Errorf("error %v, want the late message's arrival in\n%s", err, strings.Join(trace, "\n"))
 	}
 	if _, err := Trace(openText(t, capture.text), "m-3"); err != nil { // before the damage
 		t.Error(err)
@@ -62,21 +62,21 @@
 	var window bytes.Buffer
 	turns, err := Window(openText(t, capture.text), &window, capture.secondState+time.Second, capture.secondState+3*time.Second, nil)
 	if err != nil || turns < 20 {
-		t.Fatalf("%d turns, %v", turns, err)
+		t.Fatalf("window of %d turns, error %v; want at least 20", turns, err)
 	}
 	if result, err := replayed(window.Bytes(), Options{}); err != nil || result.Turns != turns {
-		t.Errorf("%+v, %v", result, err)
+		t.Errorf("replay of the window: %+v, error %v", result, err)
 	}
 	if result, err := replayed(capture.text, Options{}); err != nil || result.Turns != 100 || result.Torn == nil {
-		t.Errorf("all of it: %+v, %v; want it read up to the damage", result, err)
+		t.Errorf("replay of the whole capture: %+v, error %v; want it read up to the damaged chunk", result, err)
 	}
 }
 
-// damaged is a capture of three chunks, of 100, 200 and 300 turns. The first and the last begin with a state; the second is damaged.
+// damaged is a capture of three chunks, of 100, 200 and 300 turns. The first and the third begin with a state; the second is damaged.
 type damaged struct {
 	text        []byte
-	secondState time.Duration // since the start
-	lastRef     uint64        // of the messages that arrived
+	secondState time.Duration // time of the third chunk's state, since the start
+	lastRef     uint64        // number of the last message that arrived
 }
 
 func damagedCapture(t *testing.T) (capture damaged) {
--- a/internal/relay/capture/window.go
+++ b/internal/relay/capture/window.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Driver is a replay of the whole core beside that of the module; see engine.CoreReplay.
+// Driver replays the whole core in parallel with the module; see engine.CoreReplay.
 type Driver interface {
 	Record(record any) error
-	State() *Core // nil: it has none
+	State() *Core // the state of the core; nil: not known
 }
 
-// Window writes the part of a capture between two times since its start to out, as a capture that stands for itself: it
-// begins with the module's state as a replay has it then, and with the core's if there is a driver (nil: without). It
-// returns how many turns that is, and ErrEmptyWindow where there is none.
+// Window writes the part of source between two times since its start to out, as a self-contained capture. That begins with the
+// module's state, as a replay has it at from, and with the core's state if the driver core is not nil. Window returns the number
+// of turns written, and ErrEmptyWindow if there are none.
 func Window(source *Reader, out io.Writer, from, to time.Duration, core Driver) (turns int, err error) {
 	chunks, err := newChunker()
 	if err != nil {
@@ -30,7 +30,7 @@
 		return 0, err
 	}
 	window := &windowWriter{chunker: chunks, out: out, player: newPlayer(), core: core, from: from, to: to, captureStart: firstTurn(index)}
-	begin := 0 // the last state before the window
+	begin := 0 // index of the chunk with the last state before the window
 	for i := range index {
 		if index[i].State && index[i].First <= window.captureStart+from {
 			begin = i
@@ -53,7 +53,7 @@
 	return window.turns, chunks.flushTo(out)
 }
 
-// windowWriter writes the records of a window.
+// windowWriter replays a capture and writes the records within a window.
 type windowWriter struct {
 	chunker                *chunker
 	out                    io.Writer
@@ -65,7 +65,7 @@
 	err                    error
 }
 
-// write appends a record. Its error is kept in err.
+// write appends a record, unless an earlier write failed. It sets err if it fails.
 func (w *windowWriter) write(record any) {
 	recordType, known := typeOf(record)
 	if w.err != nil || !known {
@@ -76,7 +76,7 @@
 	}
 }
 
-// record writes a record that lies in the window, and replays it.
+// record writes a record if it lies in the window, and replays it.
 func (w *windowWriter) record(record any) error {
 	switch record := record.(type) {
 	case *Turn:
@@ -105,7 +105,7 @@
 	if w.err != nil {
 		return w.err
 	}
-	// What differs may be what the test is for: the window is of what was recorded, and goes on.
+	// A window may be cut to examine a difference, so it holds what was recorded, and a difference does not end it.
 	if err := w.player.record(record); err != nil && !errors.As(err, new(*DifferenceError)) {
 		return err
 	}
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// start writes what the window begins with.
+// start writes the records with which the window begins: Begin, names, open messages and states.
 func (w *windowWriter) start() {
 	w.started = true
 	snapshot := w.player.module.Snapshot()
@@ -124,20 +124,20 @@
 	if w.core != nil {
 		core = w.core.State()
 	}
-	unfinished := map[uint64]bool{} // the others are over
+	openMessages := map[uint64]bool{} // messages that have not ended
 	for _, m := range snapshot.Messages {
-		unfinished[m.ID] = true
+		openMessages[m.ID] = true
 	}
 	if core != nil {
 		for _, m := range core.Messages {
-			unfinished[m.Ref] = true
+			openMessages[m.Ref] = true
 		}
 	}
 	for _, number := range slices.Sorted(maps.Keys(w.player.result.Names)) {
 		name := w.player.result.Names[number]
 		w.write(&name)
 	}
-	for _, ref := range slices.Sorted(maps.Keys(unfinished)) {
+	for _, ref := range slices.Sorted(maps.Keys(openMessages)) {
 		if known, ok := w.player.result.Messages[ref]; ok {
 			w.write(&known)
 		}
--- a/internal/relay/capture/world_test.go
+++ b/internal/relay/capture/world_test.go
@@ -7,8 +7,8 @@
 	"mastusher/control"
 )
 
-// world drives a module with partners whose troubles a seed draws: what comes of attempts, lists that are late, drains,
-// waits, resets, arrivals. It is no model of partners; it is there to have the module decide all that it can.
+// world generates random events for a module from a seed: outcomes of attempts, late endpoint lists, drains, waits, resets and
+// arrivals. It does not model partners realistically; its purpose is to make the module take every kind of decision.
 type world struct {
 	rng        *rand.Rand
 	now        time.Duration
@@ -17,8 +17,8 @@
 	attempts   map[uint64]int
 	lateEvents []timed
 	endpoints  []control.Endpoint
-	faults     map[uint32]control.Result // endpoints in trouble
-	waits      map[uint32]time.Duration  // told with a refusal
+	faults     map[uint32]control.Result // by failing endpoint: the outcome of all its attempts
+	waits      map[uint32]time.Duration  // by endpoint: the retry-after of a throttled attempt
 }
 
 type attempt struct {
@@ -28,7 +28,7 @@
 	result   control.Result
 }
 
-// timed is an event that the module is told at a time.
+// timed is an event and the time at which the module receives it.
 type timed struct {
 	at    time.Duration
 	event control.Event
@@ -53,7 +53,7 @@
 	return w
 }
 
-// turn returns the events of the next turn.
+// turn returns the time and the events of the next turn.
 func (w *world) turn(no int) (time.Duration, []control.Event) {
 	w.now += time.Duration(5+w.rng.IntN(40)) * time.Millisecond
 	var in []control.Event
@@ -75,9 +75,9 @@
 	return now, append(in, control.Event{Kind: control.Woken})
 }
 
-// changeFaults has an endpoint fail, or recover, now and then.
+// changeFaults occasionally makes an endpoint fail or recover.
 func (w *world) changeFaults() {
-	if w.rng.IntN(40) == 0 { // trouble comes or goes
+	if w.rng.IntN(40) == 0 {
 		e := w.endpoints[w.rng.IntN(len(w.endpoints))].ID
 		if _, ok := w.faults[e]; ok {
 			delete(w.faults, e)
@@ -90,9 +90,9 @@
 	}
 }
 
-// changeList has an endpoint drain, leave or come back now and then; word of it comes late.
+// changeList occasionally drains, removes or returns an endpoint; the module is told up to four seconds later.
 func (w *world) changeList() {
-	if w.rng.IntN(60) == 0 { // the list changes, and word of it comes late
+	if w.rng.IntN(60) == 0 {
 		i := w.rng.IntN(len(w.endpoints))
 		w.endpoints[i].State = control.State(w.rng.IntN(3))
 		w.lateEvents = append(w.lateEvents, timed{w.now + time.Duration(w.rng.IntN(4000))*time.Millisecond, control.Event{Kind: control.Listed, Endpoints: []control.Endpoint{w.endpoints[i]}}})
@@ -104,7 +104,7 @@
 	}
 }
 
-// takeDue takes the events that are due by now out of a list, and returns them.
+// takeDue removes the events that are due by now from a list, and returns them.
 func takeDue(list *[]timed, now time.Duration) (due []control.Event) {
 	later := (*list)[:0]
 	for _, entry := range *list {
@@ -118,7 +118,7 @@
 	return due
 }
 
-// resolved are the outcomes that are due, in the order of their messages.
+// resolved returns the outcomes that are due, in the order of their messages.
 func (w *world) resolved() (in []control.Event) {
 	for ref := uint64(1); ref <= w.lastRef; ref++ {
 		a, ok := w.inFlight[ref]
@@ -138,7 +138,7 @@
 	return in
 }
 
-// arrivals are up to two new messages.
+// arrivals returns the arrivals of up to two new messages.
 func (w *world) arrivals() (in []control.Event) {
 	for range w.rng.IntN(3) {
 		w.lastRef++
@@ -146,7 +146,7 @@
 		left := []time.Duration{16, 24, 9}[class] * time.Second
 		ev := control.Event{Kind: control.Arrived, ID: w.lastRef, Destination: w.rng.IntN(5), Class: class, Deadline: w.now + time.Duration(w.rng.Int64N(int64(left))),
 			Key: uint64(w.rng.IntN(8)), Resubmitted: w.rng.IntN(9) == 0}
-		if w.rng.IntN(20) == 0 { // taken up after a restart
+		if w.rng.IntN(20) == 0 { // a message restored after a restart
 			ev.Attempt, ev.MayHaveRun, ev.RanAt, ev.Endpoint = 1+w.rng.IntN(3), true, w.now-time.Duration(w.rng.IntN(3000))*time.Millisecond, uint32(w.rng.IntN(300))
 			w.attempts[w.lastRef] = ev.Attempt
 		}
@@ -155,7 +155,7 @@
 	return in
 }
 
-// apply takes what the module has decided.
+// apply executes the module's actions: it starts and cancels attempts.
 func (w *world) apply(actions []control.Action) {
 	for _, a := range actions {
 		switch a.Kind {
--- a/internal/relay/capture/writer.go
+++ b/internal/relay/capture/writer.go
@@ -9,7 +9,7 @@
 	"mastusher/control"
 )
 
-// Writer records a module that nothing waits for, such as the simulator's: each turn is taken, however long that lasts.
+// Writer records a module that can wait for it, such as the simulator's: every turn is recorded, however long that takes.
 type Writer struct {
 	file      *os.File
 	chunker   *chunker
@@ -17,7 +17,7 @@
 	chunkSize int
 }
 
-// Create begins a capture of a module that has just been made.
+// Create starts a capture of a module that has not yet made a turn.
 func Create(name string, begin Begin) (*Writer, error) {
 	c, err := newChunker()
 	if err != nil {
--- a/internal/relay/journal/begin_test.go
+++ b/internal/relay/journal/begin_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// TestBegin_OutcomeOfLastAttemptBuffered_IsWrittenBefore: what the log has noted of a message is read back in the order in which it
-// happened, also where the next attempt begins before the turn's end has flushed the outcome of the last one.
+// TestBegin_OutcomeOfLastAttemptBuffered_IsWrittenBefore: the records of a message are read back in the order in which things happened,
+// also when an attempt begins before Flush has written the outcome of the attempt before it.
 func TestBegin_OutcomeOfLastAttemptBuffered_IsWrittenBefore(t *testing.T) {
 	dir := t.TempDir()
 	log := open(t, dir, 1<<20)
-	entry := take(t, log, "twice", 9)
+	entry := accept(t, log, "twice", 9)
 	if err := log.Flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -22,9 +22,9 @@
 	if err := log.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	// The process is killed now: the second attempt is on its way.
+	// The log is not closed, as if the process were killed now, with the second attempt in flight.
 	found := open(t, dir, 1<<20).Entries()
 	if len(found) != 1 || found[0].Attempts != 2 || !found[0].InFlight || found[0].LastAttemptOn != "b" {
-		t.Errorf("read back: %+v", found[0])
+		t.Errorf("read back %+v, want the second attempt in flight to b", found[0])
 	}
 }
--- a/internal/relay/journal/compact.go
+++ b/internal/relay/journal/compact.go
@@ -6,8 +6,8 @@
 	"path/filepath"
 )
 
-// Flush writes what has been noted since the last call; nothing of it may be acted on before. It compacts
-// the log before the folder fills up.
+// Flush writes the records added since the last call; the caller must not act on them before Flush returns. It compacts the log
+// before the folder fills up.
 func (l *Log) Flush() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -19,18 +19,18 @@
 		return nil
 	}
 	if l.wantsCompaction() {
-		return l.compact() // the state holds what is in the buffer
+		return l.compact() // the entries include what the buffered records say
 	}
 	n, err := l.file.Write(l.buf)
 	l.size += int64(n)
 	if err != nil {
-		return l.compact() // a part of a record may stand at the end, behind which nothing would be read again
+		return l.compact() // the file may end in a torn record, and records after it would not be read
 	}
 	l.buf = l.buf[:0]
 	return nil
 }
 
-// wantsCompaction tells whether what is buffered must not, or had better not, be appended. While the log is compacted, the old file and
+// wantsCompaction reports whether to compact the log instead of appending the buffer to it. While the log is compacted, the old file and
 // the new one must both fit.
 func (l *Log) wantsCompaction() bool {
 	const slack = 256 << 10 // bytes: a small log is not worth rewriting
@@ -38,8 +38,8 @@
 		l.size > 2*(l.compactedSize+l.liveBytes)+slack
 }
 
-// compact writes what is still needed to a new file, which then takes the old one's place in one step. Until it has succeeded
-// nothing may be appended: behind a torn record, or to a file that has lost its name, nothing would be read again.
+// compact writes the live entries to a new file and renames that over the log. Until it has succeeded nothing may be appended:
+// records after a torn one, or in a file that has been replaced, would not be read again.
 func (l *Log) compact() error {
 	l.mustCompact = true
 	l.buf = l.buf[:0]
@@ -66,12 +66,12 @@
 	return nil
 }
 
-// appendEntry puts all that is known of a message into the buffer, in as few records as say it: of its attempts only the first that may
-// have run and the last count.
+// appendEntry adds the minimal records from which a message's entry can be restored to the buffer. Of its attempts these hold only the
+// first that may have run and the last.
 func (l *Log) appendEntry(e *Entry) {
 	l.appendAccepted(e)
 	inFlight := e.InFlight && e.loggedAttempts == e.Attempts
-	if e.loggedAttempts = e.Attempts; e.InFlight && !inFlight { // decided, and not begun
+	if e.loggedAttempts = e.Attempts; e.InFlight && !inFlight { // the last attempt has been decided but has not begun
 		e.loggedAttempts--
 	}
 	if e.MayHaveRun {
--- a/internal/relay/journal/entry.go
+++ b/internal/relay/journal/entry.go
@@ -8,60 +8,60 @@
 	"time"
 )
 
-// Entry is one message that has not ended, or whose notice is outstanding, as the log has it.
+// Entry is the log's state of a message that has not ended or whose notice is outstanding.
 type Entry struct {
-	Seq           uint64 // its number in this log, given by Accept
+	Seq           uint64 // number of the message in this log, set by Accept
 	ID, Key       string
-	Front         string // name of the front that took it on
+	Front         string // name of the front that accepted it
 	Destination   int    // number of the partner system
-	Class         int    // by its place in the settings
-	Tenant        int    // below 0: nobody's
+	Class         int    // index of its class in the settings
+	Tenant        int    // index of its tenant in the settings; below 0: none
 	Deadline      time.Time
-	Resubmitted   bool // its client had handed it in before
+	Resubmitted   bool // its client had submitted it before
 	Body          []byte
-	Headers       []string // that go out with it, names and values in turn
-	PolicyVersion uint64   // version of the fleet's policy under which it was taken on; 0: none
-	MaxAttempts   int      // attempts that it may have by that; 0: what the settings allow
+	Headers       []string // headers to send with it, names and values alternating
+	PolicyVersion uint64   // version of the fleet's policy under which it was accepted; 0: none
+	MaxAttempts   int      // maximum number of attempts under that policy; 0: as in the settings
 
-	Attempts      int       // decided so far, and once the process has ended those that were begun
-	InFlight      bool      // the last of them has no outcome
-	MayHaveRun    bool      // one of them may have run
-	MayHaveRunAt  time.Time // when the first such began
-	MayHaveRunOn  string    // the destination it went to
-	LastAttemptAt time.Time // when the last attempt began, and where to
-	LastAttemptOn string
+	Attempts      int       // number of attempts decided so far; after a restart, of those that had begun
+	InFlight      bool      // the last attempt has no outcome yet
+	MayHaveRun    bool      // an attempt may have run at the destination
+	MayHaveRunAt  time.Time // when the first attempt that may have run began
+	MayHaveRunOn  string    // the destination of that attempt
+	LastAttemptAt time.Time // when the last attempt was decided
+	LastAttemptOn string    // the destination of the last attempt
 
-	NoticePending bool // it has ended, and its client has not yet taken the notice
+	NoticePending bool // it has ended, and its client has not yet acknowledged the notice
 	Notice        Notice
 
-	loggedAttempts int // number of the last attempt that is in the log; guarded by Log.mu
+	loggedAttempts int // number of the last attempt written to the log; guarded by Log.mu
 }
 
-// Notice is how a message ended, as its client is to be told.
+// Notice tells a client how its message ended.
 type Notice struct {
-	Delivered  bool // for fronts that are told of deliveries too
-	HandedBack bool // its client may hand it in again, after RetryAfter; otherwise it was given up
+	Delivered  bool // it was delivered; only for fronts with notices of deliveries
+	HandedBack bool // its client may submit it again, after RetryAfter; if neither Delivered nor HandedBack it was given up
 	RetryAfter time.Duration
 }
 
-// scheduleAttempt notes that an attempt has been decided.
+// scheduleAttempt records that an attempt has been decided.
 func (e *Entry) scheduleAttempt(at time.Time, destination string) {
 	e.Attempts++
 	e.InFlight, e.LastAttemptAt, e.LastAttemptOn = true, at, destination
 }
 
-// endAttempt notes the outcome of the last attempt. What may have run first counts: its time bounds all repeats.
+// endAttempt records the outcome of the last attempt. Only the first attempt that may have run is kept: its time limits all repeats.
 func (e *Entry) endAttempt(neverRan bool) {
 	if e.InFlight = false; !neverRan && !e.MayHaveRun {
 		e.MayHaveRun, e.MayHaveRunAt, e.MayHaveRunOn = true, e.LastAttemptAt, e.LastAttemptOn
 	}
 }
 
-// messageReserve is what a live message is charged for in a new file beside its texts: two attempts, with the names of their
-// destinations, their outcomes and its end.
+// messageReserve is the number of bytes reserved for a live message in a compacted file in addition to its strings and body: for two
+// attempts, with the names of their destinations and their outcomes, and for the message's end.
 const messageReserve = 384
 
-// cost bounds the bytes that a message may come to in a new file.
+// cost returns an upper bound for the bytes that a message takes in a compacted file.
 func (e *Entry) cost() int64 {
 	n := messageReserve + len(e.ID) + len(e.Key) + len(e.Front) + len(e.Body)
 	for _, header := range e.Headers {
@@ -70,7 +70,7 @@
 	return int64(n)
 }
 
-// sorted are entries in the order in which they were taken on.
+// sorted returns entries in the order in which they were accepted.
 func sorted(entries map[uint64]*Entry) []*Entry {
 	all := slices.Collect(maps.Values(entries))
 	slices.SortFunc(all, func(a, b *Entry) int { return cmp.Compare(a.Seq, b.Seq) })
--- a/internal/relay/journal/log.go
+++ b/internal/relay/journal/log.go
@@ -13,32 +13,32 @@
 
 const (
 	logName   = "journal.log"
-	nextName  = "journal.next" // what compaction writes, until it takes the log's place
-	blockSize = 512            // bytes: files count in whole blocks
-	// fileOverhead is what the folder may come to hold beside the files' own bytes.
+	nextName  = "journal.next" // the file that compaction writes, then renames to logName
+	blockSize = 512            // bytes: a file takes whole blocks of its folder
+	// fileOverhead is reserved for what the folder takes beyond the sizes of the files, in bytes.
 	fileOverhead = 64 * blockSize
 )
 
-// ErrFull is returned by Accept where the folder has no room for a new message.
+// ErrFull is returned by Accept if the folder has no room for a new message.
 var ErrFull = errors.New("journal: no room for a new message")
 
-// Log is an open journal. Begin may be called by any goroutine, all else by one at a time.
+// Log is an open journal. Begin may be called from any goroutine; the other methods must not be called concurrently with each other.
 type Log struct {
 	dir      string
-	maxBytes int64 // that the folder may hold
+	maxBytes int64 // limit of the folder
 
-	mu            sync.Mutex // guards the file and what it holds
+	mu            sync.Mutex // guards the fields below
 	file          *os.File   // nil: closed
 	size          int64      // of the file
 	compactedSize int64      // of the file when it was last compacted
-	liveBytes     int64      // what the entries may come to in a new file
-	mustCompact   bool       // the file lacks what the state holds, or ends in a torn record: only a new file will do
+	liveBytes     int64      // upper bound for the size of the entries in a compacted file
+	mustCompact   bool       // the file misses records or ends in a torn one: it must be replaced
 	buf           []byte     // records that Flush is to write
 	entries       map[uint64]*Entry
-	lastSeq       uint64 // never given to another message
+	lastSeq       uint64 // the last number given to a message; numbers are not reused
 }
 
-// Open reads the log in dir, drops a torn tail, and compacts it. The folder may come to hold maxBytes.
+// Open reads the log in dir, without a torn end, and compacts it. maxBytes limits the size of the folder.
 func Open(dir string, maxBytes int64) (*Log, error) {
 	l := &Log{dir: dir, maxBytes: maxBytes, entries: map[uint64]*Entry{}}
 	data, err := os.ReadFile(filepath.Join(dir, logName))
@@ -46,27 +46,27 @@
 		return nil, fmt.Errorf("journal: %w", err)
 	}
 	l.replay(data)
-	// A half-written successor is what a kill while compacting leaves.
+	// A kill during compaction leaves a partly written file.
 	if err := os.Remove(filepath.Join(dir, nextName)); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
 	return l, l.compact()
 }
 
-// Entries returns the messages that have not ended, and those whose notices are outstanding, in the order in which they were taken on.
+// Entries returns the messages that have not ended or whose notices are outstanding, in the order in which they were accepted.
 func (l *Log) Entries() []*Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.sortedEntries()
 }
 
-// sortedEntries is Entries for those who hold the lock.
+// sortedEntries is Entries for callers that hold mu.
 func (l *Log) sortedEntries() []*Entry {
 	return sorted(l.entries)
 }
 
-// replay applies the complete records of data and returns how many bytes they take. A record that is torn or
-// damaged ends it: nothing after that can be trusted to be in place.
+// replay applies the complete records of data and returns their size in bytes. A torn or damaged record ends it, since the
+// records after that one can't be located reliably.
 func (l *Log) replay(data []byte) int {
 	at := 0
 	for len(data)-at >= frameHead {
@@ -83,8 +83,8 @@
 	return at
 }
 
-// Accept notes a message that is taken on, if there is room for it and what it will still need, also while the
-// log is compacted, when the old file and the new one both stand.
+// Accept records an accepted message if there is room for it and its later records, even during compaction, when the old
+// file and the new one both exist.
 func (l *Log) Accept(e *Entry) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,16 +99,16 @@
 	return nil
 }
 
-// Schedule notes that an attempt at destination has been decided. The log has nothing of it before Begin: one whose connection is
-// still coming up when the process ends has never been.
+// Schedule records in e, but not in the log, that an attempt at destination has been decided. Begin writes it to the log: an attempt
+// whose connection is still being opened when the process ends does not count.
 func (l *Log) Schedule(e *Entry, at time.Time, destination string) {
 	e.scheduleAttempt(at, destination)
 }
 
-// Begin writes that the attempts of these messages that were decided last begin now; false: nothing of them may be written. It
-// is the last that happens before the first byte, on the goroutine that writes it. Messages that have ended are left out;
-// where all have, there is nothing to begin. What the core has noted meanwhile is written before it: the outcome of a message's last
-// attempt, read back behind the next one's beginning, would be taken for that one's.
+// Begin writes to the log that the last decided attempt of each message begins now; false: the attempt must not be made. It is called
+// immediately before the first byte is sent, on the goroutine that sends it. Messages that have ended are left out; if all have ended,
+// it returns false. Begin also writes the buffered records, and these come first: read back after the beginning of the next attempt,
+// the outcome of the last one would be taken for the outcome of the next.
 func (l *Log) Begin(entries []*Entry) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,7 +125,7 @@
 	n, err := l.file.Write(l.buf)
 	l.size += int64(n)
 	if l.mustCompact = err != nil; l.mustCompact {
-		l.buf = l.buf[:buffered] // it is in the state that the new file gets
+		l.buf = l.buf[:buffered] // compaction writes the buffered records from the entries
 		return false
 	}
 	l.buf = l.buf[:0]
@@ -135,20 +135,20 @@
 	return true
 }
 
-// EndAttempt notes how the last attempt ended, for a message that goes on.
+// EndAttempt records the outcome of the last attempt of a message that has not ended.
 func (l *Log) EndAttempt(e *Entry, neverRan bool) {
 	e.endAttempt(neverRan)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if e.loggedAttempts == e.Attempts { // otherwise the log knows nothing of that attempt
+	if e.loggedAttempts == e.Attempts { // otherwise that attempt is not in the log
 		l.appendOutcome(e, neverRan)
 	}
 }
 
-// End notes that a message has ended, with no notice outstanding.
+// End records that a message has ended with no notice outstanding.
 func (l *Log) End(e *Entry) { l.appendEnd(recordEnded, e) }
 
-// EndWithNotice notes that a message has ended and that a notice of it is outstanding.
+// EndWithNotice records that a message has ended and that a notice of it is outstanding.
 func (l *Log) EndWithNotice(e *Entry, n Notice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,10 +156,10 @@
 	l.appendNotice(e)
 }
 
-// Ack notes that the outstanding notice has been acknowledged.
+// Ack records that the outstanding notice has been acknowledged.
 func (l *Log) Ack(e *Entry) { l.appendEnd(recordAcked, e) }
 
-// appendEnd forgets an entry and notes why.
+// appendEnd removes an entry and adds the record that says why.
 func (l *Log) appendEnd(code byte, e *Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -171,7 +171,7 @@
 	l.appendRecord(code, e.Seq, func(b []byte) []byte { return b })
 }
 
-// Close writes what is left and closes the file: nothing begins from then on.
+// Close writes the buffered records and closes the file. Begin returns false from then on.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/relay/journal/records.go
+++ b/internal/relay/journal/records.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// The codes of records, which stand in files: a code is never given to another record.
+// The codes of records, each with its fields. Codes are stored in files and never reused.
 const (
 	recordAccepted byte = iota + 1 // id, key, front, destination, class, deadline, resubmitted, body, headers, tenant, policy and attempts
 	recordAttempt                  // number of the attempt, time, destination
-	recordOutcome                  // of the attempt begun last: 1 if it never ran
+	recordOutcome                  // of the last begun attempt: 1 if it never ran
 	recordEnded                    // -
-	recordNotice                   // flags, milliseconds to wait: the message has ended and a notice is outstanding
+	recordNotice                   // flags, retry-after in ms: the message has ended and a notice is outstanding
 	recordAcked                    // -
 )
 
@@ -29,7 +29,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// apply takes one record into the state; false: it can't be read.
+// apply applies one record to the entries; false: the record can't be decoded.
 func (l *Log) apply(payload []byte) bool {
 	fields := &decoder{rest: payload[1:]}
 	seq := fields.uint()
@@ -59,12 +59,12 @@
 			e.NoticePending, e.Notice = true, Notice{Delivered: flags&flagDelivered != 0, HandedBack: flags&flagHandedBack != 0,
 				RetryAfter: time.Duration(retryAfter) * time.Millisecond}
 		}
-	default: // of a later version: skipped
+	default: // a record of a later version is skipped
 	}
 	return !fields.damaged
 }
 
-// accepted reads a message as it was taken on. Logs of older versions end before the headers, or before the tenant.
+// accepted decodes the record of an accepted message. In logs of older versions it ends before the headers or before the tenant.
 func (d *decoder) accepted(seq uint64) *Entry {
 	e := &Entry{Seq: seq, ID: d.text(), Key: d.text(), Front: d.text(), Destination: int(d.uint()),
 		Class: int(d.uint()), Deadline: d.time(), Resubmitted: d.uint() == 1, Body: []byte(d.text())}
@@ -76,7 +76,7 @@
 	if e.Tenant = -1; len(d.rest) > 0 {
 		e.Tenant = int(d.uint()) - 1
 	}
-	if len(d.rest) > 0 { // only in a fleet
+	if len(d.rest) > 0 { // present only in a fleet
 		e.PolicyVersion, e.MaxAttempts = d.uint(), int(d.uint())
 	}
 	return e
@@ -122,7 +122,7 @@
 	})
 }
 
-// appendRecord frames a record and puts it into the buffer.
+// appendRecord adds a record, in a frame, to the buffer.
 func (l *Log) appendRecord(code byte, seq uint64, fields func([]byte) []byte) {
 	at := len(l.buf)
 	l.buf = append(l.buf, make([]byte, frameHead)...)
@@ -146,7 +146,7 @@
 
 func appendTime(b []byte, t time.Time) []byte { return binary.AppendVarint(b, t.UnixMicro()) }
 
-// decoder reads the fields of a payload; damaged is set once one is missing.
+// decoder decodes the fields of a payload; damaged is set once a field is missing.
 type decoder struct {
 	rest    []byte
 	damaged bool
@@ -157,7 +157,7 @@
 	return v * d.skip(n)
 }
 
-// skip drops a number of n bytes; it returns 0 where there was none.
+// skip skips a varint of n bytes and returns 1. If n is not positive, there was no valid varint: it sets damaged and returns 0.
 func (d *decoder) skip(n int) uint64 {
 	if n <= 0 {
 		d.damaged, d.rest = true, nil
--- a/internal/relay/journal/stored_format_test.go
+++ b/internal/relay/journal/stored_format_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// storedMessages are the messages of testdata/*.log, each field non-zero in one of them at least.
+// storedMessages returns the messages of testdata/*.log. Each field is non-zero in at least one of them.
 func storedMessages() []*Entry {
 	entry := func(id string, tenant int) *Entry {
 		return &Entry{ID: id, Key: "key-" + id, Front: "platform", Destination: 300, Class: 2, Tenant: tenant,
@@ -38,7 +38,7 @@
 	return all
 }
 
-// writeStored writes the messages of storedMessages by way of the log's own calls, then two that have ended.
+// writeStored writes the messages of storedMessages with the log's own methods, then two that have ended.
 func writeStored(t *testing.T, log *Log) {
 	t.Helper()
 	attempt := func(message *Entry, at time.Time, destination string) {
@@ -58,7 +58,7 @@
 		if want.MayHaveRun {
 			attempt(&message, want.MayHaveRunAt, want.MayHaveRunOn)
 			log.EndAttempt(&message, false)
-			if err := log.Flush(); err != nil { // as a turn does before the next attempt begins
+			if err := log.Flush(); err != nil { // as the core does at the end of a turn, before the next attempt begins
 				t.Fatal(err)
 			}
 		}
@@ -72,7 +72,7 @@
 			log.EndWithNotice(&message, want.Notice)
 		}
 	}
-	ended, acknowledged := take(t, log, "ended", 3), take(t, log, "acknowledged", 3)
+	ended, acknowledged := accept(t, log, "ended", 3), accept(t, log, "acknowledged", 3)
 	log.End(ended)
 	log.EndWithNotice(acknowledged, Notice{})
 	log.Ack(acknowledged)
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestStoredFormat_ReadsFilesOfEarlierVersions: a log that an earlier version left, as it was appended to, with a torn end,
-// and compacted, is read with every value in place; and the same calls still write the same bytes.
+// TestStoredFormat_ReadsFilesOfEarlierVersions: every field in a log written by an earlier version, whether appended, with a torn end or
+// compacted, is read correctly, and the same calls still write the same bytes.
 func TestStoredFormat_ReadsFilesOfEarlierVersions(t *testing.T) {
 	dir := t.TempDir()
 	log := open(t, dir, 1<<20)
@@ -110,7 +110,7 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(stored, c.written) {
-				t.Errorf("the same messages are written as other bytes:\n%q\nwant\n%q", c.written, stored)
+				t.Errorf("the messages are written as\n%q\nwant\n%q", c.written, stored)
 			}
 			dir := t.TempDir()
 			if err := os.WriteFile(filepath.Join(dir, logName), stored, 0o600); err != nil {
