--- a/internal/relay/activitypub/activitypub_test.go
+++ b/internal/relay/activitypub/activitypub_test.go
@@ -28,7 +28,7 @@
 	"mastusher/internal/relay/wiretest"
 )
 
-// settings have a class that is deduplicated by key within 4 s and one that is safe to repeat.
+// settings has a class that is deduplicated by key within 4 s and one that is safe to repeat.
 const settings = `{"allowed": {"cancel": true, "max_attempts": 6, "max_open": 4000, "max_retry_after": 3000000, "retry_after": true},
   "family_info": {"kind_apart": [true], "per_call": [1], "workers": 64}, "peers_total": 1, "round": 1000,
   "lanes": [{"name": "match-event", "effect": "token", "group": "all", "memory_span": 4000000, "aim": 3000000,
@@ -40,7 +40,7 @@
 	client    = Signer{KeyID: "http://client.example/actor#main-key", Key: clientKey}
 )
 
-// remoteInbox is the inbox of another system, which checks the signatures of what it gets.
+// remoteInbox is the inbox of another system, which checks the signatures of the requests to it.
 type remoteInbox struct {
 	address string
 	keys    keyring
@@ -53,7 +53,7 @@
 	inbox := &remoteInbox{address: listener.Addr().String(), keys: keyring{}}
 	serve(t, listener, func(request *httpwire.Request) httpwire.Answer {
 		if _, err := Verify(request, inbox.keys, time.Now(), time.Minute); err != nil {
-			t.Errorf("a request whose signature is not good: %v", err)
+			t.Errorf("request with an invalid signature: %v", err)
 		}
 		body := gjson.ParseBytes(request.Body)
 		return handle(body.Get("id").String(), body)
@@ -71,8 +71,8 @@
 	t.Cleanup(func() { _ = listener.Close(); server.Close(time.Minute) })
 }
 
-// start runs a relay with this front, a partner 'herald' with the inboxes, and a client that gets answers at its own. It returns the front and
-// its address.
+// start runs a relay with this front, a partner 'herald' with the inboxes, and a client that receives answers at the inbox answers. It
+// returns the front and its address.
 func start(t *testing.T, answers *remoteInbox, inboxes ...*remoteInbox) (*Front, string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -121,12 +121,12 @@
 	return front, listener.Addr().String()
 }
 
-// activity is an activity of the client.
+// activity returns an activity of the client.
 func activity(kind, id string) string {
 	return fmt.Sprintf(`{"id":"%s","type":"%s","actor":"http://client.example/actor","object":"goal"}`, id, kind)
 }
 
-// post submits an activity and returns the status of the immediate answer; 0: there was none.
+// post submits an activity and returns the status of the response; 0: there was none.
 func post(t *testing.T, conn net.Conn, reader *httpwire.Reader, body string) int {
 	t.Helper()
 	header, err := client.Headers("POST", "relay.example", "/inbox/herald", []byte(body), time.Now())
@@ -142,8 +142,8 @@
 	return answer.Status
 }
 
-// TestFront_LateInbox_OneFinalAnswer covers an inbox that accepts but answers only when the message's time is up, and one that refuses
-// the signature only then: one final answer, one copy out at a time, and none again once it has been given.
+// TestFront_LateInbox_OneFinalAnswer covers an inbox that accepts a message, or rejects its signature, only after the message's deadline:
+// the client gets one final answer, and the inbox gets the message only once.
 func TestFront_LateInbox_OneFinalAnswer(t *testing.T) {
 	for _, status := range []int{202, 401} {
 		t.Run(strconv.Itoa(status), func(t *testing.T) {
@@ -161,32 +161,32 @@
 			_, address := start(t, answered, slow)
 			conn := wiretest.Dial(t, address)
 			if got := post(t, conn, httpwire.NewReader(conn, &config.Limits{HeadSize: 1 << 14}), activity("Update", "x:1")); got != 202 {
-				t.Fatalf("status %d", got)
+				t.Fatalf("status %d, want 202", got)
 			}
 			if got, want := <-answers, "Reject x:1 handed_back"; got != want {
 				t.Errorf("answer %q, want %q", got, want)
 			}
 			close(release)
 			if len(answers) != 0 || seen.Load() != 1 {
-				t.Errorf("%d more answers, %d calls at the inbox", len(answers), seen.Load())
+				t.Errorf("%d more answers, want 0; %d calls at the inbox, want 1", len(answers), seen.Load())
 			}
 		})
 	}
 }
 
-// activityLog is what partners' inboxes and a client have seen of activities.
+// activityLog records the requests to the partners' inboxes and the client's inbox.
 type activityLog struct {
 	mu            sync.Mutex
 	calls         int                  // at the partners' inboxes
 	effects       map[string]time.Time // when each activity took effect first, by id
-	repeated      int                  // effects outside the window of an activity
-	notifications int                  // at the client's inbox
+	repeated      int                  // repeated effects after the deduplication window of an activity
+	notifications int                  // answers posted to the client's inbox
 	answers       map[string]int       // by id of the activity
-	rejected      map[string]bool      // by id: the last answer was a rejection
+	rejected      map[string]bool      // by id of the activity: the last answer was a rejection
 	answered      chan struct{}        // an element for each answer
 }
 
-// receive is a partner's inbox, which refuses some calls, and fails some after they took effect.
+// receive is a partner's inbox, which throttles some calls and fails others after they took effect.
 func (log *activityLog) receive(id string, _ gjson.Result) httpwire.Answer {
 	log.mu.Lock()
 	defer log.mu.Unlock()
@@ -205,7 +205,7 @@
 	return httpwire.Answer{Status: 202}
 }
 
-// notify is the client's inbox, which does not accept some answers: those are still outstanding.
+// notify is the client's inbox, which fails for some answers: these stay outstanding.
 func (log *activityLog) notify(_ string, body gjson.Result) httpwire.Answer {
 	log.mu.Lock()
 	log.notifications++
@@ -227,8 +227,8 @@
 	log.answered <- struct{}{}
 }
 
-// TestFront_ThousandActivities_OneEndEach submits a thousand match events. The partner's inboxes refuse some, and fail some after they took
-// effect; the client gets one answer to each, and nothing takes effect twice outside its window.
+// TestFront_ThousandActivities_OneEndEach submits a thousand match events. The partner's inboxes throttle some calls and fail others after
+// they took effect. The client gets one answer to each event, and no event takes effect again after its deduplication window.
 func TestFront_ThousandActivities_OneEndEach(t *testing.T) {
 	const events, posters = 1000, 8
 	log := &activityLog{effects: map[string]time.Time{}, answers: map[string]int{}, rejected: map[string]bool{},
@@ -244,7 +244,7 @@
 			for i := poster; i < events; i += posters {
 				switch status := post(t, conn, reader, activity("Create", eventID(i))); status {
 				case 200, 202:
-				case 429: // that is its one answer
+				case 429: // this response is the final answer
 					log.answer(eventID(i), true)
 				default:
 					t.Errorf("status %d", status)
@@ -259,10 +259,10 @@
 	log.check(t, events)
 }
 
-// eventID is the id of a test's activity.
+// eventID returns the id of a test's activity.
 func eventID(i int) string { return fmt.Sprint("x:", i) }
 
-// check fails the test unless each of the events has had one answer, which is true.
+// check fails the test unless each of the events has had exactly one answer, and a correct one.
 func (log *activityLog) check(t *testing.T, events int) {
 	t.Helper()
 	log.mu.Lock()
@@ -279,19 +279,19 @@
 	}
 	t.Logf("%d of %d events took effect, in %d calls", len(log.effects), events, log.calls)
 	if missing+extra+log.repeated+lost != 0 {
-		t.Errorf("of %d events %d have no one answer, %d answers are too many, %d took effect twice outside the window, "+
-			"%d were said to be delivered and were not", events, missing, extra, log.repeated, lost)
+		t.Errorf("of %d events %d do not have exactly one answer, %d answers are surplus, %d took effect again after the window, "+
+			"%d were reported as delivered but did not take effect", events, missing, extra, log.repeated, lost)
 	}
 }
 
-// TestMakeKey_SignsAndVerifies: a key made by make-key signs, and its public half checks that.
+// TestMakeKey_SignsAndVerifies: a signature by a key from MakeKey verifies with its public key.
 func TestMakeKey_SignsAndVerifies(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "key")
 	if err := MakeKey(file); err != nil {
 		t.Fatal(err)
 	}
 	if err := MakeKey(file); err == nil {
-		t.Error("a key was written over")
+		t.Error("MakeKey overwrote a key")
 	}
 	private, err := ReadKey(file)
 	if err != nil {
@@ -311,28 +311,29 @@
 		request.Header.Set(header[i], header[i+1])
 	}
 	if id, err := Verify(request, keyring{"k": public}, time.Now(), time.Minute); err != nil || id != "k" {
-		t.Errorf("id %q, error %v", id, err)
+		t.Errorf("key id %q, error %v; want k", id, err)
 	}
 }
 
-// TestMakeKey_PublicHalfIsThereAlready_LeavesNoPrivateKey: a run that fails changes nothing, so that it can be run again.
+// TestMakeKey_PublicHalfIsThereAlready_LeavesNoPrivateKey: if MakeKey fails it changes nothing, so that it can be called again.
 func TestMakeKey_PublicHalfIsThereAlready_LeavesNoPrivateKey(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(file+".pub", []byte("somebody's"), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if err := MakeKey(file); !errors.Is(err, fs.ErrExist) {
-		t.Fatalf("error %v, want one that the file exists", err)
+		t.Fatalf("error %v, want fs.ErrExist", err)
 	}
 	if _, err := os.Stat(file); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("the private key: %v", err)
+		t.Errorf("private key file: error %v, want fs.ErrNotExist", err)
 	}
 	if text, err := os.ReadFile(file + ".pub"); err != nil || string(text) != "somebody's" {
-		t.Errorf("the other file holds %q, %v", text, err)
+		t.Errorf("the existing public key file holds %q, error %v; want it unchanged", text, err)
 	}
 }
 
-// TestGuard_RewrittenActivity_StaysTheSame: a rewritten activity stays the same activity by the same actor, in every reader's eyes.
+// TestGuard_RewrittenActivity_StaysTheSame: a rewritten body is permitted only if every JSON parser reads it as the same activity by the
+// same actor.
 func TestGuard_RewrittenActivity_StaysTheSame(t *testing.T) {
 	before := []byte(`{"id":"x","type":"Create","actor":"a","n":1}`)
 	for after, want := range map[string]bool{
--- a/internal/relay/activitypub/delivery.go
+++ b/internal/relay/activitypub/delivery.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/relay/platform"
 )
 
-// Call implements engine.Front: it delivers activities to an inbox, one a request.
+// Call implements engine.Front: it delivers activities to an inbox, one per request.
 func (f *Front) Call(ctx context.Context, attempt *engine.Attempt) []engine.Outcome {
 	outcomes := make([]engine.Outcome, len(attempt.Items))
 	for i := range attempt.Items {
@@ -20,7 +20,7 @@
 	return outcomes
 }
 
-// post signs a body and posts it to an inbox, for an attempt or, where that is nil, as an answer to a client. It returns the outcome.
+// post signs a body and posts it to an inbox. It returns the outcome. A nil attempt means that the body is an answer to a client.
 func (f *Front) post(ctx context.Context, inbox *url.URL, body []byte, extraHeaders []string, attempt *engine.Attempt) (result engine.Outcome) {
 	if inbox == nil {
 		return engine.Outcome{Result: control.Rejected}
@@ -46,8 +46,8 @@
 	return result
 }
 
-// outcome is what an inbox's answer means. A status that is not listed is a final refusal where it blames the request, and may have run where it
-// blames the server.
+// outcome returns the outcome that an inbox's answer stands for. 408 and 5xx other than 503 mean that the activity may have been processed;
+// all statuses that are not listed, such as 3xx and 4xx, are final rejections.
 func outcome(answer *httpwire.Response) engine.Outcome {
 	switch status := answer.Status; {
 	case status >= 200 && status < 300:
@@ -57,5 +57,5 @@
 	case status == 408 || status >= 500:
 		return engine.Outcome{Result: control.Errored}
 	}
-	return engine.Outcome{Result: control.Rejected} // 401 and 403 refuse the signature, 404 and 410 the inbox
+	return engine.Outcome{Result: control.Rejected} // 401 and 403 reject the signature; with 404 and 410 the inbox does not exist
 }
--- a/internal/relay/activitypub/delivery_test.go
+++ b/internal/relay/activitypub/delivery_test.go
@@ -17,7 +17,7 @@
 	"mastusher/internal/relay/wiretest"
 )
 
-// TestFront_EveryAnswer_HasItsOutcome maps every answer of an inbox.
+// TestFront_EveryAnswer_HasItsOutcome checks the outcome of each kind of status that an inbox answers.
 func TestFront_EveryAnswer_HasItsOutcome(t *testing.T) {
 	got := map[int]string{}
 	for _, status := range []int{200, 202, 301, 400, 401, 403, 404, 408, 410, 429, 500, 503, 504} {
@@ -28,11 +28,12 @@
 	want := map[int]string{200: ok, 202: ok, 301: rejected, 400: rejected, 401: rejected, 403: rejected, 404: rejected,
 		408: errored, 410: rejected, 429: full, 500: errored, 503: full, 504: errored}
 	if d := cmp.Diff(want, got); d != "" {
-		t.Errorf("(-want +got)\n%s", d)
+		t.Errorf("outcomes by status (-want +got)\n%s", d)
 	}
 }
 
-// TestFront_MalformedAnswer_StatusCounts: as on the other front, the status line of a malformed answer may show a delivery, and nothing else.
+// TestFront_MalformedAnswer_StatusCounts: as on the platform front, a malformed answer counts as a delivery if its status line says so;
+// any other is just malformed.
 func TestFront_MalformedAnswer_StatusCounts(t *testing.T) {
 	inbox := newInbox(t, nil)
 	front, _ := start(t, inbox, inbox)
@@ -50,7 +51,7 @@
 	}
 }
 
-// TestFront_PluginHeaders_GoOutSigned: headers that plug-ins have set go out, and what is signed is the body as they have left it.
+// TestFront_PluginHeaders_GoOutSigned: headers set by plug-ins are sent, and the signature covers the body as plug-ins have changed it.
 func TestFront_PluginHeaders_GoOutSigned(t *testing.T) {
 	inbox := newInbox(t, nil)
 	front, _ := start(t, inbox, inbox)
@@ -74,11 +75,11 @@
 		Headers: []string{"X-Desk", "sports"}})
 	if outcomes := front.Call(t.Context(), attempt); outcomes[0].Result != control.Delivered || attempt.SampledAnswer() == nil ||
 		attempt.SampledAnswer().Status != 202 {
-		t.Errorf("%+v, seen %+v", outcomes, attempt.SampledAnswer())
+		t.Errorf("outcomes %+v, sampled answer %+v; want a delivery with status 202", outcomes, attempt.SampledAnswer())
 	}
 	request := <-got
 	if request.Header.Get("X-Desk") != "sports" || string(request.Body) != `{"id":"x:1"}` {
-		t.Errorf("%v %s", request.Header, request.Body)
+		t.Errorf("sent headers %v and body %s, want the plug-in's", request.Header, request.Body)
 	}
 	public, err := publicPEM(front.signer.Key)
 	if err != nil {
@@ -91,6 +92,6 @@
 		t.Fatal(err)
 	}
 	if _, err := Verify(request, keyring{front.signer.KeyID: key}, front.Now(), time.Hour); err != nil {
-		t.Errorf("the signature: %v", err)
+		t.Errorf("verifying the signature: %v", err)
 	}
 }
--- a/internal/relay/activitypub/front.go
+++ b/internal/relay/activitypub/front.go
@@ -20,15 +20,15 @@
 // Name is this front's name in the journal and in captures: it must not change.
 const Name = "activitypub"
 
-// Guard is what plug-ins may change here: headers that neither the signature nor the protocol owns, and the body
-// before it is signed, as long as it stays the same activity by the same actor.
+// Guard limits what plug-ins may change on this front: all headers but those that the signature or the protocol sets, and
+// the body before it is signed, as long as it stays the same activity by the same actor.
 var Guard = rules.Front{Name: Name, Owned: []string{"Accept", "Authorization", "Content-Digest", "Content-Type", "Date",
 	"Digest", "Signature", "Signature-*"}, Body: func(before, after []byte) bool {
 	if !gjson.ValidBytes(after) {
 		return false
 	}
 	was, is := gjson.ParseBytes(before), gjson.ParseBytes(after)
-	times := map[string]int{} // of a key that occurs twice partners may read either value
+	times := map[string]int{} // occurrences of each key: of a repeated key partners may read either value
 	is.ForEach(func(k, _ gjson.Result) bool { times[k.String()]++; return true })
 	for _, key := range []string{"id", "actor", "type", "endTime"} {
 		if was.Get(key).Raw != is.Get(key).Raw || times[key] > 1 {
@@ -38,17 +38,17 @@
 	return is.IsObject()
 }}
 
-// contentType is that of activities and of the actor document.
+// contentType is the media type of activities and of the actor document.
 const contentType = "application/activity+json"
 
-// Submitter is the part of engine.Core that accepts messages; see there.
+// Submitter is the part of engine.Core that accepts messages; see engine.Core for its methods.
 type Submitter interface {
 	Submit(front string, m engine.Message) engine.Reply
 	Withdraw(engine.Reply)
 	Ready() bool
 }
 
-// Front is an engine.Front of ActivityPub. Its fields but ended and endedOrder are not changed once it serves.
+// Front is the engine.Front for ActivityPub. While it serves, only the fields ended and endedOrder change.
 type Front struct {
 	cfg      *config.ActivityPub
 	limits   *config.Limits
@@ -60,24 +60,24 @@
 	path     string // of the actor document
 
 	keys           keyring
-	owners         map[string]*config.Client // of keys, by key id
+	owners         map[string]*config.Client // the client that owns a key, by key id
 	clients        map[string]*config.Client // by actor
 	inboxes        map[string]*url.URL       // by destination's name
 	partners       map[string]config.Partner // by name
 	classes        map[string]int            // by type of activity
 	messageClasses []control.Class
 
-	// Open reports whether this machine accepts new messages: package vrrp's Instance.Active. nil: always.
+	// Open reports whether this machine accepts new messages, such as vrrp.Instance.Active; nil: it always does.
 	Open func() bool
 	// Now is the clock for dates and deadlines.
 	Now func() time.Time
 
 	mu         sync.Mutex     // guards ended and endedOrder
-	ended      map[string]end // messages that have ended, by id
-	endedOrder []string       // their ids, the oldest first
+	ended      map[string]end // how messages ended, by id
+	endedOrder []string       // the ids of ended messages, oldest first
 }
 
-// New returns a front of core and its destinations, which the caller must add to it by core.AddFront. Its error is a config.KeyError.
+// New returns a front and its destinations; the caller must add both to core with AddFront. Its error is a *policy.KeyError.
 func New(cfg *config.Config, core Submitter, log *slog.Logger) (*Front, engine.EndpointList, error) {
 	section := cfg.ActivityPub
 	front := &Front{cfg: section, limits: &cfg.Limits, core: core, log: log, pool: httpwire.NewPool(&cfg.Limits),
@@ -129,14 +129,14 @@
 	return nil
 }
 
-// setPartners adds the partners of the configuration, and returns their inboxes as destinations.
+// setPartners adds the partners in the configuration and returns their inboxes as destinations.
 func (f *Front) setPartners() (destinations []engine.Destination, err error) {
 	for i, partner := range f.cfg.Partners {
 		f.partners[partner.Name] = partner
 		for n, inbox := range partner.Inboxes {
 			inboxURL, err := url.Parse(inbox)
 			if err != nil || inboxURL.Host == "" {
-				return nil, config.NewKeyError(fmt.Sprintf("activitypub.partners.%d.inboxes.%d", i, n), "not a URL")
+				return nil, config.NewKeyError(fmt.Sprintf("activitypub.partners.%d.inboxes.%d", i, n), "want a URL with a host")
 			}
 			f.inboxes[inbox] = inboxURL
 			destinations = append(destinations, engine.Destination{Name: inbox, Address: address(inboxURL),
@@ -146,7 +146,7 @@
 	return destinations, nil
 }
 
-// address is the host and port of a URL.
+// address returns the host and port of a URL.
 func address(u *url.URL) string {
 	if u.Port() == "" {
 		return u.Host + ":80"
@@ -154,7 +154,7 @@
 	return u.Host
 }
 
-// actorDocument encodes the actor of a URL with its public key, a PEM block.
+// actorDocument encodes the actor at URL u with its public key, which is PEM.
 func actorDocument(a *config.ActivityPub, u *url.URL, public string) []byte {
 	b := []byte(`{"@context":["https://www.w3.org/ns/activitystreams","https://w3id.org/security/v1"],"type":"Service","id":`)
 	b = append(gjson.AppendJSONString(b, a.Actor), `,"inbox":`...)
@@ -164,7 +164,7 @@
 	return append(gjson.AppendJSONString(b, public), "}}\n"...)
 }
 
-// NotifiesDeliveries implements engine.Front. It is true: each activity is answered by one Accept or Reject.
+// NotifiesDeliveries implements engine.Front. It returns true: a delivery is answered too, with an Accept.
 func (f *Front) NotifiesDeliveries() bool { return true }
 
 // CloseIdle implements engine.Front.
@@ -176,5 +176,5 @@
 	}
 }
 
-// Watch implements engine.Front. There is no list to watch: the partners are in the configuration.
+// Watch implements engine.Front. There is no endpoint list to watch: the partners are in the configuration.
 func (f *Front) Watch(context.Context, int64, func(engine.EndpointList)) error { return nil }
--- a/internal/relay/activitypub/inbox.go
+++ b/internal/relay/activitypub/inbox.go
@@ -15,8 +15,8 @@
 	"mastusher/internal/relay/platform"
 )
 
-// Handle is the httpwire.Handler of clients' connections: GET /up reports whether messages are accepted, GET of the actor's path returns its
-// document, POST /inbox/PARTNER submits an activity.
+// Handle is the httpwire.Handler for clients' requests: GET /up reports whether messages are accepted, GET of the actor's path returns its
+// document, and POST /inbox/PARTNER submits an activity.
 func (f *Front) Handle(request *httpwire.Request) httpwire.Answer {
 	path, _, _ := strings.Cut(request.Path, "?")
 	switch {
@@ -67,13 +67,14 @@
 	return httpwire.Answer{Status: status, Header: []string{"Content-Type", "text/plain"}, Body: []byte(text + "\n")}
 }
 
-// seconds formats a time in seconds, to the millisecond.
+// seconds formats a duration in seconds, with three decimals.
 func seconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
-// maxIDBytes bounds an activity's id.
+// maxIDBytes limits an activity's id.
 const maxIDBytes = 2048
 
-// message checks an activity and converts it to a message; delivered: it has been delivered already. Its error is a *RequestError.
+// message checks the activity in a request and converts it to a message; delivered: it has been delivered before. Its error is a
+// *RequestError.
 func (f *Front) message(request *httpwire.Request) (message engine.Message, delivered bool, err error) {
 	kind, _, _ := strings.Cut(request.Header.Get("Content-Type"), ";")
 	if kind = strings.TrimSpace(kind); kind != contentType && kind != "application/ld+json" {
@@ -109,7 +110,7 @@
 	return message, delivered, err
 }
 
-// limitDeadline makes an activity's endTime its deadline if that is earlier. Its error is a *RequestError.
+// limitDeadline shortens a message's deadline to its activity's endTime if that is earlier. Its error is a *RequestError.
 func limitDeadline(message *engine.Message, endTime string, now time.Time) error {
 	end, err := time.Parse(time.RFC3339, endTime)
 	if err != nil {
@@ -124,8 +125,9 @@
 	return nil
 }
 
-// resubmitted marks a message whose id has ended before. One that was delivered is not delivered again, and one that may have taken effect and
-// is deduplicated by key may be repeated only within its window: otherwise the error is a *RequestError.
+// resubmitted sets Resubmitted for a message with an id that has ended before. A message that was delivered is not delivered again. One
+// that may have taken effect can't be repeated if its class is unsafe, or, if its class is deduplicated by key, once its deduplication
+// window is over: then the error is a *RequestError.
 func (f *Front) resubmitted(message *engine.Message, now time.Time) (delivered bool, err error) {
 	f.mu.Lock()
 	before, ended := f.ended[message.ID]
--- a/internal/relay/activitypub/inbox_test.go
+++ b/internal/relay/activitypub/inbox_test.go
@@ -14,12 +14,12 @@
 	"mastusher/internal/relay/wiretest"
 )
 
-// TestInbox_BadInput_HasItsStatus: each kind of bad input gets a status that says what is wrong, and nothing is accepted.
+// TestInbox_BadInput_HasItsStatus: each kind of invalid request gets its own status and reason, and is not accepted.
 func TestInbox_BadInput_HasItsStatus(t *testing.T) {
 	good := activity("Create", "http://client.example/1")
 	for _, test := range []struct {
 		name, path, body string
-		change           func(header []string) []string // of the signed headers
+		change           func(header []string) []string // changes the signed headers; nil: unchanged
 		status, why      string
 	}{
 		{"get", "", good, nil, "405 Method Not Allowed", "want POST"},
@@ -68,13 +68,13 @@
 				"{headers}", strings.Join(sentHeaders, "\n"), "{length}", strconv.Itoa(len(test.body)), "{body}", test.body,
 				"{status}", test.status, "{why}", test.why)
 			if len(front.ended) != 0 {
-				t.Error("it has had an end")
+				t.Error("the front remembers an end, but nothing was accepted")
 			}
 		})
 	}
 }
 
-// set returns a change of one header.
+// set returns a function that changes the value of one header.
 func set(name, value string) func([]string) []string {
 	return func(h []string) []string {
 		for i := range h {
@@ -86,7 +86,8 @@
 	}
 }
 
-// TestInbox_DuplicateOfEndedActivity_DependsOnItsEnd: an activity that is submitted once more after its end.
+// TestInbox_DuplicateOfEndedActivity_DependsOnItsEnd: whether an ended activity may be submitted again depends on how it ended and on the
+// deduplication window.
 func TestInbox_DuplicateOfEndedActivity_DependsOnItsEnd(t *testing.T) {
 	now := time.Now()
 	for _, test := range []struct {
@@ -127,7 +128,7 @@
 	}
 }
 
-// TestInbox_StandbyRouter_RefusesWithRetryAfter: a router that is not active accepts nothing new, and says when to retry.
+// TestInbox_StandbyRouter_RefusesWithRetryAfter: a standby router refuses new activities and says when to retry.
 func TestInbox_StandbyRouter_RefusesWithRetryAfter(t *testing.T) {
 	inbox := newInbox(t, nil)
 	front, address := start(t, inbox, inbox)
--- a/internal/relay/activitypub/keys.go
+++ b/internal/relay/activitypub/keys.go
@@ -10,7 +10,7 @@
 	"os"
 )
 
-// KeyFileError is a file that has no usable key.
+// KeyFileError is returned for a file without a usable key.
 type KeyFileError struct {
 	File string
 	Err  error
@@ -22,13 +22,13 @@
 // Unwrap returns the cause.
 func (e *KeyFileError) Unwrap() error { return e.Err }
 
-// Causes of a KeyFileError, beside those of package x509.
+// Causes of a KeyFileError, in addition to errors of package x509.
 var (
-	errNotSigner  = errors.New("not a key that signs")
+	errNotSigner  = errors.New("the private key can't sign")
 	errNoPEMBlock = errors.New("no PEM block")
 )
 
-// ReadKey reads a private key from a PEM file, PKCS #8 or PKCS #1. It returns a KeyFileError, or the error of the file.
+// ReadKey reads a private key (PKCS #8 or PKCS #1) from a PEM file. Its error is a *KeyFileError or from reading the file.
 func ReadKey(file string) (crypto.Signer, error) {
 	block, err := readPEM(file)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return signer, nil
 }
 
-// ReadPublicKey reads a public key (PKIX) from a PEM file. It returns a KeyFileError, or the error of the file.
+// ReadPublicKey reads a public key (PKIX) from a PEM file. Its error is a *KeyFileError or from reading the file.
 func ReadPublicKey(file string) (crypto.PublicKey, error) {
 	block, err := readPEM(file)
 	if err != nil {
@@ -74,11 +74,11 @@
 	return block.Bytes, nil
 }
 
-// rsaBits is the size of new keys.
+// rsaBits is the size of new RSA keys.
 const rsaBits = 2048
 
-// MakeKey writes a new private key (RSA, PKCS #8) to file, readable by its owner alone, and its public half to file.pub. It fails where either
-// file exists, and writes neither then.
+// MakeKey writes a new private key (RSA, PKCS #8) to file, readable only by its owner, and the public key to file.pub. If either file
+// exists, MakeKey fails and writes neither.
 func MakeKey(file string) error {
 	key, err := rsa.GenerateKey(rand.Reader, rsaBits)
 	if err != nil {
@@ -96,18 +96,18 @@
 		return err
 	}
 	if err := writeNew(file+".pub", public, 0o644); err != nil {
-		return errors.Join(err, os.Remove(file)) // without its public half nobody can use it
+		return errors.Join(err, os.Remove(file)) // a private key without its public key is useless
 	}
 	return nil
 }
 
-// publicPEM returns the public half of a key as PEM.
+// publicPEM returns the public key of a private key as PEM.
 func publicPEM(key crypto.Signer) ([]byte, error) {
 	encoded, err := x509.MarshalPKIXPublicKey(key.Public())
 	return pem.EncodeToMemory(&pem.Block{Type: "PUBLIC KEY", Bytes: encoded}), err
 }
 
-// writeNew writes a file that must not exist.
+// writeNew writes a file. It fails if the file exists.
 func writeNew(file string, text []byte, mode os.FileMode) error {
 	f, err := os.OpenFile(file, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
--- a/internal/relay/activitypub/notices.go
+++ b/internal/relay/activitypub/notices.go
@@ -15,14 +15,14 @@
 	"mastusher/internal/relay/engine"
 )
 
-// end is how a message ended, for the answer to duplicates.
+// end tells how a message ended, to answer duplicates of it.
 type end struct {
 	delivered bool
-	ranAt     time.Time // when an attempt began that may have run; zero: none
+	ranAt     time.Time // when the first attempt that may have run began; zero: none may have run
 }
 
-// Notify implements engine.Front: it posts to each client the one final answer to its activity, Limits.ParallelNotices at a time. A client that
-// refuses the answer for good counts as having accepted it.
+// Notify implements engine.Front: it posts the single final answer to each activity to its client, Limits.ParallelNotices at a time. An
+// answer that the client rejects for good counts as accepted, since repeating it is useless.
 func (f *Front) Notify(ctx context.Context, notices []engine.Notice) []bool {
 	accepted := make([]bool, len(notices))
 	slots := make(chan struct{}, f.limits.ParallelNotices)
@@ -53,11 +53,12 @@
 	return accepted
 }
 
-// answer is an Accept for a delivery and a Reject for all else. Its id is the same each time it is sent, so that clients can recognize repeats.
+// answer returns an Accept for a delivered activity and a Reject for any other. Its id is the same whenever it is sent, so that clients can
+// recognize repeats.
 func (f *Front) answer(notice *engine.Notice) []byte {
 	kind, outcome := "Reject", "given_up"
 	class := &f.messageClasses[notice.Class]
-	bounded := !notice.MayHaveRunAt.IsZero() && class.Effect == control.Keyed // it may have taken effect: it may be repeated only within its window
+	bounded := !notice.MayHaveRunAt.IsZero() && class.Effect == control.Keyed // it may have taken effect, so it may be repeated only within its window
 	handedBack := notice.HandedBack && (!bounded || f.Now().Before(notice.MayHaveRunAt.Add(class.Memory)))
 	if notice.Delivered {
 		kind, outcome = "Accept", "delivered"
@@ -79,7 +80,7 @@
 	return append(answer, '}')
 }
 
-// remember stores how a message ended, for the last Limits.MaxRemembered messages.
+// remember stores how a message ended. It keeps the last Limits.MaxRemembered messages.
 func (f *Front) remember(notice *engine.Notice) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/relay/activitypub/signature.go
+++ b/internal/relay/activitypub/signature.go
@@ -17,20 +17,20 @@
 	"mastusher/internal/relay/httpwire"
 )
 
-// keyring has public keys by their ids.
+// keyring maps key ids to public keys.
 type keyring map[string]crypto.PublicKey
 
-// signedHeaders are what a signature must cover.
+// signedHeaders are the headers that a signature must cover.
 var signedHeaders = []string{"(request-target)", "host", "date", "digest"}
 
-// Signer signs requests as the Fediverse does: draft-cavage-http-signatures-12 over the request target, host, date and digest, with RSA (PKCS #1
-// v1.5, SHA-256) or Ed25519 keys.
+// Signer signs requests as is usual on the Fediverse: by draft-cavage-http-signatures-12, over the request target, host, date and digest,
+// with RSA (PKCS #1 v1.5, SHA-256) or Ed25519 keys.
 type Signer struct {
-	KeyID string // by which the receiver finds the public key
+	KeyID string // id by which the receiver finds the public key
 	Key   crypto.Signer
 }
 
-// Headers returns the headers of a signed request, all but Host and Content-Length, names and values alternating.
+// Headers returns the headers of a signed request without Host and Content-Length, names and values alternating.
 func (s *Signer) Headers(method, host, path string, body []byte, now time.Time) ([]string, error) {
 	date, digest := now.UTC().Format(http.TimeFormat), digestOf(body)
 	text := signingText(signedHeaders, func(name string) string {
@@ -62,13 +62,13 @@
 			strings.Join(signedHeaders, " "), base64.StdEncoding.EncodeToString(signature))}, nil
 }
 
-// digestOf is the Digest header of a body.
+// digestOf returns the value of the Digest header for a body.
 func digestOf(body []byte) string {
 	sum := sha256.Sum256(body)
 	return "SHA-256=" + base64.StdEncoding.EncodeToString(sum[:])
 }
 
-// signingText is the text that is signed: a line for each header, with the value that value gives for it.
+// signingText returns the text to sign: a line for each header, with its name and value(name).
 func signingText(names []string, value func(name string) string) string {
 	fields := make([]string, len(names))
 	for i, name := range names {
@@ -77,17 +77,17 @@
 	return strings.Join(fields, "\n")
 }
 
-// RequestError is why a request is not accepted.
+// RequestError tells why a request is not accepted.
 type RequestError struct {
 	Status int    // HTTP status of the answer
 	Reason string // body of the answer
 }
 
-// Error is the reason.
+// Error returns the reason.
 func (r *RequestError) Error() string { return r.Reason }
 
-// Verify checks that a request was signed by the key that it names, that the signature covers signedHeaders, that its date is within skew of
-// now, and that its digest is that of its body. It returns the key's id, or a *RequestError.
+// Verify checks that a request is signed with the key that its signature names, that the signature covers signedHeaders, that the Date
+// header is within skew of now, and that the Digest header is that of the body. It returns the key's id, or a *RequestError.
 func Verify(request *httpwire.Request, keys keyring, now time.Time, skew time.Duration) (string, error) {
 	header := request.Header.Get("Signature")
 	if header == "" {
@@ -129,7 +129,8 @@
 	return keyID, nil
 }
 
-// signed reports whether a signature is that of a text, by the kind of the key; a stated algorithm of another kind is refused.
+// signed reports whether signature is a valid signature of text. The type of the key determines the algorithm, and a stated algorithm must
+// match it.
 func signed(key crypto.PublicKey, algorithm string, text, signature []byte) bool {
 	switch key := key.(type) {
 	case *rsa.PublicKey:
@@ -142,7 +143,7 @@
 	return false
 }
 
-// params parses the name="value" pairs of a Signature header; what follows the first malformed one is ignored.
+// params parses the name="value" pairs of a Signature header. It ignores everything from the first malformed pair on.
 func params(header string) map[string]string {
 	all := map[string]string{}
 	for header != "" {
--- a/internal/relay/config/activitypub.go
+++ b/internal/relay/config/activitypub.go
@@ -7,34 +7,34 @@
 	"mastusher/control"
 )
 
-// ActivityPub sets up the second front.
+// ActivityPub is the configuration of the ActivityPub front.
 type ActivityPub struct {
-	Listen   string // address of the inboxes
+	Listen   string // TCP address of the relay's inboxes
 	Actor    string // this relay's actor id, a URL
 	KeyID    string
-	KeyFile  string // PEM, PKCS #8 private key; made at first start if it is missing
-	Skew     time.Duration
-	Partners []Partner         // whom it delivers to
-	Clients  []Client          // who may post to it
-	Classes  map[string]string // name of the class, by the activity's type
+	KeyFile  string            // private key, PEM with PKCS #8; created at the first start if missing
+	Skew     time.Duration     // maximum difference of a request's date from the relay's clock
+	Partners []Partner         // systems that it delivers to
+	Clients  []Client          // actors that may submit activities
+	Classes  map[string]string // name of the message class, by type of activity
 }
 
 // Partner is a partner system with inboxes.
 type Partner struct {
 	Name        string
-	Destination int
+	Destination int // number of the partner
 	Kind        string
 	Zone        string
 	Inboxes     []string // URLs
-	Tenant      int      // whose its messages are, by its place in the settings; -1: nobody's
+	Tenant      int      // index in the settings of the tenant that its messages belong to; -1: none
 }
 
-// Client is an actor that may hand in activities.
+// Client is an actor that may submit activities.
 type Client struct {
 	Actor   string
 	KeyID   string
-	KeyFile string // PEM, public key
-	Inbox   string // URL for its final answers
+	KeyFile string // public key, PEM
+	Inbox   string // URL to which final answers to its activities are posted
 }
 
 // activityPub reads the section activitypub.
@@ -50,8 +50,8 @@
 		k.KeyID = p.text(at+".key_id", k.Actor+"#main-key")
 		a.Clients = append(a.Clients, k)
 	})
-	p.require("activitypub.partners", len(a.Partners) > 0, "none")
-	p.require("activitypub.clients", len(a.Clients) > 0, "none")
+	p.require("activitypub.partners", len(a.Partners) > 0, "want at least one partner")
+	p.require("activitypub.clients", len(a.Clients) > 0, "want at least one client")
 	a.Classes = map[string]string{}
 	for kind, class := range p.root.Get("activitypub.classes").Map() {
 		key := "activitypub.classes." + kind
@@ -59,24 +59,24 @@
 		p.require(key, slices.ContainsFunc(c.Settings.Classes, func(k control.Class) bool { return k.Name == class.String() }),
 			"no class of that name in settings.lanes")
 	}
-	p.require("activitypub.classes", len(a.Classes) > 0, "missing: which type of activity is which class")
+	p.require("activitypub.classes", len(a.Classes) > 0, "missing: want a class for each type of activity")
 	c.ActivityPub = a
 }
 
-// partner reads one partner; seen are the numbers of those before it.
+// partner reads one partner; seen holds the numbers of the partners before it.
 func (p *parser) partner(c *Config, a *ActivityPub, at string, seen map[int]bool) {
 	partner := Partner{Name: p.required(at + ".name"), Destination: int(p.number(at+".dest", -1, 0, 65535)),
 		Kind: p.text(at+".kind", ""), Zone: p.text(at+".zone", ""), Tenant: -1}
 	if name := p.text(at+".tenant", ""); name != "" {
 		partner.Tenant = slices.Index(c.Settings.TenantNames, name)
-		p.require(at+".tenant", partner.Tenant >= 0, "not a tenant of the settings")
+		p.require(at+".tenant", partner.Tenant >= 0, "no tenant of that name in the settings")
 	}
 	p.each(at+".inboxes", func(inbox string) { partner.Inboxes = append(partner.Inboxes, p.url(inbox)) })
-	p.require(at+".inboxes", len(partner.Inboxes) > 0, "no inbox")
+	p.require(at+".inboxes", len(partner.Inboxes) > 0, "want at least one inbox")
 	if kind := slices.Index(c.Settings.KindNames, partner.Kind); kind >= 0 && kind < len(c.Settings.Kinds) {
-		p.require(at+".kind", c.Settings.Kinds[kind].PerCall <= 1, "its calls carry several messages; an inbox takes one")
+		p.require(at+".kind", c.Settings.Kinds[kind].PerCall <= 1, "calls of this kind carry several messages, but an inbox takes one")
 	}
-	p.require(at+".dest", !seen[partner.Destination], "given to two partners")
+	p.require(at+".dest", !seen[partner.Destination], "used by another partner")
 	seen[partner.Destination] = true
 	a.Partners = append(a.Partners, partner)
 }
--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -12,11 +12,11 @@
 	"mastusher/internal/relay/wire"
 )
 
-// Config is all that a relay goes by, from its start on.
+// Config is a relay's whole configuration.
 type Config struct {
 	Name, Listen, Discovery, State string
 	Seed                           uint64
-	Known                          gjson.Result // the endpoint list as this relay last had it
+	Known                          gjson.Result // the last endpoint list that this relay knew
 	Settings                       wire.Settings
 	Limits                         Limits
 	ActivityPub                    *ActivityPub // nil: off
@@ -24,18 +24,18 @@
 	Plugins                        []Plugin     // in the order in which they are called
 	PluginHost                     PluginHost
 	Capture                        Capture
-	Peers                          *Peers // nil: the relay stands alone
+	Peers                          *Peers // nil: the relay belongs to no fleet
 }
 
-// Load reads the file that RELAY_CONFIG names, or file if that is not empty; RELAY_NAME, RELAY_LISTEN and
-// RELAY_STATE from the environment go before the file. RELAY_DISCOVERY goes after it: a file can be replaced
-// while the process runs, its environment can't, so where the two differ the file is the newer.
+// Load reads file or, if that is empty, the file that RELAY_CONFIG names. The environment variables RELAY_NAME,
+// RELAY_LISTEN and RELAY_STATE take precedence over the file, but the file takes precedence over RELAY_DISCOVERY: it can be
+// replaced while the process runs, unlike the environment, so where the two differ the file is the newer.
 func Load(file string, env func(string) string) (*Config, error) {
 	if file == "" {
 		file = env("RELAY_CONFIG")
 	}
 	if file == "" {
-		return nil, NewKeyError("RELAY_CONFIG", "not set, and no --config given")
+		return nil, NewKeyError("RELAY_CONFIG", "not set, and --config is not given")
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return Parse(text, env)
 }
 
-// Parse checks the text of a configuration and fills in the defaults. Its error is a *policy.KeyError: the first key that is at fault.
+// Parse parses and checks a configuration and fills in the defaults. Its error is a *policy.KeyError for the first invalid key.
 func Parse(text []byte, env func(string) string) (*Config, error) {
 	if !gjson.ValidBytes(text) {
 		return nil, NewKeyError("(whole file)", "not valid JSON")
@@ -70,7 +70,7 @@
 	return c, nil
 }
 
-// settings reads what the decision module goes by.
+// settings reads the settings of the decision module.
 func (p *parser) settings(c *Config) {
 	raw := p.root.Get("settings")
 	p.require("settings", raw.IsObject(), "missing or not an object")
@@ -83,17 +83,17 @@
 			p.fail("settings", err.Error())
 		}
 		if _, err := control.New(settings.Settings, 0); err == nil || len(settings.Classes) == 0 || settings.Slots < 1 || settings.MaxAttempts < 1 {
-			c.Settings = settings // the keys checked below have messages of their own
+			c.Settings = settings // faults in the keys checked below get their own messages
 		} else {
 			p.fail("settings", err.Error())
 		}
 	}
-	p.require("settings.lanes", len(c.Settings.Classes) > 0, "no class of message")
-	p.require("settings.family_info.workers", c.Settings.Slots > 0, "at least 1 slot is needed")
-	p.require("settings.allowed.max_attempts", c.Settings.MaxAttempts > 0, "at least 1 attempt is needed")
+	p.require("settings.lanes", len(c.Settings.Classes) > 0, "want at least one message class")
+	p.require("settings.family_info.workers", c.Settings.Slots > 0, "want at least 1")
+	p.require("settings.allowed.max_attempts", c.Settings.MaxAttempts > 0, "want at least 1 attempt")
 }
 
-// seedOf is a seed: 16 hexadecimal digits as they are, any other text by its hash.
+// seedOf returns the seed for a text: the value of 16 hexadecimal digits, or the hash of any other text.
 func seedOf(s string) uint64 {
 	if b, err := hex.DecodeString(s); err == nil && len(b) == 8 {
 		var v uint64
@@ -107,7 +107,7 @@
 	return h.Sum64()
 }
 
-// optional reads what is off unless an operator's file sets it up.
+// optional reads the optional sections.
 func (p *parser) optional(c *Config) {
 	if p.root.Get("activitypub").Exists() {
 		p.activityPub(c)
--- a/internal/relay/config/config_test.go
+++ b/internal/relay/config/config_test.go
@@ -31,23 +31,23 @@
 	if c.Seed != 0x8c1f30d27a5be964 || c.Limits.IdleSocket != 13500*time.Millisecond || c.Limits.Round != 5*time.Millisecond ||
 		c.Limits.DiskBytes != 3<<20 || c.ActivityPub.KeyID != "http://r.example/actor#main-key" || !c.VRRP.Preempt ||
 		c.Plugins[0].Timeout != 10*time.Millisecond {
-		t.Errorf("%+v", c)
+		t.Errorf("configuration %+v", c)
 	}
 	if l := c.Limits; l.ClientConnections+l.IdleEndpoints >= l.Sockets {
-		t.Errorf("%d and %d of %d descriptors leave none", l.ClientConnections, l.IdleEndpoints, l.Sockets)
+		t.Errorf("%d client and %d idle connections leave none of %d descriptors", l.ClientConnections, l.IdleEndpoints, l.Sockets)
 	}
-	// Idle connections must leave descriptors for as many calls as may be out.
+	// Idle connections must leave enough descriptors for the maximum number of calls in flight.
 	if narrow, narrowErr := parse(strings.NewReplacer(`"sockets": 1024`, `"sockets": 128`, `"workers": 4`, `"workers": 32`).Replace(good)); narrowErr != nil ||
 		narrow.Limits.ClientConnections != 64 || narrow.Limits.IdleEndpoints != 16 {
 		t.Errorf("error %v, limits %+v", narrowErr, narrow)
 	}
 	c, err = Parse([]byte(good), func(k string) string { return map[string]string{"RELAY_LISTEN": "127.0.0.2:1"}[k] })
 	if err != nil || c.Listen != "127.0.0.2:1" {
-		t.Errorf("error %v, listen %q: the environment goes first", err, c.Listen)
+		t.Errorf("error %v, listen %q; want the address from the environment", err, c.Listen)
 	}
 }
 
-// TestParse_FaultyKey_IsNamed: the message names the faulty key.
+// TestParse_FaultyKey_IsNamed: the error for an invalid value names its key.
 func TestParse_FaultyKey_IsNamed(t *testing.T) {
 	for _, fault := range []struct{ old, new, key string }{
 		{`"state": "/run/state",`, ``, "state"},
@@ -79,10 +79,10 @@
 		_, err := parse(text)
 		var key *policy.KeyError
 		if !errors.As(err, &key) || key.Source != "config" || key.Key != fault.key {
-			t.Errorf("%s for %s: error %v, want one that names %s", fault.new, fault.old, err, fault.key)
+			t.Errorf("%s instead of %s: error %v, want one for key %s", fault.new, fault.old, err, fault.key)
 		}
 	}
 	if _, err := Load("", func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want one that names RELAY_CONFIG", err)
 	}
 }
--- a/internal/relay/config/limits.go
+++ b/internal/relay/config/limits.go
@@ -6,84 +6,84 @@
 	"mastusher/internal/relay/wire"
 )
 
-// Limits holds every limit on sizes, counts and times outside the module. It is filled once, at start, and
-// handed down.
+// Limits holds every limit on sizes, counts and times outside the decision module. It is set once, when the configuration is
+// read, and passed to all packages that need it.
 type Limits struct {
 	Cores       int
-	MemoryBytes int64 // bytes
+	MemoryBytes int64 // memory of the process, in bytes
 	DiskBytes   int64 // bytes in the state folder
-	Sockets     int   // descriptors of the process
-	HeadSize    int   // bytes of a request's or answer's first line and headers
+	Sockets     int   // file descriptors of the process
+	HeadSize    int   // bytes of the first line and headers of a request or response
 	BodySize    int   // bytes of a body
 	NameSize    int   // bytes of an id or key
 
 	ClientConnections int // at once
-	Queue             int // events on their way to the core; a full queue refuses messages
-	IdleEndpoints     int // connections kept to endpoints, in all
-	IdlePerEndpoint   int
+	Queue             int // events waiting for the core; a full queue refuses messages
+	IdleEndpoints     int // idle connections to all endpoints together
+	IdlePerEndpoint   int // idle connections to one endpoint
 
-	Round             time.Duration // from one turn of the core to the next
-	AnswerWithin      time.Duration // an arrival older than this is refused: its client is about to leave
-	BusyRetry         time.Duration // the wait named in a refusal that the module had no part in
+	Round             time.Duration // interval between turns of the core
+	AnswerWithin      time.Duration // an arrival older than this is refused: its client is about to time out
+	BusyRetry         time.Duration // retry-after of a refusal that the module did not decide
 	ConnectTimeout    time.Duration
-	IdleSocket        time.Duration // a pooled connection is retired after this
-	IdleTrustMin      time.Duration // a connection that stood idle for less is always used again
-	IdleTrustDoubling time.Duration // after a loss on an idle connection, how long until twice the idle time is trusted
-	AnswerRead        time.Duration // an answer must be complete within this, from its first byte
-	MaxInterim        int           // answers to one call, of which all but the last are 1xx
-	FrontIdle         time.Duration // a client's connection may stand idle for this long
-	FrontRead         time.Duration // a request must be complete within this, from its first byte; the first of a connection, from its start
-	FrontWrite        time.Duration // a client takes its answer within this
-	ErrorDelay        time.Duration // after an error the next request on its connection is not read before
-	FrontLinger       time.Duration // how long what follows a faulty request is still read
-	WatchTimeout      time.Duration // a watch that says nothing for so long has timed out
-	WatchRetry        time.Duration // before a watch that did not come up is opened again
-	WatchSpread       time.Duration // over which all relays open theirs anew that fell silent together
-	EndedRetention    time.Duration // how long the id of a message that has ended is known
-	MaxEnded          int           // and of how many
-	NoticeTimeout     time.Duration
-	NoticeRetry       time.Duration // before notices are sent again; doubles with each attempt in a row that fails
-	NoticeRetryMax    time.Duration
-	ParallelNotices   int // calls, where each notice is one
-	MaxRemembered     int // messages that have ended, to answer for when they come again
-	NoticesPerCall    int
-	WindowMargin      time.Duration // no repeat of a keyed message is begun in this last part of its window
-	DrainSends        time.Duration // after SIGTERM, how long attempts are still begun
-	DrainExit         time.Duration // and the core ends within this
-	DrainLinger       time.Duration // clients are still answered for so long
-	DrainClose        time.Duration // then their connections end within this
+	IdleSocket        time.Duration // a pooled connection that is idle for this long is closed
+	IdleTrustMin      time.Duration // a connection that was idle for less is always reused
+	IdleTrustDoubling time.Duration // after a reused connection was lost, the time in which the trusted idle time doubles
+	AnswerRead        time.Duration // time from the first byte of an answer within which it must be complete
+	MaxInterim        int           // maximum answers to one call, including interim ones (1xx)
+	FrontIdle         time.Duration // maximum idle time of a client's connection
+	FrontRead         time.Duration // limit for a request, from its first byte; for the first of a connection, from the connection's start
+	FrontWrite        time.Duration // time within which a client must have read its answer
+	ErrorDelay        time.Duration // delay after an error before the next request on the connection is read
+	FrontLinger       time.Duration // how long data after an invalid request is still read
+	WatchTimeout      time.Duration // a watch without data for this long has timed out
+	WatchRetry        time.Duration // delay before a watch that failed to open is opened again
+	WatchSpread       time.Duration // period over which the relays spread reopening their watches after all timed out together
+	EndedRetention    time.Duration // how long the ids of ended messages are kept
+	MaxEnded          int           // maximum number of ids of ended messages
+	NoticeTimeout     time.Duration // of a call with notices
+	NoticeRetry       time.Duration // delay before notices are sent again; doubles with each consecutive failure
+	NoticeRetryMax    time.Duration // upper limit of that delay
+	ParallelNotices   int           // concurrent calls with notices, if each call carries a single notice
+	MaxRemembered     int           // ended messages whose outcomes are kept to answer resubmissions
+	NoticesPerCall    int           // maximum notices in a call
+	WindowMargin      time.Duration // no repeat of a keyed message begins in this last part of its deduplication window
+	DrainSends        time.Duration // how long after SIGTERM attempts may still begin
+	DrainExit         time.Duration // time after SIGTERM within which the core ends
+	DrainLinger       time.Duration // how long clients are still answered
+	DrainClose        time.Duration // time within which their connections are then closed
 
-	CaptureQueue  int           // batches on their way to a capture's writer
-	CaptureChunk  int           // bytes of records, about, that make a chunk
-	CaptureWithin time.Duration // after which what there is makes one
+	CaptureQueue  int           // batches waiting for a capture's writer
+	CaptureChunk  int           // approximate size of a chunk, in bytes before compression
+	CaptureWithin time.Duration // a chunk is written after this time even if it is smaller
 
-	PluginStart            time.Duration // for an instance's start
-	PluginBudget           time.Duration // for all plug-ins that see a message arrive, of the 400 ms that its client waits
-	PluginGrace            time.Duration // after its deadline a call that can't be stopped is left to itself
-	PluginMemory           int64         // bytes, of all instances together
-	PluginStack            int           // values of eight bytes that the open calls in an instance may take
-	PluginCopyBytes        int           // bytes that a call may have the relay copy out of its memory
-	PluginThreads          int           // that run plug-ins at once
-	PluginYields           bool          // those give way to the relay's own threads
-	PluginBurst            time.Duration // processor time that a plug-in may use at once beyond its share
-	PluginBreakerThreshold float64       // failures that open a circuit breaker, less a part of the good calls
-	PluginBreakerOpen      time.Duration // how long it stays open at first
-	PluginBreakerOpenMax   time.Duration // and at most
-	PluginBreakerTrials    int           // good calls in a row that close it
-	PluginBreakers         int           // that a plug-in keeps breakers for
-	PluginEndQueue         int           // calls after the fact that wait for a plug-in
-	PluginLines            int           // log lines a second, and in one call
+	PluginStart            time.Duration // limit for the start of an instance
+	PluginBudget           time.Duration // for all plug-ins together that inspect an arriving message; its client waits 400 ms
+	PluginGrace            time.Duration // a call that can't be stopped is abandoned this long after its deadline
+	PluginMemory           int64         // memory of all instances together, in bytes
+	PluginStack            int           // maximum stack of an instance, in values of eight bytes
+	PluginCopyBytes        int           // bytes that the relay copies from an instance's memory in one call
+	PluginThreads          int           // threads that run plug-ins concurrently
+	PluginYields           bool          // these threads yield to the relay's other threads
+	PluginBurst            time.Duration // processor time that a plug-in may use in a burst beyond its share
+	PluginBreakerThreshold float64       // count of failures, less a fraction of the successful calls, that opens a circuit breaker
+	PluginBreakerOpen      time.Duration // how long a circuit breaker stays open at first
+	PluginBreakerOpenMax   time.Duration // upper limit of the time that it stays open
+	PluginBreakerTrials    int           // consecutive successful calls that close it
+	PluginBreakers         int           // maximum circuit breakers of a plug-in
+	PluginEndQueue         int           // queued calls of a plug-in for ended messages
+	PluginLines            int           // log lines of a plug-in per second, and in one call
 	PluginReason           int           // bytes of a log line or reason
-	PluginHeaders          int           // set on one message
+	PluginHeaders          int           // headers that plug-ins may set on one message
 	PluginValue            int           // bytes of a header's value
-	PluginHeaderSize       int           // bytes of all headers set on one message
+	PluginHeaderSize       int           // bytes of all headers that plug-ins set on one message
 	PluginSample           int           // bytes of an answer that plug-ins may see
-	PluginRetryAfterMax    time.Duration // that a plug-in may ask for
-	PluginSave             time.Duration // from one saving of the stores to the next
-	PluginCache            int64         // bytes of compiled modules that are kept
+	PluginRetryAfterMax    time.Duration // maximum retry-after in a plug-in's verdict
+	PluginSave             time.Duration // interval at which the plug-ins' stores are saved
+	PluginCache            int64         // bytes of compiled modules in the cache
 }
 
-// limits gives each limit its default, from what the platform grants.
+// limits reads the section limits, and derives the other limits from it and from settings.
 func (p *parser) limits(settings *wire.Settings) Limits {
 	limits := Limits{
 		Cores:       max(1, int(p.number("limits.cores", 1, 0.01, 1024))),
@@ -96,7 +96,8 @@
 		FrontIdle: 2 * time.Second, FrontRead: 2500 * time.Millisecond, FrontWrite: 2 * time.Second,
 		IdleTrustMin: 100 * time.Millisecond, IdleTrustDoubling: 10 * time.Second,
 		AnswerRead: 500 * time.Millisecond, MaxInterim: 64, ErrorDelay: 50 * time.Millisecond, FrontLinger: 400 * time.Millisecond,
-		// A watch says something every 2 s: two of those are missing. What it misses counts as told 6 s after it fell silent.
+		// A watch receives data every 2 s, so at the timeout two such updates are missing. Changes that it misses count as known 6 s
+		// after it fell silent.
 		WatchTimeout: 4400 * time.Millisecond, WatchSpread: 800 * time.Millisecond, WatchRetry: 250 * time.Millisecond,
 		EndedRetention: 5 * time.Second, MaxEnded: 4096,
 		NoticeTimeout: time.Second, NoticeRetry: 100 * time.Millisecond, NoticesPerCall: 200,
@@ -113,8 +114,8 @@
 		PluginCache:  int64(p.number("plugin_host.cache_mb", 64, 1, 1<<12)) << 20,
 		Round:        settings.TurnInterval, ConnectTimeout: settings.ConnectTimeout,
 	}
-	// Half of the descriptors are the clients', and what the calls that are out, the journal, the watch and the
-	// listeners leave of the rest is for idle ones to endpoints, a quarter at most.
+	// Half of the descriptors are for clients. The rest is for calls in flight, 16 for the journal, the watch and the listeners,
+	// and what then remains, but at most a quarter of all, is for idle connections to endpoints.
 	limits.ClientConnections = limits.Sockets / 2
 	limits.IdleEndpoints = max(0, min(limits.Sockets/4, limits.Sockets-limits.ClientConnections-settings.Slots-16))
 	if limits.Round <= 0 {
@@ -123,12 +124,13 @@
 	if limits.ConnectTimeout <= 0 {
 		limits.ConnectTimeout = 1500 * time.Millisecond
 	}
-	// A tenth before the other side would close it, so that no request crosses the close; a second where there is as much.
+	// A connection is closed before the other side closes it, so that no request is sent as that happens: earlier by a tenth of
+	// ConnIdle or, if that is longer, by a second but at most a third of ConnIdle.
 	if limits.IdleSocket = settings.ConnIdle - max(settings.ConnIdle/10, min(time.Second, settings.ConnIdle/3)); settings.ConnIdle == 0 {
 		limits.IdleSocket = 10 * time.Second
 	}
-	// Where the list is pushed, what discovery has to tell at its return counts as told at once: the watch is to be back well
-	// within the grace for drains.
+	// Where the endpoint list is pushed, changes that discovery has at its return count as known at once, so the watch must be
+	// open again well within DrainGrace.
 	if !settings.MustSubscribe && settings.DrainGrace > 0 {
 		limits.WatchRetry = min(limits.WatchRetry, settings.DrainGrace/4)
 	}
--- a/internal/relay/config/parser.go
+++ b/internal/relay/config/parser.go
@@ -11,18 +11,18 @@
 	"mastusher/internal/relay/fleet/policy"
 )
 
-// NewKeyError returns a *policy.KeyError that names the key of the configuration that is at fault.
+// NewKeyError returns a *policy.KeyError for an invalid key of the configuration.
 func NewKeyError(key, reason string) error {
 	return &policy.KeyError{Source: "config", Key: key, Reason: reason}
 }
 
-// parser reads keys by path and keeps the first error.
+// parser reads the values of keys, given by path, and keeps the first error.
 type parser struct {
 	root gjson.Result
 	err  error
 }
 
-// fail notes a fault, unless there was one before.
+// fail sets the error, unless there is one already.
 func (p *parser) fail(key, why string) {
 	if p.err == nil {
 		p.err = NewKeyError(key, why)
@@ -44,7 +44,7 @@
 	return v.String()
 }
 
-// required is a text that must be there.
+// required returns a text that must not be missing or empty.
 func (p *parser) required(key string) string {
 	v := p.text(key, "")
 	p.require(key, v != "", "missing or empty")
@@ -72,7 +72,7 @@
 	return v.Bool()
 }
 
-// number is a number between lowest and highest; one that has no default that is allowed must be there.
+// number returns a number from lowest to highest. A default below lowest means that the key must be present.
 func (p *parser) number(key string, def, lowest, highest float64) float64 {
 	v := p.root.Get(key)
 	if !v.Exists() {
@@ -94,7 +94,7 @@
 	return d
 }
 
-// each calls do with the key of each entry of a list.
+// each calls do with the path of each element of a list.
 func (p *parser) each(key string, do func(at string)) {
 	v := p.root.Get(key)
 	p.require(key, !v.Exists() || v.IsArray(), "want a list")
@@ -103,10 +103,10 @@
 	}
 }
 
-// maxNameBytes bounds the names that operators give.
+// maxNameBytes limits names in the configuration.
 const maxNameBytes = 64
 
-// isName tells whether a text can be a name: letters, digits and the characters of punctuation, maxNameBytes at most.
+// isName reports whether a text is a name: 1 to maxNameBytes letters, digits or characters of punctuation.
 func isName(text, punctuation string) bool {
 	return text != "" && len(text) <= maxNameBytes && !strings.ContainsFunc(text, func(r rune) bool {
 		return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune(punctuation, r))
--- a/internal/relay/config/peers.go
+++ b/internal/relay/config/peers.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// Peers sets up the relay's part in a fleet whose relays talk to each other.
+// Peers is the configuration of a relay in a fleet, whose relays exchange datagrams.
 type Peers struct {
-	Fleet                string            // messages of another are dropped
-	Name                 string            // this relay's
+	Fleet                string            // name of the fleet; datagrams of other fleets are dropped
+	Name                 string            // name of this relay
 	Listen               string            // UDP address
 	Addresses            map[string]string // the other relays' addresses, by name
-	Voters               []string          // those who have a say
-	State                string            // folder that lasts
-	Lease                time.Duration     // a relay that hears nothing acts for this long at most
-	Drift                float64           // how much faster or slower than another's a clock may run, as a share
-	ServeWhenPartitioned bool              // a relay that is cut off goes on; otherwise it refuses
-	GuaranteedShare      float64           // of each limit, that is the relays' own and never lent; 0: they share nothing
+	Voters               []string          // names of the voting relays
+	State                string            // persistent folder for the state
+	Lease                time.Duration     // how long a relay that hears from no other may go on acting
+	Drift                float64           // maximum relative difference between the rates of two relays' clocks
+	ServeWhenPartitioned bool              // a relay cut off from the others goes on serving; otherwise it refuses messages
+	GuaranteedShare      float64           // share of each limit that is divided among the relays and never lent; 0: limits are not shared
 }
 
-// Roster is the names of all relays of the fleet, sorted.
+// Roster returns the names of all relays of the fleet, sorted.
 func (p *Peers) Roster() []string {
 	return slices.Sorted(slices.Values(append(slices.Collect(maps.Keys(p.Addresses)), p.Name)))
 }
 
-// maxPeers bounds a fleet: the state that a datagram carries holds all names.
+// maxPeers limits the size of a fleet: the state in a datagram holds the names of all relays.
 const maxPeers = 1000
 
-// peers reads the section peers, where there is one.
+// peers reads the section peers, if there is one.
 func (p *parser) peers(cfg *Config) {
 	if !p.root.Get("peers").Exists() {
 		return
@@ -48,10 +48,10 @@
 		p.address(at, address.String())
 		peers.Addresses[name] = address.String()
 	}
-	p.require("peers.others", len(peers.Addresses) < maxPeers, "too many")
+	p.require("peers.others", len(peers.Addresses) < maxPeers, "want fewer than 1000 relays")
 	p.each("peers.voters", func(at string) {
 		name := p.required(at)
-		p.require(at, name == peers.Name || peers.Addresses[name] != "", "no relay of that name")
+		p.require(at, name == peers.Name || peers.Addresses[name] != "", "no relay of that name in the fleet")
 		p.require(at, !slices.Contains(peers.Voters, name), "named twice")
 		peers.Voters = append(peers.Voters, name)
 	})
@@ -65,11 +65,11 @@
 	cfg.Peers = peers
 }
 
-// address checks an address that datagrams can be sent to.
+// address checks that a text is an address that datagrams can be sent to.
 func (p *parser) address(key, text string) {
 	address, err := netip.ParseAddrPort(text)
 	p.require(key, err == nil && address.Addr().Is4() && address.Port() != 0, "want an IPv4 address with a port, such as 10.0.0.7:7400")
 }
 
-// relayName tells whether a relay may be called so.
+// relayName reports whether a text is valid as the name of a relay.
 func relayName(name string) bool { return isName(name, "-_.") }
--- a/internal/relay/config/peers_test.go
+++ b/internal/relay/config/peers_test.go
@@ -8,7 +8,7 @@
 	"mastusher/internal/relay/fleet/policy"
 )
 
-// TestParse_FaultyPeers_KeyIsNamed: a faulty section names its key.
+// TestParse_FaultyPeers_KeyIsNamed: the error for an invalid value in the section peers names its key.
 func TestParse_FaultyPeers_KeyIsNamed(t *testing.T) {
 	const base = `{"listen": "127.0.0.1:1", "state": "s", "settings": {"peers_total": 1, "allowed": {"max_attempts": 6}, "family_info": {"workers": 4},
 	  "lanes": [{"name": "match-event", "deadline": 1000000}]}, "peers": PEERS}`
@@ -28,7 +28,7 @@
 		_, err := Parse([]byte(strings.Replace(base, "PEERS", strings.Replace(good, x.old, x.new, 1), 1)), none)
 		var key *policy.KeyError
 		if !errors.As(err, &key) || key.Source != "config" || key.Key != x.key {
-			t.Errorf("%s instead of %s: %v, want key %s named", x.new, x.old, err, x.key)
+			t.Errorf("%s instead of %s: error %v, want one for key %s", x.new, x.old, err, x.key)
 		}
 	}
 }
--- a/internal/relay/config/plugins.go
+++ b/internal/relay/config/plugins.go
@@ -10,34 +10,34 @@
 	"mastusher/control"
 )
 
-// Plugin is one WebAssembly plug-in.
+// Plugin is the configuration of one WebAssembly plug-in.
 type Plugin struct {
-	Key        string // where it stands in the configuration
+	Key        string // path of its section in the configuration
 	Name, File string
-	Fronts     []string      // names; none: all
-	Partners   []int         // none: all
-	Classes    []int         // none: all
-	Phases     []string      // arrival, answer, end; none: all that it takes part in
-	Timeout    time.Duration // of one call
-	MemoryMB   int           // of one instance
+	Fronts     []string      // names of the fronts it is called for; none: all
+	Partners   []int         // numbers of the partners it is called for; none: all
+	Classes    []int         // indexes of the classes it is called for; none: all
+	Phases     []string      // arrival, answer or end; none: all that the plug-in implements
+	Timeout    time.Duration // maximum duration of one call
+	MemoryMB   int           // maximum memory of one instance
 	Instances  int
-	Share      float64 // of one core
-	Reject     bool    // a message is turned away when the plug-in fails; otherwise it passes
+	Share      float64 // share of one processor core
+	Reject     bool    // if the plug-in fails the message is rejected; otherwise it passes
 	StoreKB    int
-	Config     string // JSON, handed to the plug-in as it is
+	Config     string // JSON, passed to the plug-in unchanged
 }
 
-// PluginHost is what all plug-ins share.
+// PluginHost is the configuration common to all plug-ins.
 type PluginHost struct {
-	On    bool   // there are plug-ins, or may be after a reload
+	On    bool   // there are plug-ins, or a reload may add some
 	Cache string // folder for compiled modules; "": none
-	Store string // folder for the plug-ins' stores; "": they are not kept
+	Store string // folder for the plug-ins' stores; "": stores are not saved
 }
 
-// pluginName tells whether a plug-in may be called so: the name is a file's too.
+// pluginName reports whether a text is valid as the name of a plug-in, which is also part of file names.
 func pluginName(name string) bool { return isName(name, "-_") }
 
-// plugins reads the plug-ins, and as plug-ins the hooks of earlier configurations.
+// plugins reads the lists plugins and hooks; the latter is the name of the list in older configurations.
 func (p *parser) plugins(c *Config) {
 	host := &c.PluginHost
 	host.Cache, host.Store = p.text("plugin_host.cache", ""), p.text("plugin_host.store", "")
@@ -46,15 +46,15 @@
 	p.each("hooks", one)
 	p.each("plugins", one)
 	host.On = len(c.Plugins) > 0 || p.root.Get("plugin_host").Exists()
-	// An instance that could not have its first page would only be found out under load.
+	// Each instance needs its first page of memory. Without this check a lack of memory would only show under load.
 	needed := int64(0) // bytes
 	for _, plugin := range c.Plugins {
 		needed += int64(plugin.Instances) << 16
 	}
-	p.require("plugin_host.memory_mb", needed <= c.Limits.PluginMemory, "too little for the instances that are set up")
+	p.require("plugin_host.memory_mb", needed <= c.Limits.PluginMemory, "too small for the configured instances, which need 64 KB each")
 }
 
-// plugin reads one plug-in; seen are the names of those before it.
+// plugin reads one plug-in; seen holds the names of the plug-ins before it.
 func (p *parser) plugin(cfg *Config, key string, seen map[string]bool) {
 	plugin := Plugin{Key: key, Name: p.text(key+".name", fmt.Sprintf("plugin-%d", len(cfg.Plugins))), File: p.required(key + ".file"),
 		Timeout:   p.duration(key+".timeout", 10*time.Millisecond),
@@ -63,10 +63,10 @@
 		Share:     p.number(key+".cpu_share", 0.05, 0.001, 1),
 		StoreKB:   int(p.number(key+".store_kb", 64, 0, 1<<16))}
 	p.require(key+".name", pluginName(plugin.Name), "want letters, digits, - and _, 64 at most")
-	p.require(key+".name", !seen[plugin.Name], "given to two plug-ins")
+	p.require(key+".name", !seen[plugin.Name], "used by another plug-in")
 	seen[plugin.Name] = true
 	p.require(key+".timeout", plugin.Timeout <= cfg.Limits.PluginBudget,
-		fmt.Sprintf("more than the %v that all plug-ins together may take", cfg.Limits.PluginBudget))
+		fmt.Sprintf("want at most the %v that all plug-ins together may take", cfg.Limits.PluginBudget))
 	p.each(key+".fronts", func(at string) {
 		front := p.required(at)
 		p.require(at, front == "platform" || front == "activitypub", "want platform or activitypub")
@@ -88,24 +88,25 @@
 	p.require(key+".on_failure", fail == "pass" || fail == "reject", "want pass or reject")
 	plugin.Reject = fail == "reject"
 	if v := p.root.Get(key + ".config"); v.Exists() {
-		p.require(key+".config", len(v.Raw) <= 16<<10, "more than 16 KB")
+		p.require(key+".config", len(v.Raw) <= 16<<10, "want at most 16 KB")
 		plugin.Config = v.Raw
 	}
 	cfg.Plugins = append(cfg.Plugins, plugin)
 }
 
-// ForPlugin is a configuration with one plug-in and nothing else, for the tools of authors. Limits and settings are
-// those of the plug-in of a name in from, or the defaults where from is nil.
+// ForPlugin returns a configuration with a single plug-in, for the tools of plug-in authors. If from is not nil, the
+// configuration of the plug-in called name in it, its limits, settings and seed are used instead of the defaults. A settings
+// text that is not empty replaces the plug-in's Config.
 func ForPlugin(file string, from *Config, name, seedText, settings string) (*Config, error) {
 	p := &parser{}
 	c := &Config{Plugins: []Plugin{{Key: "plugins.0", Name: "plugin", Timeout: 10 * time.Millisecond, MemoryMB: 16, Instances: 2,
 		Share: 1, StoreKB: 64}}}
 	c.Limits = p.limits(&c.Settings)
-	c.Limits.PluginYields = false // there is no relay to give way to
+	c.Limits.PluginYields = false // the tools run no relay that plug-ins have to yield to
 	if from != nil {
 		i := slices.IndexFunc(from.Plugins, func(g Plugin) bool { return g.Name == name })
 		if i < 0 {
-			return nil, NewKeyError("plugins", fmt.Sprintf("none is called %q", name))
+			return nil, NewKeyError("plugins", fmt.Sprintf("no plug-in is called %q", name))
 		}
 		c.Plugins[0], c.Limits, c.Settings, c.Seed = from.Plugins[i], from.Limits, from.Settings, from.Seed
 		c.PluginHost.Cache = from.PluginHost.Cache
--- a/internal/relay/config/vrrp.go
+++ b/internal/relay/config/vrrp.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// VRRP sets up the virtual router whose state opens or shuts the ActivityPub front.
+// VRRP is the configuration of the virtual router whose state opens and closes the ActivityPub front.
 type VRRP struct {
-	Listen     string // UDP address
-	Peers      []string
+	Listen     string   // UDP address
+	Peers      []string // UDP addresses of the other routers
 	VRID       uint8
 	Priority   uint8
 	Advertise  time.Duration
 	Preempt    bool
-	Address    net.IP   // this router's own, for ties
-	Virtual    []net.IP // the addresses that it stands for
+	Address    net.IP   // this router's own address, which decides between equal priorities
+	Virtual    []net.IP // the addresses of the virtual router
 	AcceptMode bool
 }
 
@@ -28,7 +28,7 @@
 		"want 10ms to 40.95s")
 	p.each("vrrp.peers", func(at string) { v.Peers = append(v.Peers, p.required(at)) })
 	p.each("vrrp.virtual", func(at string) { v.Virtual = append(v.Virtual, p.ip(at)) })
-	p.require("vrrp", c.ActivityPub != nil, "it opens and shuts the activitypub front, which is off")
+	p.require("vrrp", c.ActivityPub != nil, "want a section activitypub too: vrrp opens and closes that front")
 	p.require("vrrp.virtual", len(v.Virtual) > 0 && len(v.Virtual) < 256, "want 1 to 255 addresses")
 	c.VRRP = v
 }
--- a/internal/relay/vrrp/machine.go
+++ b/internal/relay/vrrp/machine.go
@@ -15,25 +15,25 @@
 	Active
 )
 
-// String returns the state's name in lower case, as logs have it.
+// String returns the state's name in lower case, as in logs.
 func (s State) String() string { return [...]string{"initialize", "backup", "active"}[s] }
 
-// Router is a virtual router's settings at this machine.
+// Router holds this machine's settings for a virtual router.
 type Router struct {
 	VRID      uint8         // of the virtual router
 	Priority  uint8         // 1 to 255; 255: this machine owns the addresses
-	Advertise time.Duration // between two advertisements; shorter finds a dead router earlier and costs packets
-	Preempt   bool          // a router of lower priority that is active is replaced
-	Address   netip.Addr    // this machine's; between equal priorities the higher one wins
+	Advertise time.Duration // advertisement interval; a shorter one detects a dead router earlier but sends more packets
+	Preempt   bool          // take over from an active router of lower priority
+	Address   netip.Addr    // this machine's address; between equal priorities the higher address wins
 	Virtual   []netip.Addr  // the addresses of the virtual router
 }
 
-// Machine is the state machine. It reads no clock: each call is given the time, and returns the advertisements to send. It is not safe for
-// concurrent use.
+// Machine is the state machine. It reads no clock: callers pass the time, and send the advertisements that a method returns. It is not safe
+// for concurrent use.
 type Machine struct {
 	router              Router
 	state               State
-	activeAdverInterval time.Duration // Active_Adver_Interval: what the active router advertises
+	activeAdverInterval time.Duration // Active_Adver_Interval: the interval that the active router advertises
 	activeDownTimer     time.Time     // Active_Down_Timer, in Backup
 	adverTimer          time.Time     // Adver_Timer, in Active
 }
@@ -44,7 +44,7 @@
 // State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// Due returns when Tick has to be called; the zero time: never.
+// Due returns the time at which Tick has to be called; zero: never.
 func (m *Machine) Due() time.Time {
 	switch m.state {
 	case Backup:
@@ -55,26 +55,26 @@
 	return time.Time{}
 }
 
-// skewTime is Skew_Time: the lower the priority, the longer a router waits before it takes over.
+// skewTime returns Skew_Time: the lower its priority, the longer a router waits before it takes over.
 func (m *Machine) skewTime() time.Duration {
 	return time.Duration(256-int(m.router.Priority)) * m.activeAdverInterval / 256
 }
 
-// activeDownInterval is Active_Down_Interval: the silence after which the active router counts as down.
+// activeDownInterval returns Active_Down_Interval: after this time without an advertisement the active router counts as down.
 func (m *Machine) activeDownInterval() time.Duration { return 3*m.activeAdverInterval + m.skewTime() }
 
-// packet is an advertisement of this router with a priority.
+// packet returns an advertisement of this router with a priority.
 func (m *Machine) packet(priority uint8) Packet {
 	return Packet{VRID: m.router.VRID, Priority: priority, Advertise: m.router.Advertise, Addresses: m.router.Virtual}
 }
 
-// activate makes this router the active one, if it is not yet, and returns its advertisement.
+// activate makes this router active if it is not, restarts the advertisement timer, and returns an advertisement.
 func (m *Machine) activate(now time.Time) []Packet {
 	m.state, m.adverTimer = Active, now.Add(m.router.Advertise)
 	return []Packet{m.packet(m.router.Priority)}
 }
 
-// Startup leaves Initialize: the owner of the addresses becomes active at once, others Backup. In any other state it does nothing.
+// Startup leaves Initialize: the owner of the addresses becomes Active at once, any other router Backup. In other states it does nothing.
 func (m *Machine) Startup(now time.Time) []Packet {
 	if m.state != Initialize {
 		return nil
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// Shutdown goes back to Initialize; an active router advertises priority 0, so that the others do not wait for their time-outs.
+// Shutdown returns to Initialize. An active router advertises priority 0, so that the others do not wait for their timeouts.
 func (m *Machine) Shutdown() []Packet {
 	was := m.state
 	if m.state = Initialize; was == Active {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// Tick handles the timer if it is due: a Backup becomes active, an active router advertises again.
+// Tick handles the timer if it is due: a backup router becomes active, an active router sends its next advertisement.
 func (m *Machine) Tick(now time.Time) []Packet {
 	if due := m.Due(); due.IsZero() || now.Before(due) {
 		return nil
@@ -104,7 +104,7 @@
 	return m.activate(now)
 }
 
-// Receive handles an advertisement for this virtual router from the router at an address.
+// Receive handles an advertisement for this virtual router from the router at address from.
 func (m *Machine) Receive(now time.Time, p Packet, from netip.Addr) []Packet {
 	switch m.state {
 	case Backup:
@@ -122,7 +122,7 @@
 		case p.Priority > m.router.Priority || p.Priority == m.router.Priority && m.router.Address.Less(from):
 			m.state, m.activeAdverInterval = Backup, p.Advertise
 			m.activeDownTimer = now.Add(m.activeDownInterval())
-		default: // show the other router, which took this one for absent, that it is there
+		default: // tell the other router, which took this one for down, that it is active
 			return []Packet{m.packet(m.router.Priority)}
 		}
 	}
--- a/internal/relay/vrrp/packet.go
+++ b/internal/relay/vrrp/packet.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Packet is an advertisement (section 5.2).
+// Packet is an advertisement (RFC 9568, section 5.2).
 type Packet struct {
 	VRID      uint8         // of the virtual router
-	Priority  uint8         // 0: the router stops being active; 255: it owns the addresses
+	Priority  uint8         // 0: the sender stops being active; 255: it owns the addresses
 	Advertise time.Duration // Max Advertise Interval, in whole centiseconds on the wire
 	Addresses []netip.Addr  // all of one family
 }
 
-// The errors of Decode: why a packet is dropped (section 7.1).
+// Errors of Decode, the reasons to drop a packet (section 7.1).
 var (
-	// ErrShort is returned for less than a header.
-	ErrShort = errors.New("vrrp: too short")
-	// ErrVersion is returned for another version than 3.
+	// ErrShort is returned for a packet shorter than a header.
+	ErrShort = errors.New("vrrp: packet shorter than a header")
+	// ErrVersion is returned for a version other than 3.
 	ErrVersion = errors.New("vrrp: not version 3")
-	// ErrType is returned for another type than an advertisement, the only one that the RFC has.
+	// ErrType is returned for a type other than advertisement, the only one that the RFC defines.
 	ErrType = errors.New("vrrp: not an advertisement")
-	// ErrCount is returned for a packet without addresses, or with another number of them than it says.
-	ErrCount = errors.New("vrrp: the count of addresses does not fit its length")
-	// ErrChecksum is returned for a packet that was damaged, or went between other addresses.
+	// ErrCount is returned for a packet without addresses, or with more or fewer than it states.
+	ErrCount = errors.New("vrrp: address count does not match the packet's length")
+	// ErrChecksum is returned for a packet that was damaged, or for one of IPv6 between other addresses.
 	ErrChecksum = errors.New("vrrp: wrong checksum")
 	// ErrInterval is returned for an advertisement interval of 0.
-	ErrInterval = errors.New("vrrp: no advertisement interval")
+	ErrInterval = errors.New("vrrp: advertisement interval is 0")
 )
 
 const (
@@ -37,11 +37,11 @@
 	advertisement   = 1 // the type of a packet
 	centisecond     = 10 * time.Millisecond
 	maxCentiseconds = 0xfff
-	protocol        = 112 // of VRRP, in the pseudo-header
+	protocol        = 112 // protocol number of VRRP, for the pseudo-header
 )
 
-// Encode returns the packet as it goes from one address to another; an interval that the wire can't carry becomes the nearest that it can. As
-// section 5.2.8 has it, the checksum of IPv4 covers the packet alone, that of IPv6 a pseudo-header too.
+// Encode encodes the packet for sending from one address to another. An interval that the format can't hold becomes the nearest that it
+// can. By section 5.2.8 the checksum covers only the packet for IPv4, and also a pseudo-header for IPv6.
 func (p *Packet) Encode(from, to netip.Addr) []byte {
 	b := []byte{version<<4 | advertisement, p.VRID, p.Priority, byte(len(p.Addresses)), 0, 0, 0, 0}
 	binary.BigEndian.PutUint16(b[4:], uint16(min(max(p.Advertise/centisecond, 1), maxCentiseconds)))
@@ -52,7 +52,7 @@
 	return b
 }
 
-// Decode checks and decodes a packet that went from one address to another; the packet shares no memory with b.
+// Decode checks and decodes a packet that was sent from one address to another. The result shares no memory with b.
 func Decode(b []byte, from, to netip.Addr) (Packet, error) {
 	if len(b) < headerBytes {
 		return Packet{}, ErrShort
@@ -85,7 +85,7 @@
 	return p, nil
 }
 
-// checksum is the one's complement of the one's complement sum: 0 over a packet whose checksum is right.
+// checksum returns the one's complement of the one's complement sum of a packet, which is 0 if its checksum field is correct.
 func checksum(b []byte, from, to netip.Addr) uint16 {
 	sum := uint32(0)
 	add := func(b []byte) {
--- a/internal/relay/vrrp/router.go
+++ b/internal/relay/vrrp/router.go
@@ -12,24 +12,24 @@
 	"mastusher/internal/relay/config"
 )
 
-// Counters are the packets since the start.
+// Counters holds numbers of packets since the start.
 type Counters struct {
 	Accepted, Sent atomic.Uint64
-	// Dropped: those that Decode rejects, the ones with a wrong checksum counted separately; of another virtual router; of an address that
-	// is not a peer's; and this router's own.
+	// Dropped packets: those that Decode rejects, with wrong checksums counted separately; of another virtual router; from an address that
+	// is not a peer's; and from this router itself.
 	Malformed, Checksum, OtherRouter, UnknownPeer, Own atomic.Uint64
 }
 
-// Instance runs a machine over UDP. Its methods may be called from any goroutine.
+// Instance runs a Machine over UDP. Its methods may be called from any goroutine.
 type Instance struct {
 	Counts Counters
 
-	mu           sync.Mutex // guards machine, and keeps its packets in their order
+	mu           sync.Mutex // guards machine, and keeps its packets in order
 	machine      *Machine
 	conn         *net.UDPConn
 	address      netip.Addr // of this machine
 	vrid         uint8
-	peers        map[netip.Addr]netip.AddrPort // where each is sent to; never changed
+	peers        map[netip.Addr]netip.AddrPort // the address to send to, by the peer's IP address; never changed
 	log          *slog.Logger
 	active       atomic.Bool    // the machine's state is Active
 	timerChanged chan struct{}  // the machine's timer may have changed
@@ -38,8 +38,8 @@
 	done         sync.WaitGroup // of the two goroutines
 }
 
-// Listen starts a router on its UDP address. It returns a config.KeyError for an address that can't be used, or the socket's error; Shutdown
-// ends it.
+// Listen starts a router on its UDP address. Its error is a *policy.KeyError for an invalid address, or the socket's error. Shutdown ends
+// the router.
 func Listen(cfg *config.VRRP, log *slog.Logger) (*Instance, error) {
 	listen, err := net.ResolveUDPAddr("udp", cfg.Listen)
 	if err != nil {
@@ -68,14 +68,14 @@
 	return in, nil
 }
 
-// newRouter converts the configuration; all addresses must be of one family.
+// newRouter converts the configuration. All addresses must be of the same address family.
 func newRouter(cfg *config.VRRP) (Router, error) {
 	address, _ := netip.AddrFromSlice(cfg.Address)
 	router := Router{VRID: cfg.VRID, Priority: cfg.Priority, Advertise: cfg.Advertise, Preempt: cfg.Preempt, Address: address.Unmap()}
 	for _, ip := range cfg.Virtual {
 		virtual, _ := netip.AddrFromSlice(ip)
 		if virtual = virtual.Unmap(); virtual.Is4() != router.Address.Is4() {
-			return Router{}, config.NewKeyError("vrrp.virtual", "not of the family of vrrp.address")
+			return Router{}, config.NewKeyError("vrrp.virtual", "want addresses of the same family as vrrp.address")
 		}
 		router.Virtual = append(router.Virtual, virtual)
 	}
@@ -85,7 +85,7 @@
 // Active reports whether this router is responsible for the virtual addresses.
 func (in *Instance) Active() bool { return in.active.Load() }
 
-// Shutdown leaves the virtual router to the others, ends the goroutines and waits for them. It may be called more than once.
+// Shutdown stops the state machine, which tells the peers, and waits for the goroutines to end. It may be called more than once.
 func (in *Instance) Shutdown() {
 	in.once.Do(func() {
 		in.step(func(time.Time) []Packet { return in.machine.Shutdown() })
@@ -99,7 +99,7 @@
 	})
 }
 
-// step calls the machine by do, logs a change of its state, and sends the packets to all peers.
+// step calls do, which calls a method of the machine. Then it logs a change of state and sends the returned packets to all peers.
 func (in *Instance) step(do func(now time.Time) []Packet) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -122,10 +122,10 @@
 	}
 }
 
-// maxPacketBytes is the size of the buffer for packets, far above that of any with a sensible number of addresses.
+// maxPacketBytes is the size of the buffer for packets: enough for 255 IPv6 addresses, the most that a packet can hold.
 const maxPacketBytes = 4096
 
-// read receives packets until the socket is closed. It is a goroutine of its own.
+// read receives packets until the socket is closed. It runs on its own goroutine.
 func (in *Instance) read() {
 	defer in.done.Done()
 	buf := make([]byte, maxPacketBytes)
@@ -140,7 +140,7 @@
 	}
 }
 
-// receive counts a packet, and passes it to the machine if it is a peer's for this virtual router.
+// receive counts a packet, and passes it to the machine if it is valid, from a peer and for this virtual router.
 func (in *Instance) receive(b []byte, from netip.Addr) {
 	p, err := Decode(b, from, in.address)
 	switch _, known := in.peers[from]; {
@@ -160,7 +160,7 @@
 	}
 }
 
-// runTimer calls the machine's Tick when it is due, until Shutdown. It is a goroutine of its own.
+// runTimer calls the machine's Tick when it is due, until Shutdown. It runs on its own goroutine.
 func (in *Instance) runTimer() {
 	defer in.done.Done()
 	for {
--- a/internal/relay/vrrp/vrrp_test.go
+++ b/internal/relay/vrrp/vrrp_test.go
@@ -26,15 +26,15 @@
 	t0        = time.Unix(1_700_000_000, 0)
 )
 
-// scripts walk a machine through RFC 9568, section 6.4: a line is the time in ms since the start and the event, then the state, when the timer
-// is due (ms since the start; 0: never) and the priorities that are advertised.
+// scripts test a machine against RFC 9568, section 6.4. A line is the time in ms since the start and the event, then the resulting state,
+// the time at which the timer is due (ms since the start; 0: never) and the priorities that are advertised.
 var scripts = []struct {
 	name     string
 	priority uint8
 	preempt  bool
 	script   string
 }{
-	{"nobody is heard: skew and three intervals, then active", 128, true, `
+	{"without advertisements it is active after three intervals and the skew", 128, true, `
 			0 start backup 3500
 			3499 tick backup 3500
 			3500 tick active 4500 128
@@ -43,30 +43,30 @@
 	{"the owner is active at once", 255, true, `
 			0 start active 1000 255
 			10 hear 254 high active 1000 255`},
-	{"a lower one is preempted", 128, true, `
+	{"a router of lower priority is preempted", 128, true, `
 			0 start backup 3500
 			500 hear 50 high backup 3500
 			3500 tick active 4500 128`},
-	{"a lower one is left alone without preemption", 128, false, `
+	{"without preemption a router of lower priority stays active", 128, false, `
 			0 start backup 3500
 			500 hear 50 high backup 4000`},
-	{"priority 0: only the skew is waited for", 128, true, `
+	{"after priority 0 it waits only for the skew", 128, true, `
 			0 start backup 3500
 			500 hear 200 high backup 4000
 			1000 hear 0 high backup 1500
 			1500 tick active 2500 128`},
-	{"an active router yields to a higher one, and among equals to the higher address", 128, true, `
+	{"an active router yields to a higher priority, or to a higher address of equal priority", 128, true, `
 			0 start backup 3500
 			3500 tick active 4500 128
 			3700 hear 128 low active 4500 128
 			3800 hear 128 high backup 7300
 			7300 tick active 8300 128
 			7500 hear 129 low backup 11000`},
-	{"an active router that hears priority 0 asserts itself", 128, true, `
+	{"an active router that receives priority 0 advertises at once", 128, true, `
 			0 start backup 3500
 			3500 tick active 4500 128
 			4000 hear 0 high active 5000 128`},
-	{"stopped in backup nothing is said", 128, true, `
+	{"a backup router that stops advertises nothing", 128, true, `
 			0 start backup 3500
 			1 stop initialize 0
 			2 hear 0 high initialize 0
@@ -92,7 +92,7 @@
 	}
 }
 
-// runLine has the event of a script's line happen and returns the line that describes the result.
+// runLine passes the event of a script's line to the machine and returns the line with the actual result.
 func runLine(t *testing.T, machine *Machine, fields []string) string {
 	t.Helper()
 	ms, err := strconv.Atoi(fields[0])
@@ -118,7 +118,7 @@
 		received := Packet{VRID: 7, Priority: uint8(priority), Advertise: time.Second}
 		sent = machine.Receive(now, received, map[string]netip.Addr{"low": low, "high": high}[fields[3]])
 	default:
-		t.Fatalf("no event %q", fields[1])
+		t.Fatalf("unknown event %q", fields[1])
 	}
 	due := int64(0)
 	if !machine.Due().IsZero() {
@@ -131,7 +131,7 @@
 	return line
 }
 
-// good is an advertisement whose checksum was worked out by hand: 3107+6401+0064+0a00+0064 = 9fd0.
+// good is an advertisement. Its checksum is the complement of 3107+6401+0064+0a00+0064 = 9fd0.
 var good = []byte{0x31, 7, 100, 1, 0, 100, 0x60, 0x2f, 10, 0, 0, 100}
 
 func TestPacket_EncodedAndDecoded_IsTheSame(t *testing.T) {
@@ -141,16 +141,16 @@
 	}
 	for _, test := range []struct {
 		name string
-		byte int  // that is changed
-		to   byte // what it is changed to
+		byte int  // index of the changed byte
+		to   byte // its new value
 		err  error
 	}{
 		{"intact", 0, 0x31, nil},
 		{"version 2", 0, 0x21, ErrVersion},
 		{"not an advertisement", 0, 0x32, ErrType},
-		{"count", 3, 2, ErrCount},
+		{"wrong count", 3, 2, ErrCount},
 		{"no address", 3, 0, ErrCount},
-		{"one bit", 11, 101, ErrChecksum},
+		{"one bit changed", 11, 101, ErrChecksum},
 	} {
 		b := bytes.Clone(good)
 		b[test.byte] = test.to
@@ -171,12 +171,13 @@
 	if _, err := Decode(b, six, other); err != nil {
 		t.Error(err)
 	}
-	if _, err := Decode(b, six, virtual); !errors.Is(err, ErrChecksum) { // the pseudo-header counts
+	if _, err := Decode(b, six, virtual); !errors.Is(err, ErrChecksum) { // the checksum covers the pseudo-header
 		t.Errorf("error %v, want %v", err, ErrChecksum)
 	}
 }
 
-// TestInstance_ForeignPackets_AreDroppedAndCounted: what is not an advertisement of this virtual router from a peer is dropped and counted.
+// TestInstance_ForeignPackets_AreDroppedAndCounted: packets other than a peer's advertisements of this virtual router are dropped and
+// counted by reason.
 func TestInstance_ForeignPackets_AreDroppedAndCounted(t *testing.T) {
 	in, err := Listen(&config.VRRP{Listen: "127.0.0.1:0", VRID: 7, Priority: 100, Advertise: 40 * time.Second,
 		Address: net.ParseIP("127.0.0.1"), Virtual: []net.IP{net.ParseIP("10.0.0.100")}, Peers: []string{"127.0.0.2:9"}},
