--- a/internal/relay/activitypub/inbox.go
+++ b/internal/relay/activitypub/inbox.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// textAnswer is an answer whose body is a line of text.
+// textAnswer returns an answer whose body is a line of text.
 func textAnswer(status int, text string) httpwire.Answer {
 	return httpwire.Answer{Status: status, Header: []string{"Content-Type", "text/plain"}, Body: []byte(text + "\n")}
 }
--- a/internal/relay/capture/chunk.go
+++ b/internal/relay/capture/chunk.go
@@ -14,10 +14,10 @@
 
 // Head is the header of a chunk, which tells what the chunk holds.
 type Head struct {
-	First    time.Duration `cbor:"1,keyasint"` // time of the chunk's first turn, on the module's clock; Last: of its last turn
-	Last     time.Duration `cbor:"2,keyasint"`
-	Turn     uint64        `cbor:"3,keyasint"` // number of its first turn
-	Turns    int           `cbor:"4,keyasint"`
+	First    time.Duration `cbor:"1,keyasint"`           // time of the chunk's first turn, on the module's clock
+	Last     time.Duration `cbor:"2,keyasint"`           // time of its last turn
+	Turn     uint64        `cbor:"3,keyasint"`           // number of its first turn
+	Turns    int           `cbor:"4,keyasint"`           // number of turns in it
 	Size     int           `cbor:"5,keyasint"`           // bytes of the body before compression
 	State    bool          `cbor:"6,keyasint,omitempty"` // the chunk begins with the whole state, so a replay can start here
 	Messages []uint32      `cbor:"7,keyasint,omitempty"` // low halves of xxhash64 of the ids of messages in the chunk, sorted
@@ -51,10 +51,10 @@
 		if b.head.Turns == 0 {
 			b.head.Turn = r.No
 		}
-		b.at(r.Now)
+		b.observeTime(r.Now)
 		b.head.Turns++
 	case *Input:
-		b.at(r.Now)
+		b.observeTime(r.Now)
 	case *Message:
 		b.head.Messages = append(b.head.Messages, idHash(r.ID))
 	case *State:
@@ -63,7 +63,8 @@
 	return nil
 }
 
-func (b *block) at(now time.Duration) {
+// observeTime extends the times in the chunk's head to now.
+func (b *block) observeTime(now time.Duration) {
 	if b.head.First == 0 {
 		b.head.First = now
 	}
@@ -90,7 +91,7 @@
 }
 
 func newPacker() (*packer, error) {
-	// A small window and a single goroutine keep a capture within its budget of 2 MB of the relay's memory.
+	// The window is no larger than a chunk, and one goroutine does all the work: a capture may use 2 MB of the relay's memory.
 	enc, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1),
 		zstd.WithWindowSize(128<<10), zstd.WithLowerEncoderMem(true))
 	if err != nil {
--- a/internal/relay/capture/core_events.go
+++ b/internal/relay/capture/core_events.go
@@ -14,7 +14,7 @@
 	Submitted    CoreKind = iota + 1 // Front, Arrival
 	Withdrawn                        // Ref
 	Moved                            // Front
-	DrainStarted                     // -
+	DrainStarted                     // no fields
 	AttemptEnded                     // Number, Items, Outcomes
 	ListReported                     // Front, Number: of the watch, List
 	WatchEnded                       // Front, Number: of the watch, Text
@@ -60,7 +60,7 @@
 	SeenUnderPolicy uint64        `cbor:"16,keyasint,omitempty"` // version of the policy under which the inspector saw it, plus one
 }
 
-// Outcome is how an attempt ended for one of its messages.
+// Outcome tells how an attempt ended for one of its messages.
 type Outcome struct {
 	Result     control.Result `cbor:"1,keyasint,omitempty"`
 	RetryAfter time.Duration  `cbor:"2,keyasint,omitempty"`
--- a/internal/relay/capture/errors.go
+++ b/internal/relay/capture/errors.go
@@ -25,7 +25,7 @@
 	errStop = errors.New("capture: reading stopped at the requested end")
 )
 
-// TornError tells why reading ended before the end of a file: the rest may be damaged.
+// TornError tells why reading ended before the end of a file. The chunks after Offset can't be located reliably.
 type TornError struct {
 	Offset int64 // bytes from the start of the file, where the last complete chunk ends
 	Size   int64 // of the file, in bytes
--- a/internal/relay/capture/fast.go
+++ b/internal/relay/capture/fast.go
@@ -27,15 +27,15 @@
 
 // fields encodes a CBOR map of at most 23 fields with keys below 24. Each new field increments the count in the map's head.
 type fields struct {
-	b  []byte
-	at int // index of the map's head in b
+	b         []byte
+	headIndex int // index of the map's head in b
 }
 
 func newFields(b []byte) fields { return fields{append(b, 0xa0), len(b)} }
 
 func (f *fields) key(k byte) {
 	f.b = append(f.b, k)
-	f.b[f.at]++
+	f.b[f.headIndex]++
 }
 
 func (f *fields) uint(k byte, v uint64) {
--- a/internal/relay/capture/reader_test.go
+++ b/internal/relay/capture/reader_test.go
@@ -61,7 +61,7 @@
 	text := onlyFile(t, dir)
 	text[4] = Major + 1
 	if _, err := replayed(text, Options{}); !errors.Is(err, ErrVersion) || !strings.Contains(err.Error(), fmt.Sprint(Major+1)) {
-		t.Errorf("file of major version %d: error %v, want %v with that version", Major+1, err, ErrVersion)
+		t.Errorf("file of another major version: error %v, want ErrVersion with that version", err)
 	}
 }
 
--- a/internal/relay/capture/recorder.go
+++ b/internal/relay/capture/recorder.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// canRecord reports whether a record can be added. If not, there is a gap until the next state, which a replay can't pass.
+// canRecord reports whether a record can be added. If not, records are lost until the next state: a gap, at which a replay stops.
 func (r *Recorder) canRecord() bool {
 	if !r.hasState || r.Err() != nil {
 		return false
--- a/internal/relay/capture/recorder_test.go
+++ b/internal/relay/capture/recorder_test.go
@@ -32,7 +32,7 @@
 		t.Errorf("%d turns lost, want 30 to 100", lost)
 	}
 	if result, err := replayed(text, Options{}); !errors.Is(err, ErrGap) || result.Turns < 100 {
-		t.Errorf("%d turns, then error %v; want at least 100 and %v", result.Turns, err, ErrGap)
+		t.Errorf("%d turns, then error %v; want at least 100 and ErrGap", result.Turns, err)
 	}
 	if result, err := replayed(text, Options{PastGap: true}); err != nil || result.Turns != 300-lost || result.Gaps != 1 {
 		t.Errorf("%+v, error %v; want 300 turns less %d, and one gap", result, err, lost)
--- a/internal/relay/capture/replay_test.go
+++ b/internal/relay/capture/replay_test.go
@@ -70,7 +70,7 @@
 		for range 10 {
 			result, err := replayed(text, Options{})
 			if err != nil || result.Turns != 1500-from || result.Torn != nil {
-				t.Fatalf("recorded from turn %d: %+v, error %v", from, result, err)
+				t.Fatalf("%+v, error %v; want all recorded turns and no error", result, err)
 			}
 		}
 	}
--- a/internal/relay/capture/world_test.go
+++ b/internal/relay/capture/world_test.go
@@ -56,23 +56,23 @@
 // turn returns the time and the events of the next turn.
 func (w *world) turn(no int) (time.Duration, []control.Event) {
 	w.now += time.Duration(5+w.rng.IntN(40)) * time.Millisecond
-	var in []control.Event
+	var events []control.Event
 	if no == 0 {
-		in = append(in, control.Event{Kind: control.Listed, Endpoints: append([]control.Endpoint{}, w.endpoints...), Complete: true})
+		events = append(events, control.Event{Kind: control.Listed, Endpoints: append([]control.Endpoint{}, w.endpoints...), Complete: true})
 	}
 	w.changeFaults()
 	w.changeList()
-	in = append(in, takeDue(&w.lateEvents, w.now)...)
-	in = append(in, w.resolved()...)
-	in = append(in, w.arrivals()...)
+	events = append(events, takeDue(&w.lateEvents, w.now)...)
+	events = append(events, w.resolved()...)
+	events = append(events, w.arrivals()...)
 	if w.rng.IntN(50) == 0 && w.lastRef > 0 {
-		in = append(in, control.Event{Kind: control.Withdrawn, ID: 1 + w.rng.Uint64N(w.lastRef)})
+		events = append(events, control.Event{Kind: control.Withdrawn, ID: 1 + w.rng.Uint64N(w.lastRef)})
 	}
 	now := w.now
 	if w.rng.IntN(100) == 0 { // a clock that steps back
 		now -= 50 * time.Millisecond
 	}
-	return now, append(in, control.Event{Kind: control.Woken})
+	return now, append(events, control.Event{Kind: control.Woken})
 }
 
 // changeFaults occasionally makes an endpoint fail or recover.
@@ -119,7 +119,7 @@
 }
 
 // resolved returns the outcomes that are due, in the order of their messages.
-func (w *world) resolved() (in []control.Event) {
+func (w *world) resolved() (events []control.Event) {
 	for ref := uint64(1); ref <= w.lastRef; ref++ {
 		a, ok := w.inFlight[ref]
 		if !ok || a.due > w.now {
@@ -133,13 +133,13 @@
 		if w.rng.IntN(3) == 0 {
 			ev.Reported, ev.Remaining, ev.Limit = true, w.rng.Float64(), 5+10*w.rng.Float64()
 		}
-		in = append(in, ev)
+		events = append(events, ev)
 	}
-	return in
+	return events
 }
 
 // arrivals returns the arrivals of up to two new messages.
-func (w *world) arrivals() (in []control.Event) {
+func (w *world) arrivals() (events []control.Event) {
 	for range w.rng.IntN(3) {
 		w.lastRef++
 		class := w.rng.IntN(3)
@@ -150,9 +150,9 @@
 			ev.Attempt, ev.MayHaveRun, ev.RanAt, ev.Endpoint = 1+w.rng.IntN(3), true, w.now-time.Duration(w.rng.IntN(3000))*time.Millisecond, uint32(w.rng.IntN(300))
 			w.attempts[w.lastRef] = ev.Attempt
 		}
-		in = append(in, ev)
+		events = append(events, ev)
 	}
-	return in
+	return events
 }
 
 // apply executes the module's actions: it starts and cancels attempts.
--- a/internal/relay/config/activitypub.go
+++ b/internal/relay/config/activitypub.go
@@ -44,14 +44,14 @@
 		Skew:    p.duration("activitypub.date_skew", 5*time.Minute)}
 	a.KeyID = p.text("activitypub.key_id", a.Actor+"#main-key")
 	seen := map[int]bool{}
-	p.each("activitypub.partners", func(at string) { p.partner(c, a, at, seen) })
-	p.each("activitypub.clients", func(at string) {
-		k := Client{Actor: p.required(at + ".actor"), KeyFile: p.required(at + ".key_file"), Inbox: p.url(at + ".inbox")}
-		k.KeyID = p.text(at+".key_id", k.Actor+"#main-key")
-		a.Clients = append(a.Clients, k)
+	p.each("activitypub.partners", func(path string) { p.partner(c, a, path, seen) })
+	p.each("activitypub.clients", func(path string) {
+		client := Client{Actor: p.required(path + ".actor"), KeyFile: p.required(path + ".key_file"), Inbox: p.url(path + ".inbox")}
+		client.KeyID = p.text(path+".key_id", client.Actor+"#main-key")
+		a.Clients = append(a.Clients, client)
 	})
-	p.require("activitypub.partners", len(a.Partners) > 0, "want at least one partner")
-	p.require("activitypub.clients", len(a.Clients) > 0, "want at least one client")
+	p.require("activitypub.partners", len(a.Partners) > 0, "none")
+	p.require("activitypub.clients", len(a.Clients) > 0, "none")
 	a.Classes = map[string]string{}
 	for kind, class := range p.root.Get("activitypub.classes").Map() {
 		key := "activitypub.classes." + kind
@@ -64,19 +64,19 @@
 }
 
 // partner reads one partner; seen holds the numbers of the partners before it.
-func (p *parser) partner(c *Config, a *ActivityPub, at string, seen map[int]bool) {
-	partner := Partner{Name: p.required(at + ".name"), Destination: int(p.number(at+".dest", -1, 0, 65535)),
-		Kind: p.text(at+".kind", ""), Zone: p.text(at+".zone", ""), Tenant: -1}
-	if name := p.text(at+".tenant", ""); name != "" {
+func (p *parser) partner(c *Config, a *ActivityPub, path string, seen map[int]bool) {
+	partner := Partner{Name: p.required(path + ".name"), Destination: int(p.number(path+".dest", -1, 0, 65535)),
+		Kind: p.text(path+".kind", ""), Zone: p.text(path+".zone", ""), Tenant: -1}
+	if name := p.text(path+".tenant", ""); name != "" {
 		partner.Tenant = slices.Index(c.Settings.TenantNames, name)
-		p.require(at+".tenant", partner.Tenant >= 0, "no tenant of that name in the settings")
+		p.require(path+".tenant", partner.Tenant >= 0, "no tenant of that name in the settings")
 	}
-	p.each(at+".inboxes", func(inbox string) { partner.Inboxes = append(partner.Inboxes, p.url(inbox)) })
-	p.require(at+".inboxes", len(partner.Inboxes) > 0, "want at least one inbox")
+	p.each(path+".inboxes", func(inbox string) { partner.Inboxes = append(partner.Inboxes, p.url(inbox)) })
+	p.require(path+".inboxes", len(partner.Inboxes) > 0, "want at least one inbox")
 	if kind := slices.Index(c.Settings.KindNames, partner.Kind); kind >= 0 && kind < len(c.Settings.Kinds) {
-		p.require(at+".kind", c.Settings.Kinds[kind].PerCall <= 1, "calls of this kind carry several messages, but an inbox takes one")
+		p.require(path+".kind", c.Settings.Kinds[kind].PerCall <= 1, "calls of this kind carry several messages, but an inbox takes one")
 	}
-	p.require(at+".dest", !seen[partner.Destination], "used by another partner")
+	p.require(path+".dest", !seen[partner.Destination], "used by another partner")
 	seen[partner.Destination] = true
 	a.Partners = append(a.Partners, partner)
 }
--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -50,14 +50,14 @@
 		return nil, NewKeyError("(whole file)", "not valid JSON")
 	}
 	p := &parser{root: gjson.ParseBytes(text)}
-	or := func(name, key string) string {
+	envOrFile := func(name, key string) string {
 		if v := env(name); v != "" {
 			return v
 		}
 		return p.text(key, "")
 	}
-	c := &Config{Name: or("RELAY_NAME", "name"), Listen: or("RELAY_LISTEN", "listen"),
-		Discovery: p.text("discovery", env("RELAY_DISCOVERY")), State: or("RELAY_STATE", "state"), Known: p.root.Get("known")}
+	c := &Config{Name: envOrFile("RELAY_NAME", "name"), Listen: envOrFile("RELAY_LISTEN", "listen"),
+		Discovery: p.text("discovery", env("RELAY_DISCOVERY")), State: envOrFile("RELAY_STATE", "state"), Known: p.root.Get("known")}
 	p.require("state", c.State != "", "missing, and RELAY_STATE is not set")
 	c.Seed = seedOf(p.text("seed", ""))
 	p.settings(c)
@@ -89,7 +89,7 @@
 		}
 	}
 	p.require("settings.lanes", len(c.Settings.Classes) > 0, "want at least one message class")
-	p.require("settings.family_info.workers", c.Settings.Slots > 0, "want at least 1")
+	p.require("settings.family_info.workers", c.Settings.Slots > 0, "want at least 1 slot")
 	p.require("settings.allowed.max_attempts", c.Settings.MaxAttempts > 0, "want at least 1 attempt")
 }
 
--- a/internal/relay/config/limits.go
+++ b/internal/relay/config/limits.go
@@ -14,10 +14,10 @@
 	DiskBytes   int64 // bytes in the state folder
 	Sockets     int   // file descriptors of the process
 	HeadSize    int   // bytes of the first line and headers of a request or response
-	BodySize    int   // bytes of a body
+	BodySize    int   // bytes of the body of a request or response
 	NameSize    int   // bytes of an id or key
 
-	ClientConnections int // at once
+	ClientConnections int // open connections of clients
 	Queue             int // events waiting for the core; a full queue refuses messages
 	IdleEndpoints     int // idle connections to all endpoints together
 	IdlePerEndpoint   int // idle connections to one endpoint
@@ -44,7 +44,7 @@
 	NoticeTimeout     time.Duration // of a call with notices
 	NoticeRetry       time.Duration // delay before notices are sent again; doubles with each consecutive failure
 	NoticeRetryMax    time.Duration // upper limit of that delay
-	ParallelNotices   int           // concurrent calls with notices, if each call carries a single notice
+	ParallelNotices   int           // concurrent calls of a front that sends a single notice per call
 	MaxRemembered     int           // ended messages whose outcomes are kept to answer resubmissions
 	NoticesPerCall    int           // maximum notices in a call
 	WindowMargin      time.Duration // no repeat of a keyed message begins in this last part of its deduplication window
@@ -58,7 +58,7 @@
 	CaptureWithin time.Duration // a chunk is written after this time even if it is smaller
 
 	PluginStart            time.Duration // limit for the start of an instance
-	PluginBudget           time.Duration // for all plug-ins together that inspect an arriving message; its client waits 400 ms
+	PluginBudget           time.Duration // for all plug-ins that inspect an arriving message, out of the 400 ms that its client waits
 	PluginGrace            time.Duration // a call that can't be stopped is abandoned this long after its deadline
 	PluginMemory           int64         // memory of all instances together, in bytes
 	PluginStack            int           // maximum stack of an instance, in values of eight bytes
@@ -70,7 +70,7 @@
 	PluginBreakerOpen      time.Duration // how long a circuit breaker stays open at first
 	PluginBreakerOpenMax   time.Duration // upper limit of the time that it stays open
 	PluginBreakerTrials    int           // consecutive successful calls that close it
-	PluginBreakers         int           // maximum circuit breakers of a plug-in
+	PluginBreakers         int           // partners that a plug-in keeps circuit breakers for, at most
 	PluginEndQueue         int           // queued calls of a plug-in for ended messages
 	PluginLines            int           // log lines of a plug-in per second, and in one call
 	PluginReason           int           // bytes of a log line or reason
@@ -96,8 +96,8 @@
 		FrontIdle: 2 * time.Second, FrontRead: 2500 * time.Millisecond, FrontWrite: 2 * time.Second,
 		IdleTrustMin: 100 * time.Millisecond, IdleTrustDoubling: 10 * time.Second,
 		AnswerRead: 500 * time.Millisecond, MaxInterim: 64, ErrorDelay: 50 * time.Millisecond, FrontLinger: 400 * time.Millisecond,
-		// A watch receives data every 2 s, so at the timeout two such updates are missing. Changes that it misses count as known 6 s
-		// after it fell silent.
+		// A watch receives data every 2 s, so two updates are missing at the timeout. A change that the watch misses counts as
+		// announced to the relay 6 s after the watch fell silent.
 		WatchTimeout: 4400 * time.Millisecond, WatchSpread: 800 * time.Millisecond, WatchRetry: 250 * time.Millisecond,
 		EndedRetention: 5 * time.Second, MaxEnded: 4096,
 		NoticeTimeout: time.Second, NoticeRetry: 100 * time.Millisecond, NoticesPerCall: 200,
@@ -129,7 +129,7 @@
 	if limits.IdleSocket = settings.ConnIdle - max(settings.ConnIdle/10, min(time.Second, settings.ConnIdle/3)); settings.ConnIdle == 0 {
 		limits.IdleSocket = 10 * time.Second
 	}
-	// Where the endpoint list is pushed, changes that discovery has at its return count as known at once, so the watch must be
+	// Where the endpoint list is pushed, changes count as announced as soon as discovery is back, so the watch must then be
 	// open again well within DrainGrace.
 	if !settings.MustSubscribe && settings.DrainGrace > 0 {
 		limits.WatchRetry = min(limits.WatchRetry, settings.DrainGrace/4)
--- a/internal/relay/config/parser.go
+++ b/internal/relay/config/parser.go
@@ -95,7 +95,7 @@
 }
 
 // each calls do with the path of each element of a list.
-func (p *parser) each(key string, do func(at string)) {
+func (p *parser) each(key string, do func(path string)) {
 	v := p.root.Get(key)
 	p.require(key, !v.Exists() || v.IsArray(), "want a list")
 	for i := range v.Array() {
--- a/internal/relay/config/peers.go
+++ b/internal/relay/config/peers.go
@@ -19,7 +19,7 @@
 	Lease                time.Duration     // how long a relay that hears from no other may go on acting
 	Drift                float64           // maximum relative difference between the rates of two relays' clocks
 	ServeWhenPartitioned bool              // a relay cut off from the others goes on serving; otherwise it refuses messages
-	GuaranteedShare      float64           // share of each limit that is divided among the relays and never lent; 0: limits are not shared
+	GuaranteedShare      float64           // share of each limit that is split evenly and never leased to other relays; 0: no limits are shared
 }
 
 // Roster returns the names of all relays of the fleet, sorted.
@@ -42,17 +42,17 @@
 	p.require("peers.lease", peers.Lease >= 100*time.Millisecond && peers.Lease <= time.Minute, "want 100ms to 1m")
 	p.address("peers.listen", peers.Listen)
 	for name, address := range p.root.Get("peers.others").Map() {
-		at := "peers.others." + name
-		p.require(at, relayName(name), "want letters, digits, . - and _, 64 at most, for a name")
-		p.require(at, name != peers.Name, "this relay's own name")
-		p.address(at, address.String())
+		path := "peers.others." + name
+		p.require(path, relayName(name), "want letters, digits, . - and _, 64 at most, for a name")
+		p.require(path, name != peers.Name, "want the name of another relay, not this relay's own")
+		p.address(path, address.String())
 		peers.Addresses[name] = address.String()
 	}
-	p.require("peers.others", len(peers.Addresses) < maxPeers, "want fewer than 1000 relays")
-	p.each("peers.voters", func(at string) {
-		name := p.required(at)
-		p.require(at, name == peers.Name || peers.Addresses[name] != "", "no relay of that name in the fleet")
-		p.require(at, !slices.Contains(peers.Voters, name), "named twice")
+	p.require("peers.others", len(peers.Addresses) < maxPeers, "want fewer than 1000 other relays")
+	p.each("peers.voters", func(path string) {
+		name := p.required(path)
+		p.require(path, name == peers.Name || peers.Addresses[name] != "", "no relay of that name in the fleet")
+		p.require(path, !slices.Contains(peers.Voters, name), "relay named twice")
 		peers.Voters = append(peers.Voters, name)
 	})
 	p.require("peers.voters", len(peers.Voters) >= 1 && len(peers.Voters) <= 7 && len(peers.Voters)%2 == 1, "want 1, 3, 5 or 7 relays")
--- a/internal/relay/config/plugins.go
+++ b/internal/relay/config/plugins.go
@@ -42,9 +42,9 @@
 	host := &c.PluginHost
 	host.Cache, host.Store = p.text("plugin_host.cache", ""), p.text("plugin_host.store", "")
 	seen := map[string]bool{}
-	one := func(at string) { p.plugin(c, at, seen) }
-	p.each("hooks", one)
-	p.each("plugins", one)
+	read := func(path string) { p.plugin(c, path, seen) }
+	p.each("hooks", read)
+	p.each("plugins", read)
 	host.On = len(c.Plugins) > 0 || p.root.Get("plugin_host").Exists()
 	// Each instance needs its first page of memory. Without this check a lack of memory would only show under load.
 	needed := int64(0) // bytes
@@ -67,26 +67,26 @@
 	seen[plugin.Name] = true
 	p.require(key+".timeout", plugin.Timeout <= cfg.Limits.PluginBudget,
 		fmt.Sprintf("want at most the %v that all plug-ins together may take", cfg.Limits.PluginBudget))
-	p.each(key+".fronts", func(at string) {
-		front := p.required(at)
-		p.require(at, front == "platform" || front == "activitypub", "want platform or activitypub")
+	p.each(key+".fronts", func(path string) {
+		front := p.required(path)
+		p.require(path, front == "platform" || front == "activitypub", "want platform or activitypub")
 		plugin.Fronts = append(plugin.Fronts, front)
 	})
-	p.each(key+".partners", func(at string) { plugin.Partners = append(plugin.Partners, int(p.number(at, -1, 0, 65535))) })
-	p.each(key+".classes", func(at string) {
-		name := p.required(at)
+	p.each(key+".partners", func(path string) { plugin.Partners = append(plugin.Partners, int(p.number(path, -1, 0, 65535))) })
+	p.each(key+".classes", func(path string) {
+		name := p.required(path)
 		n := slices.IndexFunc(cfg.Settings.Classes, func(class control.Class) bool { return class.Name == name })
-		p.require(at, n >= 0, "no class of that name in settings.lanes")
+		p.require(path, n >= 0, "no class of that name in settings.lanes")
 		plugin.Classes = append(plugin.Classes, n)
 	})
-	p.each(key+".phases", func(at string) {
-		phase := p.required(at)
-		p.require(at, slices.Contains([]string{"arrival", "answer", "end"}, phase), "want arrival, answer or end")
+	p.each(key+".phases", func(path string) {
+		phase := p.required(path)
+		p.require(path, slices.Contains([]string{"arrival", "answer", "end"}, phase), "want arrival, answer or end")
 		plugin.Phases = append(plugin.Phases, phase)
 	})
-	fail := p.text(key+".on_failure", "pass")
-	p.require(key+".on_failure", fail == "pass" || fail == "reject", "want pass or reject")
-	plugin.Reject = fail == "reject"
+	onFailure := p.text(key+".on_failure", "pass")
+	p.require(key+".on_failure", onFailure == "pass" || onFailure == "reject", "want pass or reject")
+	plugin.Reject = onFailure == "reject"
 	if v := p.root.Get(key + ".config"); v.Exists() {
 		p.require(key+".config", len(v.Raw) <= 16<<10, "want at most 16 KB")
 		plugin.Config = v.Raw
--- a/internal/relay/config/vrrp.go
+++ b/internal/relay/config/vrrp.go
@@ -26,8 +26,8 @@
 		Preempt:   p.flag("vrrp.preempt", true), Address: p.ip("vrrp.address")}
 	p.require("vrrp.advertise", v.Advertise >= 10*time.Millisecond && v.Advertise <= 40950*time.Millisecond,
 		"want 10ms to 40.95s")
-	p.each("vrrp.peers", func(at string) { v.Peers = append(v.Peers, p.required(at)) })
-	p.each("vrrp.virtual", func(at string) { v.Virtual = append(v.Virtual, p.ip(at)) })
+	p.each("vrrp.peers", func(path string) { v.Peers = append(v.Peers, p.required(path)) })
+	p.each("vrrp.virtual", func(path string) { v.Virtual = append(v.Virtual, p.ip(path)) })
 	p.require("vrrp", c.ActivityPub != nil, "want a section activitypub too: vrrp opens and closes that front")
 	p.require("vrrp.virtual", len(v.Virtual) > 0 && len(v.Virtual) < 256, "want 1 to 255 addresses")
 	c.VRRP = v
--- a/internal/relay/journal/log.go
+++ b/internal/relay/journal/log.go
@@ -68,19 +68,19 @@
 // replay applies the complete records of data and returns their size in bytes. A torn or damaged record ends it, since the
 // records after that one can't be located reliably.
 func (l *Log) replay(data []byte) int {
-	at := 0
-	for len(data)-at >= frameHead {
-		n := int(binary.LittleEndian.Uint32(data[at:]))
-		if n == 0 || n > maxPayload || len(data)-at-frameHead < n {
+	offset := 0
+	for len(data)-offset >= frameHead {
+		n := int(binary.LittleEndian.Uint32(data[offset:]))
+		if n == 0 || n > maxPayload || len(data)-offset-frameHead < n {
 			break
 		}
-		payload := data[at+frameHead : at+frameHead+n]
-		if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(data[at+4:]) || !l.apply(payload) {
+		payload := data[offset+frameHead : offset+frameHead+n]
+		if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(data[offset+4:]) || !l.apply(payload) {
 			break
 		}
-		at += frameHead + n
+		offset += frameHead + n
 	}
-	return at
+	return offset
 }
 
 // Accept records an accepted message if there is room for it and its later records, even during compaction, when the old
--- a/internal/relay/journal/records.go
+++ b/internal/relay/journal/records.go
@@ -11,9 +11,9 @@
 	recordAccepted byte = iota + 1 // id, key, front, destination, class, deadline, resubmitted, body, headers, tenant, policy and attempts
 	recordAttempt                  // number of the attempt, time, destination
 	recordOutcome                  // of the last begun attempt: 1 if it never ran
-	recordEnded                    // -
+	recordEnded                    // no fields
 	recordNotice                   // flags, retry-after in ms: the message has ended and a notice is outstanding
-	recordAcked                    // -
+	recordAcked                    // no fields
 )
 
 // The bits of recordNotice's flags.
@@ -124,15 +124,15 @@
 
 // appendRecord adds a record, in a frame, to the buffer.
 func (l *Log) appendRecord(code byte, seq uint64, fields func([]byte) []byte) {
-	at := len(l.buf)
+	start := len(l.buf)
 	l.buf = append(l.buf, make([]byte, frameHead)...)
 	l.buf = fields(binary.AppendUvarint(append(l.buf, code), seq))
-	payload := l.buf[at+frameHead:]
-	binary.LittleEndian.PutUint32(l.buf[at:], uint32(len(payload)))
-	binary.LittleEndian.PutUint32(l.buf[at+4:], crc32.Checksum(payload, castagnoli))
+	payload := l.buf[start+frameHead:]
+	binary.LittleEndian.PutUint32(l.buf[start:], uint32(len(payload)))
+	binary.LittleEndian.PutUint32(l.buf[start+4:], crc32.Checksum(payload, castagnoli))
 }
 
-// bit is 1 for true.
+// bit returns 1 for true and 0 for false.
 func bit(v bool) uint64 {
 	if v {
 		return 1
