--- a/internal/relay/activitypub/notices.go
+++ b/internal/relay/activitypub/notices.go
@@ -58,7 +58,7 @@
 func (f *Front) answer(notice *engine.Notice) []byte {
 	kind, outcome := "Reject", "given_up"
 	class := &f.messageClasses[notice.Class]
-	bounded := !notice.MayHaveRunAt.IsZero() && class.Effect == control.Keyed // it may have taken effect, so it may be repeated only within its window
+	bounded := !notice.MayHaveRunAt.IsZero() && class.Effect == control.Keyed // may have taken effect: repeat only within its window
 	handedBack := notice.HandedBack && (!bounded || f.Now().Before(notice.MayHaveRunAt.Add(class.Memory)))
 	if notice.Delivered {
 		kind, outcome = "Accept", "delivered"
--- a/internal/relay/config/peers.go
+++ b/internal/relay/config/peers.go
@@ -19,7 +19,7 @@
 	Lease                time.Duration     // how long a relay that hears from no other may go on acting
 	Drift                float64           // maximum relative difference between the rates of two relays' clocks
 	ServeWhenPartitioned bool              // a relay cut off from the others goes on serving; otherwise it refuses messages
-	GuaranteedShare      float64           // share of each limit that is split evenly and never leased to other relays; 0: no limits are shared
+	GuaranteedShare      float64           // share of each limit that is split evenly and never leased to others; 0: no limits are shared
 }
 
 // Roster returns the names of all relays of the fleet, sorted.
