--- a/internal/relay/fleet/checker/check.go
+++ b/internal/relay/fleet/checker/check.go
@@ -1,5 +1,6 @@
-// Package checker judges what the relays of a fleet did, by a history alone: it knows no code of the subsystem. Packages simulation
-// and testcluster call it on histories that they recorded. It keeps no state and may be called from any goroutine.
+// Package checker verifies from a recorded history whether the relays of a fleet kept the fleet's invariants. It imports no code of
+// the fleet. Packages simulation and testcluster call it with the histories that they record. It keeps no state and may be called from
+// any goroutine.
 package checker
 
 import (
@@ -11,24 +12,24 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Kind is what an entry of a history records.
+// Kind is the kind of event that an entry of a history records.
 type Kind string
 
 // The kinds of entries.
 const (
-	Acted    Kind = "acted"    // Relay took on, or first tried, something under Version
-	Reported Kind = "said"     // Relay tells how Version ended: Dropped, or in force with Digest
-	Proposed Kind = "proposed" // a change of Base was proposed from At to Until; Version: in force; 0: Dropped or not known
-	Started  Kind = "started"  // an incarnation of Relay begins
-	Fault    Kind = "fault"    // Text: what was done to the fleet
-	Accepted Kind = "taken"    // message ID was accepted, and the client got that answer
-	Refused  Kind = "refused"  // a client was asked to come again, or got no answer
-	Ended    Kind = "ended"    // message ID had its end: Text
-	Log      Kind = "log"      // Text: what Relay logged; for whoever reads the history
-	Breached Kind = "broke"    // something that is a breach by itself: Text
+	Acted    Kind = "acted"    // Relay made a call, or was permitted to act, under Version
+	Reported Kind = "said"     // Relay reported the outcome of Version: Dropped, or in force with Digest
+	Proposed Kind = "proposed" // a change of version Base, from At to Until; Version: that took effect; 0: none, or not known
+	Started  Kind = "started"  // an incarnation of Relay started
+	Fault    Kind = "fault"    // Text: the fault that was injected
+	Accepted Kind = "taken"    // message ID was accepted, and its client was told so
+	Refused  Kind = "refused"  // a client was told to retry, or got no answer
+	Ended    Kind = "ended"    // Text: the outcome of message ID
+	Log      Kind = "log"      // Text: a log line of Relay, for readers of the history only
+	Breached Kind = "broke"    // Text: an observation that is a breach by itself
 )
 
-// Entry is one thing that happened, on one clock for all.
+// Entry is one event of a history. All entries are on the same clock.
 type Entry struct {
 	At      time.Duration `json:"at"`
 	Until   time.Duration `json:"until,omitempty"`
@@ -43,7 +44,7 @@
 	Text    string        `json:"text,omitempty"`
 }
 
-// BreachError is an invariant that a history breaks.
+// BreachError reports a history that breaks a rule.
 type BreachError struct {
 	Rule  string
 	Entry Entry
@@ -51,55 +52,56 @@
 	Index int // of the entry in the history sorted by time
 }
 
-// Error names the rule, the relay and when.
+// Error names the rule, the relay and the time of the breach.
 func (b *BreachError) Error() string {
 	return fmt.Sprintf("breach of %q at %v by %s: %s", b.Rule, b.Entry.At.Round(time.Microsecond), b.Entry.Relay, b.Text)
 }
 
-// The rules.
+// The rules, by their names in errors.
 const (
-	OldStops      = "old stops before new starts"
-	SameReport    = "all say the same of a version"
-	Dropped       = "a dropped version touches nothing"
-	Register      = "the policy in force is one register"
-	OneEnd        = "one end for each message"
-	Limit         = "no more than a partner may get"
-	NoOtherBreach = "nothing else breaks"
+	NoStaleAct        = "old stops before new starts"
+	ReportsAgree      = "all relays report the same outcome of a version"
+	NoActUnderDropped = "no relay acts under a dropped version"
+	Linearizable      = "the versions in force are linearizable"
+	SingleOutcome     = "each message has one outcome"
+	WithinLimit       = "calls to a partner stay within its limit"
+	NoOtherBreach     = "no recorded breach"
 )
 
-// Options are what Judge must know of how the history was made.
+// Options describe how a history was recorded.
 type Options struct {
-	Slack            time.Duration // by which an act may be seen later than it was begun
-	ServePartitioned bool          // partitioned relays go on with the version that they know
-	AllMustEnd       bool          // all messages that were taken must have their end
+	Slack            time.Duration // how much later than its start an act may be recorded
+	ServePartitioned bool          // partitioned relays continue under the newest version that they know
+	AllMustEnd       bool          // every accepted message must have an outcome
 	Bounds           []Bound
 }
 
-// Bound is what a partner may get under a version, or for a time whatever is in force: in any span Rate times its length and Burst more.
+// Bound limits the calls to partner To under Version, or between From and Until whichever version is in force. Any span may have as many
+// calls as Rate times its length, plus Burst.
 type Bound struct {
 	Version     uint64
 	To          string
-	Rate, Burst float64       // calls a second, calls
-	From, Until time.Duration // Until 0: all the time that Version is in force
+	Rate, Burst float64       // calls/s, calls
+	From, Until time.Duration // Until 0: for as long as Version is in force
 }
 
-// Judge returns the first breach in a history; nil: it keeps all rules.
+// Judge returns a breach in a history; nil: the history keeps all rules.
 func Judge(history []Entry, o Options) *BreachError {
 	sorted := sortByTime(history)
-	rules := judge{options: o, statements: map[uint64]Entry{}, acted: map[uint64]Entry{}, ends: map[string]string{}}
+	state := historyChecker{options: o, reports: map[uint64]Entry{}, acted: map[uint64]Entry{}, outcomes: map[string]string{}}
 	for i, entry := range sorted {
-		if rule, text := rules.add(entry); rule != "" {
+		if rule, text := state.add(entry); rule != "" {
 			return &BreachError{rule, entry, text, i}
 		}
 	}
-	if breach := rules.checkAllEnded(sorted); breach != nil {
+	if breach := state.checkAllEnded(sorted); breach != nil {
 		return breach
 	}
 	if breach := checkBounds(o.Bounds, sorted); breach != nil {
 		return breach
 	}
-	if entry, ok := register(sorted, o.Slack); !ok && !o.ServePartitioned {
-		return &BreachError{Register, entry, "the changes, their bases and the versions acted on fit no order", len(sorted) - 1}
+	if entry, ok := linearizable(sorted, o.Slack); !ok && !o.ServePartitioned {
+		return &BreachError{Linearizable, entry, "no order of the changes agrees with their bases and the versions that relays acted under", len(sorted) - 1}
 	}
 	return nil
 }
@@ -111,93 +113,93 @@
 	return sorted
 }
 
-// checkBounds returns a breach if a partner got more calls than a bound allows.
+// checkBounds returns a breach if the calls to a partner exceed a bound.
 func checkBounds(bounds []Bound, history []Entry) *BreachError {
 	for _, b := range bounds {
 		if i, over := b.worstExcess(history); over > 0 {
-			return &BreachError{Limit, history[i], fmt.Sprintf("%s got %.1f calls more than the %g/s and %g more allow (version %d, from %v to %v)", b.To, over, b.Rate, b.Burst, b.Version, b.From, b.Until), i}
+			return &BreachError{WithinLimit, history[i], fmt.Sprintf("partner %s got %.1f calls more than the bound of %g/s plus %g allows (version %d, from %v to %v)", b.To, over, b.Rate, b.Burst, b.Version, b.From, b.Until), i}
 		}
 	}
 	return nil
 }
 
-// judge is what the rules need to know of the entries before the current one.
-type judge struct {
-	options    Options
-	newest     Entry            // the first act under the newest version that was acted under
-	statements map[uint64]Entry // by version: the last Reported
-	acted      map[uint64]Entry // by version: the first Acted
-	ends       map[string]string
+// historyChecker is the state of the rules after the entries that add was given.
+type historyChecker struct {
+	options  Options
+	newest   Entry             // the first act under the newest version that any relay acted under
+	reports  map[uint64]Entry  // the last Reported entry, by version
+	acted    map[uint64]Entry  // the first Acted entry, by version
+	outcomes map[string]string // by message ID
 }
 
-// add takes in the next entry, and returns the rule that it breaks, and how; an empty rule: none.
-func (j *judge) add(e Entry) (rule, text string) {
+// add checks the next entry. It returns the rule that the entry breaks, empty for none, and a description of the breach.
+func (c *historyChecker) add(e Entry) (rule, text string) {
 	switch e.Kind {
 	case Acted:
-		return j.addAct(e)
+		return c.addAct(e)
 	case Reported:
-		return j.addStatement(e)
+		return c.addReport(e)
 	case Ended:
-		if was, ok := j.ends[e.ID]; ok && was != e.Text {
-			return OneEnd, fmt.Sprintf("%s had two ends: %s and %s", e.ID, was, e.Text)
+		if was, ok := c.outcomes[e.ID]; ok && was != e.Text {
+			return SingleOutcome, fmt.Sprintf("message %s has two outcomes: %s and %s", e.ID, was, e.Text)
 		}
-		j.ends[e.ID] = e.Text
+		c.outcomes[e.ID] = e.Text
 	case Breached:
 		return NoOtherBreach, e.Text
 	}
 	return "", ""
 }
 
-// checkAllEnded returns a breach if a message that was accepted has no end, where all must have one.
-func (j *judge) checkAllEnded(history []Entry) *BreachError {
-	if !j.options.AllMustEnd {
+// checkAllEnded returns a breach if Options.AllMustEnd is set and an accepted message has no outcome.
+func (c *historyChecker) checkAllEnded(history []Entry) *BreachError {
+	if !c.options.AllMustEnd {
 		return nil
 	}
 	for i, entry := range history {
-		if entry.Kind == Accepted && j.ends[entry.ID] == "" {
-			return &BreachError{OneEnd, entry, entry.ID + " was taken on and has no end", i}
+		if entry.Kind == Accepted && c.outcomes[entry.ID] == "" {
+			return &BreachError{SingleOutcome, entry, "message " + entry.ID + " was accepted and has no outcome", i}
 		}
 	}
 	return nil
 }
 
-// addAct checks that no older version is acted under after a newer one, and none that was dropped.
-func (j *judge) addAct(e Entry) (rule, text string) {
-	if e.Version < j.newest.Version && !j.options.ServePartitioned && e.At-j.newest.At > j.options.Slack {
-		return OldStops, fmt.Sprintf("acts under version %d, and %s has acted under %d since %v", e.Version, j.newest.Relay, j.newest.Version,
-			j.newest.At.Round(time.Microsecond))
+// addAct checks that a relay acts neither under an older version than another has acted under, nor under a dropped one.
+func (c *historyChecker) addAct(e Entry) (rule, text string) {
+	if e.Version < c.newest.Version && !c.options.ServePartitioned && e.At-c.newest.At > c.options.Slack {
+		return NoStaleAct, fmt.Sprintf("acts under version %d although %s has acted under %d since %v", e.Version, c.newest.Relay, c.newest.Version,
+			c.newest.At.Round(time.Microsecond))
 	}
-	if e.Version > j.newest.Version {
-		j.newest = e
+	if e.Version > c.newest.Version {
+		c.newest = e
 	}
-	if _, ok := j.acted[e.Version]; !ok {
-		j.acted[e.Version] = e
+	if _, ok := c.acted[e.Version]; !ok {
+		c.acted[e.Version] = e
 	}
-	if said, ok := j.statements[e.Version]; ok && said.Dropped {
-		return Dropped, fmt.Sprintf("acts under version %d, which was dropped", e.Version)
+	if earlier, ok := c.reports[e.Version]; ok && earlier.Dropped {
+		return NoActUnderDropped, fmt.Sprintf("acts under version %d, which was dropped", e.Version)
 	}
 	return "", ""
 }
 
-// addStatement checks that all relays say the same of a version, and that a dropped one was not acted under.
-func (j *judge) addStatement(e Entry) (rule, text string) {
-	said, ok := j.statements[e.Version]
-	if ok && (said.Dropped != e.Dropped || said.Digest != e.Digest) {
-		return SameReport, fmt.Sprintf("says that version %d was dropped: %v, digest %x; %s: %v, %x", e.Version, e.Dropped, e.Digest, said.Relay, said.Dropped, said.Digest)
+// addReport checks that all relays report the same outcome of a version, and that none acted under a dropped one.
+func (c *historyChecker) addReport(e Entry) (rule, text string) {
+	earlier, ok := c.reports[e.Version]
+	if ok && (earlier.Dropped != e.Dropped || earlier.Digest != e.Digest) {
+		return ReportsAgree, fmt.Sprintf("reports for version %d dropped %v, digest %x; %s reported dropped %v, digest %x", e.Version, e.Dropped, e.Digest, earlier.Relay, earlier.Dropped, earlier.Digest)
 	}
-	j.statements[e.Version] = e
-	if act, acted := j.acted[e.Version]; e.Dropped && acted {
-		return Dropped, fmt.Sprintf("version %d was dropped, and %s acted under it at %v", e.Version, act.Relay, act.At)
+	c.reports[e.Version] = e
+	if act, acted := c.acted[e.Version]; e.Dropped && acted {
+		return NoActUnderDropped, fmt.Sprintf("version %d was dropped, but %s acted under it at %v", e.Version, act.Relay, act.At)
 	}
 	return "", ""
 }
 
-// worstExcess returns the entry at which a history exceeds the bound the most, and by how many calls; 0: it does not. A bucket that
-// is filled evenly and holds Burst takes exactly the histories that keep it.
+// worstExcess returns the index of the entry at which a history exceeds the bound the most, and by how many calls; 0: nowhere. It simulates
+// a leaky bucket of size Burst that drains at Rate, which overflows exactly in the histories that exceed the bound.
 func (b *Bound) worstExcess(history []Entry) (index int, excess float64) {
 	level, last := 0.0, time.Duration(0)
 	for i, entry := range history {
-		if !b.counts(entry) {
+		if !b.covers(entry) {
 			continue
 		}
 		level = max(0, level-b.Rate*(entry.At-last).Seconds()) + 1
@@ -209,8 +211,8 @@
 	return index, excess
 }
 
-// counts reports whether an entry is a call that the bound counts.
-func (b *Bound) counts(entry Entry) bool {
+// covers reports whether an entry is a call to which the bound applies.
+func (b *Bound) covers(entry Entry) bool {
 	if entry.Kind != Acted || entry.To != b.To {
 		return false
 	}
@@ -220,10 +222,10 @@
 	return entry.At >= b.From && entry.At <= b.Until
 }
 
-// Stale counts the acts under a version after another relay had acted under a newer one, and returns for how long they went on:
-// the cost of letting partitioned relays go on.
-func Stale(history []Entry) (count int, longest time.Duration) {
-	supersededAt := map[uint64]time.Duration{} // when a newer version was first acted under
+// StaleActs counts the acts under a version after another relay acted under a newer one, and returns the longest time between the two. They
+// are the cost of letting partitioned relays serve.
+func StaleActs(history []Entry) (count int, longest time.Duration) {
+	supersededAt := map[uint64]time.Duration{} // when a relay first acted under a newer version
 	newest := uint64(0)
 	for _, entry := range sortByTime(history) {
 		switch {
@@ -241,14 +243,14 @@
 	return count, longest
 }
 
-// operation is an operation on the register of the policy in force.
+// operation is a read or a compare-and-set of the version in force.
 type operation struct {
 	isRead  bool
-	version uint64 // read, or put there
-	base    uint64
+	version uint64 // that was read or set
+	base    uint64 // version that a compare-and-set replaced
 }
 
-// registerModel is a register with compare-and-set; its state is the version in force.
+// registerModel models the version in force as a register with compare-and-set.
 var registerModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, _ any) (bool, any) {
@@ -260,20 +262,21 @@
 	},
 }
 
-// Bounds of the search for an order. Histories with more changes are left to the other rules.
+// Bounds of the search for a linearization. Histories with more changes are checked by the other rules only.
 const (
 	maxChanges    = 40
 	searchTimeout = 5 * time.Second
 )
 
-// relayVersion is a version that a relay acted on.
+// relayVersion identifies the acts of a relay under a version.
 type relayVersion struct {
 	relay   string
 	version uint64
 }
 
-// register reports whether changes that took effect, and the versions that were acted on, fit one order; the entry is the last change.
-func register(history []Entry, slack time.Duration) (last Entry, ok bool) {
+// linearizable reports whether the changes that took effect and the versions that relays acted under are linearizable. It also returns the
+// entry of the last change.
+func linearizable(history []Entry, slack time.Duration) (last Entry, ok bool) {
 	var operations []porcupine.Operation
 	add := func(call operation, from, until time.Duration) {
 		operations = append(operations, porcupine.Operation{ClientId: len(operations), Input: call, Call: int64(from), Return: int64(until)})
@@ -288,10 +291,10 @@
 	if len(operations) == 0 || len(operations) > maxChanges {
 		return last, true
 	}
-	first, latest := outermostActs(history)
+	first, latest := firstAndLastActs(history)
 	for _, acts := range []map[relayVersion]Entry{first, latest} {
 		for _, act := range acts {
-			if known[act.Version] { // others' changes are not in this history
+			if known[act.Version] { // a version whose change is not in the history can't be ordered
 				add(operation{isRead: true, version: act.Version}, act.At-slack, act.At)
 			}
 		}
@@ -299,8 +302,9 @@
 	return last, porcupine.CheckOperationsTimeout(registerModel, operations, searchTimeout) != porcupine.Illegal
 }
 
-// outermostActs returns the first and the last act of each relay on each version: those between them constrain no order further.
-func outermostActs(history []Entry) (first, last map[relayVersion]Entry) {
+// firstAndLastActs returns the first and the last act of each relay under each version. The acts between them don't constrain the order
+// further.
+func firstAndLastActs(history []Entry) (first, last map[relayVersion]Entry) {
 	first, last = map[relayVersion]Entry{}, map[relayVersion]Entry{}
 	for _, entry := range history {
 		if entry.Kind != Acted {
--- a/internal/relay/fleet/consensus/engine.go
+++ b/internal/relay/fleet/consensus/engine.go
@@ -1,8 +1,8 @@
-// Package consensus wraps raft's pure core (go.etcd.io/raft) for the voters of a relay fleet: the log is in memory, elections go
-// by the caller's clock, and all that must be on disk is returned in Ready before anything that depends on it.
+// Package consensus wraps the Raft library go.etcd.io/raft for the voters of a relay fleet: the log is in memory, elections are timed by
+// the caller's clock, and Ready returns what must be on disk before anything that depends on it.
 //
-// An Engine does no I/O, reads no clock, starts no goroutine and isn't safe for concurrent use; the same inputs and seed give
-// the same outputs. Package node drives it.
+// An Engine does no I/O, reads no clock, starts no goroutine and isn't safe for concurrent use. The same inputs and seed give the same
+// outputs. Package node drives it.
 package consensus
 
 import (
@@ -20,37 +20,37 @@
 const (
 	// HeartbeatInterval is the time between a leader's heartbeats.
 	HeartbeatInterval = 100 * time.Millisecond
-	// ElectionTimeout is the time without a leader's message after which a voter campaigns, drawn from one to two times it.
+	// ElectionTimeout is the minimum time without a leader's message after which a voter campaigns; the maximum is twice as long.
 	ElectionTimeout = 600 * time.Millisecond
 
-	snapshotEntries = 64        // entries since the last snapshot, after which one is due
-	snapshotBytes   = 128 << 10 // bytes of entries since the last snapshot, after which one is due
-	maxMessageBytes = 20 << 10  // bytes of entries in a message, which must fit a datagram
+	snapshotEntries = 64        // entries after the last snapshot at which the next one is due
+	snapshotBytes   = 128 << 10 // bytes of entries after the last snapshot at which the next one is due
+	maxMessageBytes = 20 << 10  // bytes of entries in a message, which must fit into a datagram
 )
 
-// Engine is one member of the voters' group. It is not safe for concurrent use: package node owns it. Times are on the caller's clock, and
+// Engine is one member of the voter group. It is not safe for concurrent use: package node owns it. Times are on the caller's clock, which
 // must never go back.
 type Engine struct {
-	ID     uint64 // of this member; must not be changed
+	ID     uint64 // of this member; the caller must not change it
 	node   *raft.RawNode
 	store  *raft.MemoryStorage // the log
-	random uint64              // state of the generator of election time-outs; never 0
+	random uint64              // state of the random generator for election timeouts; never 0
 
-	confState          *raftpb.ConfState // the members as of applied
+	confState          *raftpb.ConfState // the members after entry applied
 	applied            uint64            // index of the last entry that was returned as Committed
 	bytesSinceSnapshot int               // bytes of entries since the last snapshot
 	snapshotIndex      uint64            // index of the last entry in the last snapshot
-	leaderSeenAt       time.Duration     // when a leader, or whoever it voted for, was last heard
-	electionTimeout    time.Duration     // after which without a leader this member campaigns; drawn anew for each election
-	heartbeatAt        time.Duration     // of the last one that this member sent as leader
-	readConfirmedAt    time.Duration     // when a read was last confirmed by a majority
-	imageStale         bool              // the log on disk must be replaced by a complete one
-	membersChanged     bool              // since the last snapshot, which a restart must read the members from
-	fatal              error             // a PanicError; nil: none
+	leaderSeenAt       time.Duration     // when the leader was last heard, or this member voted for another
+	electionTimeout    time.Duration     // time without a leader after which this member campaigns; drawn for each election
+	heartbeatAt        time.Duration     // when this member last sent heartbeats as leader
+	readConfirmedAt    time.Duration     // when a majority last confirmed a ReadIndex
+	imageStale         bool              // the next Ready must save a complete image
+	membersChanged     bool              // since the last snapshot, from which a restart reads the members
+	fatal              error             // the PanicError after which the engine is unusable; nil: none
 }
 
-// New returns the member id, restored from the image on its disk; with an empty image it waits until a leader adds it. It fails where the
-// image can't be decoded or contradicts itself.
+// New returns the member with an id, restored from the image on its disk. With an empty image the member waits until a leader adds it. It
+// fails if the image can't be decoded or is inconsistent.
 func New(id, seed uint64, image *Image, now time.Duration) (*Engine, error) {
 	e := &Engine{ID: id, store: raft.NewMemoryStorage(), random: seed | 1, confState: &raftpb.ConfState{}}
 	if err := e.restore(image); err != nil {
@@ -62,7 +62,7 @@
 	return e, nil
 }
 
-// Bootstrap returns the only member of a new group, whose log begins with a snapshot of data at index and term. It campaigns at once.
+// Bootstrap returns the only member of a new group, whose log starts with a snapshot of data at index and term. It campaigns at once.
 func Bootstrap(id, seed uint64, index, term uint64, data []byte, now time.Duration) (*Engine, error) {
 	e := &Engine{ID: id, store: raft.NewMemoryStorage(), random: seed | 1, confState: &raftpb.ConfState{Voters: []uint64{id}}}
 	snapshot := &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{ConfState: e.confState, Index: &index, Term: &term}}
@@ -76,11 +76,11 @@
 	if err := e.start(now); err != nil {
 		return nil, err
 	}
-	e.electionTimeout = 0 // nobody else may lead
+	e.electionTimeout = 0 // no other member can be the leader
 	return e, nil
 }
 
-// start makes raft's node on the restored log. Its ticks are not used for elections, which go by the time that Tick is given.
+// start creates raft's node on the restored log. Raft's own election timer is disabled: Tick starts elections by the caller's clock.
 func (e *Engine) start(now time.Duration) (err error) {
 	defer e.recoverPanic(&err)
 	e.node, err = raft.NewRawNode(&raft.Config{ID: e.ID, ElectionTick: 1 << 30, HeartbeatTick: 1, Storage: e.store, Applied: e.applied,
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// randomElectionTimeout draws from one to two times ElectionTimeout.
+// randomElectionTimeout returns a random duration from one to two times ElectionTimeout.
 func (e *Engine) randomElectionTimeout() time.Duration {
 	e.random ^= e.random << 13
 	e.random ^= e.random >> 7
@@ -102,7 +102,7 @@
 	return ElectionTimeout + time.Duration(e.random%uint64(ElectionTimeout))
 }
 
-// recoverPanic turns a panic of raft's into a PanicError: raft panics on what an intact log can't hold. It must be deferred.
+// recoverPanic turns a panic of raft into a PanicError: raft panics on states that an intact log can't have. It must be deferred.
 func (e *Engine) recoverPanic(err *error) {
 	if value := recover(); value != nil {
 		*err = &PanicError{value}
@@ -110,7 +110,7 @@
 	}
 }
 
-// Snapshot returns the state that the log begins with; nil: none. Entries behind it come with the first Ready.
+// Snapshot returns the state at the start of the log; nil: none. The entries after it come with the first Ready.
 func (e *Engine) Snapshot() []byte {
 	snapshot, err := e.store.Snapshot()
 	if err != nil || raft.IsEmptySnap(snapshot) {
@@ -128,7 +128,7 @@
 // Applied returns the index of the last entry that was returned as Committed.
 func (e *Engine) Applied() uint64 { return e.applied }
 
-// IsLeader reports whether this member takes itself for the leader; only ReadIndex shows that a majority still does.
+// IsLeader reports whether this member considers itself the leader. Only ReadIndex shows whether a majority still agrees.
 func (e *Engine) IsLeader() bool {
 	return e.node.BasicStatus().RaftState == raft.StateLeader
 }
@@ -142,13 +142,14 @@
 // Learners returns the ids of the members that replicate the log without a vote. They must not be changed.
 func (e *Engine) Learners() []uint64 { return e.confState.GetLearners() }
 
-// InJointConfig reports whether a change of members is under way: until it is done old and new voters both must agree.
+// InJointConfig reports whether a change of members is under way, during which decisions need majorities of both the old and the new
+// voters.
 func (e *Engine) InJointConfig() bool { return len(e.confState.GetVotersOutgoing()) > 0 }
 
-// MatchIndex returns, at the leader, the index up to which a member's log is known to be the same; 0 where nothing is known.
+// MatchIndex returns the index up to which a member's log is known to match the leader's. It is 0 if nothing is known, and on followers.
 func (e *Engine) MatchIndex(id uint64) uint64 { return e.node.Status().Progress[id].Match }
 
-// Tick sends a leader's heartbeats and starts elections, as far as they are due. It returns a PanicError, or raft's error.
+// Tick sends the leader's heartbeats or starts an election if that is due. It returns a PanicError, or raft's error.
 func (e *Engine) Tick(now time.Duration) (err error) {
 	defer e.recoverPanic(&err)
 	if e.IsLeader() {
@@ -166,8 +167,8 @@
 	return nil
 }
 
-// Receive steps a message from another member, and returns the log position that the message shows the sender to have; zero: it shows none.
-// ErrOtherMember, ErrLocalMessage and the error of a message that can't be decoded change nothing.
+// Receive handles a message from another member. It returns the log position that the sender has according to the message, zero if the
+// message shows none. After ErrOtherMember, ErrLocalMessage and decoding errors the state is unchanged.
 func (e *Engine) Receive(now time.Duration, data []byte) (shown LogPosition, err error) {
 	message := &raftpb.Message{}
 	if err = proto.Unmarshal(data, message); err != nil {
@@ -181,7 +182,7 @@
 		raftpb.MsgStorageApply:
 		return shown, ErrLocalMessage
 	case raftpb.MsgVote, raftpb.MsgPreVote:
-		// A member that hears a leader, or leads with a majority, ignores candidates (check quorum).
+		// A follower with a live leader, and a leader with a live majority, ignore candidates (check quorum).
 		if e.IsLeader() && now-e.readConfirmedAt < ElectionTimeout || !e.IsLeader() && e.Leader() != 0 && now-e.leaderSeenAt < ElectionTimeout {
 			return shown, nil
 		}
@@ -203,19 +204,18 @@
 		return shown, fmt.Errorf("consensus: %w", err)
 	}
 	if v := e.node.BasicStatus().GetVote(); v != vote && v != 0 && v != e.ID {
-		e.leaderSeenAt = now // the candidate gets its time to win
+		e.leaderSeenAt = now // gives the candidate time to win the election
 	}
 	return shown, nil
 }
 
-// Propose proposes an entry. Without a leader it is dropped or an error; what is accepted may still be lost with the leader.
+// Propose proposes an entry. Without a leader the entry is dropped or Propose fails. An accepted entry may still be lost with the leader.
 func (e *Engine) Propose(data []byte) (err error) {
 	defer e.recoverPanic(&err)
 	return e.node.Propose(data)
 }
 
-// ReadIndex asks a majority to confirm that this member still leads; once it has, number is in Ready.ConfirmedReads. A lost request is not
-// repeated.
+// ReadIndex asks a majority to confirm that this member still leads; then Ready.ConfirmedReads has number. A lost request is not repeated.
 func (e *Engine) ReadIndex(number uint64) (err error) {
 	defer e.recoverPanic(&err)
 	context, err := cbor.Marshal(number)
--- a/internal/relay/fleet/consensus/errors.go
+++ b/internal/relay/fleet/consensus/errors.go
@@ -5,36 +5,36 @@
 	"fmt"
 )
 
-// Errors of Receive: the message is ignored.
+// Errors of Receive for messages that it ignores.
 var (
 	// ErrOtherMember is returned for a message to another member.
-	ErrOtherMember = errors.New("consensus: a message for another member")
-	// ErrLocalMessage is returned for a kind of message that a member only gives to itself.
-	ErrLocalMessage = errors.New("consensus: a message that members don't send each other")
+	ErrOtherMember = errors.New("consensus: message is addressed to another member")
+	// ErrLocalMessage is returned for a message type that raft only uses within a member.
+	ErrLocalMessage = errors.New("consensus: message type is only valid within a member")
 )
 
-// EntryGapError is returned by New for an image that lacks the entry before Index.
+// EntryGapError is returned by New for an image in which the entry before Index is missing.
 type EntryGapError struct{ Index uint64 }
 
 // Error names the entry after the gap.
 func (e EntryGapError) Error() string {
-	return fmt.Sprintf("consensus: entry %d stands where another should", e.Index)
+	return fmt.Sprintf("consensus: entry %d does not follow the entry before it", e.Index)
 }
 
 // TruncatedLogError is returned by New for an image that lacks committed entries.
 type TruncatedLogError struct {
 	Committed uint64 // index of the last committed entry
-	LastIndex uint64 // index of the last entry that is there
+	LastIndex uint64 // index of the last entry in the image
 }
 
 // Error names both indices.
 func (e TruncatedLogError) Error() string {
-	return fmt.Sprintf("consensus: entries up to %d were agreed on, and the log ends at %d", e.Committed, e.LastIndex)
+	return fmt.Sprintf("consensus: entries up to %d are committed, but the log ends at entry %d", e.Committed, e.LastIndex)
 }
 
-// PanicError is a panic of raft's, which meets with something that no intact log holds. The Engine is of no use any more: each later Ready
-// returns it.
+// PanicError is a panic of raft, which found a state that no intact log can have. The Engine is unusable afterwards: each later Ready
+// returns the same error.
 type PanicError struct{ Value any }
 
-// Error is the value that raft panicked with.
+// Error returns the value with which raft panicked.
 func (e *PanicError) Error() string { return fmt.Sprintf("consensus: %v", e.Value) }
--- a/internal/relay/fleet/consensus/image.go
+++ b/internal/relay/fleet/consensus/image.go
@@ -9,35 +9,35 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Image is a log as it is on disk, or what is to be added to it.
+// Image is the log on disk, or an addition to it.
 type Image struct {
-	HardState []byte   `cbor:"1,keyasint,omitempty"` // raftpb.HardState, encoded; the newest one counts
+	HardState []byte   `cbor:"1,keyasint,omitempty"` // raftpb.HardState, encoded; it replaces an earlier one
 	Snapshot  []byte   `cbor:"2,keyasint,omitempty"` // raftpb.Snapshot, encoded
-	Entries   [][]byte `cbor:"3,keyasint,omitempty"` // raftpb.Entry, encoded, in the order of their indices; a later one replaces all from its index on
-	Complete  bool     `cbor:"4,keyasint,omitempty"` // it replaces all that was on disk before
+	Entries   [][]byte `cbor:"3,keyasint,omitempty"` // raftpb.Entry, encoded, in order; one replaces all earlier ones from its index on
+	Complete  bool     `cbor:"4,keyasint,omitempty"` // it replaces the log on disk
 
-	// Remembered is the position that the logs of other members, by id, were seen to have: for them, should they lose their disks.
+	// Remembered is the newest log position that each other member, by id, has shown. A member that lost entries learns that from it.
 	Remembered map[uint64]LogPosition `cbor:"5,keyasint,omitempty"`
 }
 
-// LogPosition is the minimum that a member's log is known to hold.
+// LogPosition identifies the last entry of a member's log, or the newest that the log is known to have.
 type LogPosition struct {
 	Term      uint64 `cbor:"1,keyasint"`
 	LastIndex uint64 `cbor:"2,keyasint"`
 }
 
-// After reports whether a log at p is more up to date than one at other, as voters compare them (Raft, section 5.4.1).
+// After reports whether a log at p is more up-to-date than one at other, by the rule for elections (Raft, section 5.4.1).
 func (p LogPosition) After(other LogPosition) bool {
 	return p.Term > other.Term || p.Term == other.Term && p.LastIndex > other.LastIndex
 }
 
-// Empty reports whether the image has nothing to save. Remembered alone is not saved.
+// Empty reports whether the image has nothing to save; Remembered alone need not be saved.
 func (i *Image) Empty() bool {
 	return len(i.HardState) == 0 && len(i.Snapshot) == 0 && len(i.Entries) == 0
 }
 
-// restore puts an image into the empty log of a new engine. It returns an EntryGapError or a TruncatedLogError where the image's parts
-// contradict each other, and other errors for parts that can't be decoded.
+// restore loads an image into the empty log of a new engine. It returns an EntryGapError or a TruncatedLogError if the image is
+// inconsistent, and other errors for parts that can't be decoded.
 func (e *Engine) restore(image *Image) error {
 	if err := e.restoreSnapshot(image.Snapshot); err != nil {
 		return err
@@ -52,7 +52,7 @@
 	return e.restoreHardState(image.HardState)
 }
 
-// restoreSnapshot begins the log with an encoded snapshot; empty: with none.
+// restoreSnapshot starts the log with an encoded snapshot; empty: without one.
 func (e *Engine) restoreSnapshot(encoded []byte) error {
 	if len(encoded) == 0 {
 		return nil
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// decodeEntries decodes the entries behind a snapshot, each of which must follow the one before it.
+// decodeEntries decodes the entries after a snapshot. It returns an EntryGapError if their indices are not consecutive.
 func decodeEntries(encoded [][]byte, snapshotIndex uint64) ([]*raftpb.Entry, error) {
 	var entries []*raftpb.Entry
 	for _, b := range encoded {
@@ -81,7 +81,7 @@
 		if entry.GetIndex() <= snapshotIndex {
 			continue
 		}
-		// A later entry of the same index replaces it and all behind it.
+		// An entry replaces all earlier ones from its index on.
 		if n := len(entries); n > 0 && entry.GetIndex() <= entries[n-1].GetIndex() {
 			entries = slices.DeleteFunc(entries, func(former *raftpb.Entry) bool { return former.GetIndex() >= entry.GetIndex() })
 		}
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// Image returns the complete log as it should be on disk, without Remembered.
+// Image returns a complete image of the log, without Remembered.
 func (e *Engine) Image() (*Image, error) {
 	hard, _, err := e.store.InitialState()
 	if err != nil {
--- a/internal/relay/fleet/consensus/logger.go
+++ b/internal/relay/fleet/consensus/logger.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// discardLogger is a raft.Logger that drops all lines. Fatal and Panic must not return: they panic, and recoverPanic makes an error of that.
+// discardLogger is a raft.Logger that drops all lines. Fatal and Panic must not return: they panic, and recoverPanic returns an error.
 type discardLogger struct{}
 
 // Debug drops the line.
--- a/internal/relay/fleet/consensus/members.go
+++ b/internal/relay/fleet/consensus/members.go
@@ -9,15 +9,15 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// memberNames are the relays' names by member, in the context of a configuration change.
+// memberNames are the names of the members' relays by member id. They are encoded in the context of a configuration change.
 type memberNames map[uint64]string
 
-// AddLearner proposes to add a learner under a relay's name, and to remove the members in old.
+// AddLearner proposes to add a learner for the relay with a name, and to remove the members in old.
 func (e *Engine) AddLearner(id uint64, name string, old []uint64) error {
 	return e.proposeConfChange(memberNames{id: name}, raftpb.ConfChangeAddLearnerNode, id, old)
 }
 
-// Promote proposes to make a learner a voter, under its relay's name.
+// Promote proposes to make the learner of the relay with a name a voter.
 func (e *Engine) Promote(id uint64, name string) error {
 	return e.proposeConfChange(memberNames{id: name}, raftpb.ConfChangeAddNode, id, nil)
 }
@@ -25,7 +25,8 @@
 // Remove proposes to remove members.
 func (e *Engine) Remove(old []uint64) error { return e.proposeConfChange(nil, 0, 0, old) }
 
-// proposeConfChange proposes to remove the members in old and, unless id is 0, to change one more as kind says; names are those of added ones.
+// proposeConfChange proposes to remove the members in old and, unless id is 0, to change member id according to kind. names has the relay's
+// name for an added member.
 func (e *Engine) proposeConfChange(names memberNames, kind raftpb.ConfChangeType, id uint64, old []uint64) (err error) {
 	defer e.recoverPanic(&err)
 	change := &raftpb.ConfChangeV2{}
@@ -42,7 +43,7 @@
 	return e.node.ProposeConfChange(change)
 }
 
-// toCommitted converts an entry, and applies it to the members where it changes them.
+// toCommitted converts a committed entry. It applies a configuration change to the members.
 func (e *Engine) toCommitted(entry *raftpb.Entry) (committed Committed, err error) {
 	committed = Committed{Index: entry.GetIndex(), Data: entry.GetData()}
 	if entry.GetType() == raftpb.EntryNormal {
@@ -54,13 +55,13 @@
 	}
 	e.confState, e.membersChanged = e.node.ApplyConfChange(change), true
 	committed.Data, committed.Names = nil, memberNames{}
-	_ = cbor.Unmarshal(change.AsV2().GetContext(), &committed.Names) // the end of a joint change has none
+	_ = cbor.Unmarshal(change.AsV2().GetContext(), &committed.Names) // the entry that leaves a joint configuration has no names
 	committed.Members = slices.Concat([]uint64{}, e.confState.GetVoters(), e.confState.GetLearners(), e.confState.GetVotersOutgoing(),
 		e.confState.GetLearnersNext())
 	return committed, nil
 }
 
-// decodeConfChange decodes an entry that changes members, of either version.
+// decodeConfChange decodes a configuration change of either format.
 func decodeConfChange(entry *raftpb.Entry) (raftpb.ConfChangeI, error) {
 	if entry.GetType() == raftpb.EntryConfChange {
 		change := &raftpb.ConfChange{}
--- a/internal/relay/fleet/consensus/ready.go
+++ b/internal/relay/fleet/consensus/ready.go
@@ -13,30 +13,30 @@
 // Committed is a committed entry.
 type Committed struct {
 	Index   uint64
-	Data    []byte            // as it was proposed; nil: an entry of raft's own
-	Members []uint64          // not nil: ids of the voters and learners from this entry on
-	Names   map[uint64]string // with Members: names of the members that were added, by id
+	Data    []byte            // as proposed; nil: an entry by raft itself
+	Members []uint64          // ids of the voters and learners after a configuration change; nil: another entry
+	Names   map[uint64]string // of Members: names of the added members, by id
 }
 
-// Ready is what follows from the inputs so far. Save must be on disk, synced, before any of Messages leaves and before
-// anything of Committed is acted on.
+// Ready is the output of the engine. Save must be synced to disk before any of Messages is sent and before anything in Committed takes
+// effect outside.
 type Ready struct {
-	Save           *Image      // nil: nothing is to be saved
+	Save           *Image      // nil: nothing to save
 	Messages       []Message   // to be sent once Save is synced; each may be lost
 	Committed      []Committed // in the order of their indices
-	Snapshot       []byte      // not nil: the state was replaced by this, before Committed
-	ConfirmedReads []uint64    // numbers of ReadIndex that a majority has confirmed
+	Snapshot       []byte      // not nil: replaced the state before Committed was applied
+	ConfirmedReads []uint64    // numbers of the ReadIndex calls that a majority has confirmed
 }
 
 // Message is a message to another member.
 type Message struct {
 	To   uint64 // the member's id
-	Data []byte // for its Receive
+	Data []byte // for Receive of that member
 }
 
-// Ready returns all that is ready, which the caller must carry out in the order that Ready's comment says. Meanwhile it calls restore with the
-// state of a snapshot from the leader, apply with each committed entry, and state for the state as of the last Committed when a snapshot is
-// due. After a PanicError each call returns that.
+// Ready returns the outputs since the last call; see type Ready for the order in which the caller must execute them. Meanwhile it calls
+// restore with the state of a snapshot from the leader, apply with each committed entry and, if a snapshot is due, state for the state
+// after the last of them. After a PanicError each call returns the same error.
 func (e *Engine) Ready(now time.Duration, apply func(Committed), restore func([]byte), state func() []byte) (out Ready, err error) {
 	defer e.recoverPanic(&err)
 	if e.fatal != nil {
@@ -57,7 +57,7 @@
 				return out, fmt.Errorf("consensus: %w", messageErr)
 			}
 			out.Messages = append(out.Messages, Message{m.GetTo(), encoded})
-			if m.GetType() == raftpb.MsgSnap { // it may be lost like any other: raft sends it again
+			if m.GetType() == raftpb.MsgSnap { // it may be lost like any message, and raft then sends it again
 				defer e.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 			}
 		}
@@ -82,7 +82,7 @@
 	return out, nil
 }
 
-// applySnapshot replaces the state by a snapshot that the leader has sent, if there is one.
+// applySnapshot replaces the state by a snapshot from the leader, if there is one.
 func (e *Engine) applySnapshot(snapshot *raftpb.Snapshot, out *Ready, restore func([]byte)) error {
 	if raft.IsEmptySnap(snapshot) {
 		return nil
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// saveEntries adds new entries and a new HardState to the log in memory, and to what is to be saved.
+// saveEntries adds new entries and a new HardState to the log in memory and to save.
 func (e *Engine) saveEntries(rd *raft.Ready, save *Image) error {
 	for _, entry := range rd.Entries {
 		encoded, err := proto.Marshal(entry)
@@ -148,7 +148,7 @@
 	}
 }
 
-// maybeSnapshot takes a snapshot of the state and compacts the log behind it, if one is due.
+// maybeSnapshot takes a snapshot of the state if one is due, and compacts the log.
 func (e *Engine) maybeSnapshot(state func() []byte) error {
 	if e.applied-e.snapshotIndex < snapshotEntries && !e.membersChanged && (e.bytesSinceSnapshot <= snapshotBytes || e.applied <= e.snapshotIndex) {
 		return nil
@@ -157,7 +157,7 @@
 	if _, err := e.store.CreateSnapshot(e.applied, e.confState, state()); err != nil {
 		return fmt.Errorf("consensus: %w", err)
 	}
-	// Some entries stay, so that a member that is a little behind needs no snapshot.
+	// Some entries stay, so that a member with a small lag needs no snapshot.
 	if first, _ := e.store.FirstIndex(); e.applied > first+snapshotEntries/4 {
 		_ = e.store.Compact(e.applied - snapshotEntries/4)
 	}
--- a/internal/relay/fleet/node/admin.go
+++ b/internal/relay/fleet/node/admin.go
@@ -12,15 +12,15 @@
 
 // The operations of an AdminRequest, as the command line sends them.
 const (
-	opCounts    = "counts" // what all relays have counted
+	opCounts    = "counts" // returns the sums of all relays' counters
 	opStatus    = "status"
-	opPropose   = "propose" // a new policy
-	opRoster    = "roster"  // replaces the roster by the configuration's
-	opBootstrap = "found"   // a new fleet
-	opForce     = "force"   // a new voters' group, where the former majority is lost
+	opPropose   = "propose" // proposes a policy
+	opRoster    = "roster"  // replaces the roster by that of this relay's configuration
+	opBootstrap = "found"   // bootstraps a fleet
+	opForce     = "force"   // bootstraps a new voter group after the loss of a majority
 )
 
-// handleAdminRequest carries out and answers an operator's request.
+// handleAdminRequest executes an operator's request and answers it.
 func (n *Node) handleAdminRequest(request *AdminRequest) {
 	refusal := ""
 	switch request.Op {
@@ -44,7 +44,7 @@
 	case opForce:
 		switch {
 		case n.engine == nil || n.applied.Epoch == 0:
-			refusal = "this relay has no say in a fleet"
+			refusal = "this relay is not a voter of a fleet"
 		default:
 			state := n.applied.Clone()
 			state.Epoch++
@@ -52,14 +52,14 @@
 			refusal = n.bootstrap(state, position.LastIndex+1, position.Term+1)
 		}
 	default:
-		refusal = fmt.Sprintf("%q is not known here", request.Op)
+		refusal = fmt.Sprintf("operation %q is unknown, want counts, status, propose, roster, found or force", request.Op)
 	}
 	status := n.Status()
 	status.Error = refusal
 	n.emit(Action{Answer: status, RequestNumber: request.Number})
 }
 
-// bootstrap begins a new voters' group, with this relay as its only member. It returns why it can't; empty: it has.
+// bootstrap creates a new voter group with this relay as its only member. It returns the reason of a failure; empty: success.
 func (n *Node) bootstrap(state *policy.State, index, term uint64) string {
 	id := n.random() | 1
 	state.Index, state.Members = index, map[uint64]string{id: n.config.Name}
@@ -75,7 +75,7 @@
 	return ""
 }
 
-// Status returns what this relay knows. The caller owns it, but not the state in it, which must not be changed.
+// Status returns this relay's view of the fleet. The caller owns the result except for its State, which must not be changed.
 func (n *Node) Status() *Status {
 	status := &Status{Relay: n.config.Name, Generation: n.config.Generation, Leader: n.leader, State: n.newest, Progress: n.progress,
 		MayAct: n.mandate.Until > n.now && n.mandate.Halted == 0, LeaseLeft: max(n.leaseUntil-n.now, 0), WhyNot: n.mandate.WhyNot}
@@ -84,7 +84,7 @@
 		status.Voter = "not until it is started again: " + n.votingDisabled
 	case n.engine == nil:
 	case n.probation:
-		status.Voter = "asks what others remember of it"
+		status.Voter = "asks the other voters for its last log position"
 	case n.engine.IsLeader():
 		status.Voter, status.Leader = "leads", n.config.Name
 	case slices.Contains(n.engine.Voters(), n.engine.ID):
@@ -95,8 +95,8 @@
 		status.Voter = "waits to be taken in"
 	}
 	if !status.MayAct && status.WhyNot == "" {
-		if status.WhyNot = "its lease is over"; n.mandate.Halted != 0 {
-			status.WhyNot = "a change is about to be in force"
+		if status.WhyNot = "its lease has expired"; n.mandate.Halted != 0 {
+			status.WhyNot = "a decided change is about to take effect"
 		}
 	}
 	if n.leadership.allocator != nil {
@@ -109,8 +109,8 @@
 	return status
 }
 
-// propose proposes a command by this relay's engine. Without one, or without a leader, it asks a voter to, if the command is an operator's of
-// this relay (own).
+// propose proposes a command through this relay's engine. If that is impossible, a command from an operator at this relay (own) is sent to
+// a voter, and any other is dropped.
 func (n *Node) propose(command *policy.Command, own bool) {
 	switch {
 	case n.engine != nil && !n.probation && n.engine.Leader() != 0:
--- a/internal/relay/fleet/node/count.go
+++ b/internal/relay/fleet/node/count.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	countersInterval = 2 * time.Second // between a relay's tallies to the voters
-	talliesInterval  = time.Second     // between a voter's tallies to the others
-	talliesAtOnce    = 4               // relays whose tallies a voter sends then
+	countersInterval   = 2 * time.Second // between two tallies of a relay to the voters
+	talliesInterval    = time.Second     // between two exchanges of tallies from a voter to the others
+	talliesPerInterval = 4               // relays whose tallies a voter sends in each exchange
 )
 
-// sendCounters sends this relay's tally to the voters, and as a voter some other relays' tallies to the other voters. So any voter
-// can be asked, and what one has missed, or lost with its process, the others have.
+// sendCounters sends this relay's tally to the voters. A voter also sends tallies of other relays to the other voters, so that any voter
+// can answer for all relays and recovers the tallies that it missed, or lost in a restart.
 func (n *Node) sendCounters() {
 	if n.counters != nil && n.now >= n.nextCountersAt {
 		n.nextCountersAt = n.now + countersInterval
@@ -27,14 +27,14 @@
 		return
 	}
 	n.nextTalliesAt = n.now + talliesInterval
-	for _, tally := range n.counterTable.NextTallies(talliesAtOnce) {
+	for _, tally := range n.counterTable.NextTallies(talliesPerInterval) {
 		for _, name := range n.config.Voters {
 			n.send(name, &Message{Tallies: []quota.Tally{tally}})
 		}
 	}
 }
 
-// mergeTallies merges relays' tallies into a voter's table.
+// mergeTallies merges tallies into the table, if this relay is a voter.
 func (n *Node) mergeTallies(all []quota.Tally) {
 	for i := range all {
 		if n.counterTable != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-// handleTotals answers a request for totals, or passes the answer on to the operator who waits for it.
+// handleTotals answers a request for totals, or forwards an answer to the operator who waits for it.
 func (n *Node) handleTotals(from string, message *CounterTotals) {
 	switch {
 	case message.Totals == nil && n.counterTable != nil:
@@ -55,11 +55,11 @@
 	}
 }
 
-// requestTotals answers an operator's request for totals, or asks a voter for them.
+// requestTotals answers an operator's request for totals if this relay is a voter, otherwise it asks one.
 func (n *Node) requestTotals(number uint64) {
 	if n.counterTable != nil {
 		n.handleTotals(n.config.Name, &CounterTotals{RequestNumber: number, Totals: n.counterTable.Totals(n.now)})
-	} else if len(n.config.Voters) > 0 { // one that does not answer is asked again, or another is
+	} else if len(n.config.Voters) > 0 { // a client repeats an unanswered request, which then goes to the next voter
 		n.send(n.config.Voters[n.voterIndex], &Message{Totals: &CounterTotals{RequestNumber: number}})
 		n.voterIndex = (n.voterIndex + 1) % len(n.config.Voters)
 	}
--- a/internal/relay/fleet/node/leader.go
+++ b/internal/relay/fleet/node/leader.go
@@ -12,54 +12,54 @@
 	"mastusher/internal/relay/fleet/quota"
 )
 
-// leadership is a leader's state for its term. A new leader starts with none of it: lease requests report it again, and for the leases of
-// former leaders it waits until they have expired.
+// leadership is the state that a leader has for its term only. A new leader starts without it: lease requests report it again, and the
+// leader waits until the leases of former leaders have expired.
 type leadership struct {
-	since           time.Duration           // of the leadership; a former leader may have granted leases until then
-	leading         bool                    // false: the state is not in use
+	since           time.Duration           // start of the leadership; a former leader may have granted leases until then
+	leading         bool                    // false: this relay is not the leader
 	relays          map[string]*relayRecord // by name
-	pendingGrants   []pendingGrant          // grants that a majority has not confirmed yet
-	readRequests    uint64                  // number of the last ReadIndex
+	pendingGrants   []pendingGrant          // wait for a majority to confirm the leadership
+	readRequests    uint64                  // number of the last ReadIndex call
 	nextReadAt      time.Duration
-	confirmedRead   uint64 // number of the newest ReadIndex that a majority has confirmed
-	broadcastIndex  uint64 // of the state that was broadcast last
+	confirmedRead   uint64 // number of the newest ReadIndex call that a majority has confirmed
+	broadcastIndex  uint64 // of the last state that was broadcast
 	nextBroadcastAt time.Duration
-	proposedAt      map[string]time.Duration // when commands were proposed last, and when phases of a change started, by their keys
+	proposedAt      map[string]time.Duration // when a command was last proposed, or a change's phase started, by key
 	nextReconcileAt time.Duration
-	allocator       *quota.Allocator // nil: nothing is shared
+	allocator       *quota.Allocator // nil: no limits are shared
 }
 
-// relayRecord is a relay as its lease requests report it.
+// relayRecord is what the leader knows of a relay from its lease requests.
 type relayRecord struct {
 	request           LeaseRequest
 	receivedAt        time.Duration
-	leaseOverAt       time.Duration // from when on it surely has no lease
-	formerIncarnation uint64        // the incarnation before this one, its newest Seq, and how many it sent since
+	leaseExpiresAt    time.Duration // when its last lease has expired by any clock within MaxClockDrift
+	formerIncarnation uint64        // the incarnation before; its newest Seq, and how many requests it sent after the new one started
 	formerSeq         uint64
 	formerRequests    int
-	conflictAt        time.Duration // when two relays of one name were seen last
+	conflictAt        time.Duration // when two relays with this name were last detected
 }
 
 // pendingGrant is a lease request that is granted once a majority has confirmed the leadership.
 type pendingGrant struct {
-	read       uint64 // number of the ReadIndex that confirms it
-	via        string // the relay that it came from: the requester, or a voter
+	read       uint64 // number of the ReadIndex call that confirms the leadership
+	via        string // the relay that sent it: the requester, or a voter that forwarded it
 	request    LeaseRequest
 	receivedAt time.Duration
 }
 
-// reset forgets all: the relay begins to lead, or does not lead.
+// reset clears the state, when the relay becomes the leader or while it is not.
 func (l *leadership) reset(now time.Duration) {
 	*l = leadership{since: now, relays: map[string]*relayRecord{}, proposedAt: map[string]time.Duration{}}
 }
 
-// maxLeaseDuration is how long a lease granted now may last by any clock within MaxClockDrift.
+// maxLeaseDuration is the longest time, by this relay's clock, that a lease granted now may last.
 func (n *Node) maxLeaseDuration() time.Duration {
 	return time.Duration(float64(n.config.Lease)*(1+n.config.MaxClockDrift)) + time.Millisecond
 }
 
-// handleLeaseRequest takes a lease request. The leader grants it once a majority has confirmed that it still leads; another
-// voter forwards it.
+// handleLeaseRequest handles a lease request. The leader grants the lease once a majority has confirmed that it still leads; another voter
+// forwards the request.
 func (n *Node) handleLeaseRequest(from string, request *LeaseRequest) {
 	if request.Member != 0 {
 		n.rememberPosition(request.Member, consensus.LogPosition{Term: request.Term, LastIndex: request.LastIndex})
@@ -76,14 +76,14 @@
 		return
 	}
 	if request.Forwarded && request.From == from && from != n.config.Name {
-		return // for the record only
+		return // only reports a log position
 	}
 	relay := n.leadership.relays[request.From]
 	if relay == nil {
 		if len(n.leadership.relays) > 4*len(n.applied.Roster)+64 {
 			return
 		}
-		relay = &relayRecord{leaseOverAt: n.leadership.since + n.maxLeaseDuration()}
+		relay = &relayRecord{leaseExpiresAt: n.leadership.since + n.maxLeaseDuration()}
 		n.leadership.relays[request.From] = relay
 	}
 	if !n.isNewestRequest(from, relay, request) {
@@ -95,11 +95,11 @@
 		return
 	}
 	if n.applied.Halted() && request.Stopped < n.applied.Change.Version {
-		// It may still act on the version before: it gets the new state, and its lease is not extended.
+		// The relay may still act under the old version: it gets the new state, but no extension of its lease.
 		n.sendGrant(from, request, 0, "", 0)
 		return
 	}
-	relay.leaseOverAt = n.now + n.maxLeaseDuration()
+	relay.leaseExpiresAt = n.now + n.maxLeaseDuration()
 	if n.leadership.allocator != nil && request.QuotaRequest != nil {
 		n.leadership.allocator.SetRoster(n.applied.Roster)
 		n.leadership.allocator.HandleRequest(n.now, request.From, request.Incarnation, request.QuotaRequest)
@@ -107,15 +107,15 @@
 	n.leadership.pendingGrants = append(n.leadership.pendingGrants, pendingGrant{n.leadership.readRequests + 1, from, *request, n.now})
 }
 
-// isNewestRequest reports whether a request is newer than the last one of its relay's name. One of a former incarnation is
-// answered with a rejection; two incarnations of one generation are recorded as a conflict.
+// isNewestRequest reports whether a request is newer than all others under its relay's name. It rejects one from a former incarnation, and
+// records a conflict of names for two incarnations with the same generation.
 func (n *Node) isNewestRequest(from string, relay *relayRecord, request *LeaseRequest) bool {
-	switch was := &relay.request; {
-	case was.Incarnation == 0:
-	case request.Incarnation == was.Incarnation:
-		return request.Seq > was.Seq // otherwise it is late, or a duplicate
-	case request.Incarnation == relay.formerIncarnation || request.Generation < was.Generation:
-		// One of a former incarnation may be a delayed datagram; several with growing Seq show that it still runs.
+	switch previous := &relay.request; {
+	case previous.Incarnation == 0:
+	case request.Incarnation == previous.Incarnation:
+		return request.Seq > previous.Seq // otherwise the request is late, or a duplicate
+	case request.Incarnation == relay.formerIncarnation || request.Generation < previous.Generation:
+		// A single request from a former incarnation may be a delayed datagram; several with growing Seq show that it still runs.
 		if relay.formerIncarnation = request.Incarnation; request.Seq > relay.formerSeq {
 			relay.formerSeq = request.Seq
 			relay.formerRequests++
@@ -123,17 +123,17 @@
 		if relay.formerRequests > 3 {
 			n.recordNameConflict(relay, request)
 		}
-		n.rejectFormerIncarnation(from, request, was.Generation)
+		n.rejectFormerIncarnation(from, request, previous.Generation)
 		return false
-	case request.Generation == was.Generation:
+	case request.Generation == previous.Generation:
 		n.recordNameConflict(relay, request)
 	default:
-		relay.formerIncarnation, relay.formerSeq, relay.formerRequests = was.Incarnation, was.Seq, 0
+		relay.formerIncarnation, relay.formerSeq, relay.formerRequests = previous.Incarnation, previous.Seq, 0
 	}
 	return true
 }
 
-// rejectionReason is why a relay gets no lease at all; empty: it may get one.
+// rejectionReason returns why a relay can get no lease; empty: it can.
 func (n *Node) rejectionReason(relay *relayRecord, request *LeaseRequest) string {
 	switch {
 	case !slices.Contains(n.applied.Roster, request.From):
@@ -144,10 +144,10 @@
 	return ""
 }
 
-// sameName is why a relay is rejected whose name another one uses; operators see it.
+// sameName is the reason for rejecting a relay whose name another relay uses. It is shown to operators.
 const sameName = "another relay goes by the same name"
 
-// recordNameConflict records that two relays use one name: neither gets a lease for two lease durations.
+// recordNameConflict records that two relays use the same name: neither gets a lease for twice maxLeaseDuration.
 func (n *Node) recordNameConflict(relay *relayRecord, request *LeaseRequest) {
 	if relay.conflictAt == 0 || n.now-relay.conflictAt > n.maxLeaseDuration() {
 		n.log("two relays with the same name", "relay", request.From)
@@ -155,22 +155,22 @@
 	relay.conflictAt = n.now
 }
 
-// rejectFormerIncarnation answers a relay of whose name a later incarnation is known.
+// rejectFormerIncarnation rejects a request from a relay under whose name a newer incarnation is known.
 func (n *Node) rejectFormerIncarnation(via string, request *LeaseRequest, newest uint64) {
 	n.send(via, &Message{LeaseGrant: &LeaseGrant{To: request.From, Generation: request.Generation, Incarnation: request.Incarnation,
 		Seq: request.Seq, Rejected: sameName, NewestGeneration: newest}})
 }
 
-// sendGrant answers a lease request that arrived at came: with the lease, 0 for none, the state if it is newer than the relay's,
-// and the relay's quota shares.
-func (n *Node) sendGrant(via string, request *LeaseRequest, lease time.Duration, rejected string, came time.Duration) {
+// sendGrant answers a lease request that arrived at receivedAt. The answer has the lease (0: none), the state if it is newer than the
+// relay's, and with a lease also the relay's quota shares.
+func (n *Node) sendGrant(via string, request *LeaseRequest, lease time.Duration, rejected string, receivedAt time.Duration) {
 	grant := &LeaseGrant{To: request.From, Generation: request.Generation, Incarnation: request.Incarnation, Seq: request.Seq, Lease: lease,
 		Epoch: n.applied.Epoch, Index: n.applied.Index, Rejected: rejected, Progress: n.progress}
 	if n.applied.NewerThan(request.Epoch, request.Index) {
 		grant.State = n.applied
 	}
 	if n.leadership.allocator != nil && request.QuotaRequest != nil && lease > 0 {
-		grant.QuotaGrant = n.leadership.allocator.Grant(n.now, came, request.From)
+		grant.QuotaGrant = n.leadership.allocator.Grant(n.now, receivedAt, request.From)
 	}
 	if request.From == n.config.Name {
 		n.handleLeaseGrant(n.config.Name, grant)
@@ -179,7 +179,7 @@
 	n.send(via, &Message{LeaseGrant: grant})
 }
 
-// stepLeader does a leader's work in a Step.
+// stepLeader does the leader's work in a Step.
 func (n *Node) stepLeader() {
 	l := &n.leadership
 	if !l.leading {
@@ -211,7 +211,8 @@
 	}
 }
 
-// sendConfirmedGrants grants the lease requests for which a majority has confirmed the leadership, and drops those that have waited too long.
+// sendConfirmedGrants grants the lease requests that arrived before a majority confirmed the leadership, and drops those that waited too
+// long.
 func (n *Node) sendConfirmedGrants() {
 	l := &n.leadership
 	waiting := l.pendingGrants[:0]
@@ -226,7 +227,7 @@
 	l.pendingGrants = waiting
 }
 
-// proposeOnce proposes a command, and again only if it was not committed within reproposeInterval. The key names the command.
+// proposeOnce proposes the command identified by key, unless it did so within the last reproposeInterval.
 func (n *Node) proposeOnce(key string, command *policy.Command) {
 	if proposedAt, ok := n.leadership.proposedAt[key]; ok && n.now-proposedAt < reproposeInterval {
 		return
@@ -244,7 +245,7 @@
 	}
 }
 
-// advanceChange moves the change under way to its next phase, once every relay has answered for this one or its lease has expired.
+// advanceChange moves the change under way to its next phase once every relay has completed the current one or has no lease any more.
 func (n *Node) advanceChange() {
 	change := n.applied.Change
 	if change == nil {
@@ -267,9 +268,9 @@
 		}
 		n.proposeOnce(key, &policy.Command{Kind: policy.Check, Version: change.Version, Excused: excused})
 		n.proposeOnce("decide "+key, &policy.Command{Kind: policy.Decide, Version: change.Version})
-	case change.Phase == policy.Proposed && n.now-startedAt > checkLeases*n.config.Lease:
+	case change.Phase == policy.Proposed && n.now-startedAt > checkTimeoutLeases*n.config.Lease:
 		n.proposeOnce("drop "+key, &policy.Command{Kind: policy.Decide, Version: change.Version,
-			DropReason: fmt.Sprintf("%v did not say whether they can apply it", progress.Missing)})
+			DropReason: fmt.Sprintf("no verdict from %v in time", progress.Missing)})
 	case change.Phase == policy.Checked:
 		n.proposeOnce("decide "+key, &policy.Command{Kind: policy.Decide, Version: change.Version})
 	case change.Phase == policy.Decided && progress.Done == progress.Of:
@@ -277,15 +278,15 @@
 	}
 }
 
-// measureProgress counts the relays that have answered for the change's phase. Excused are those that did not and whose lease
-// has expired; dropReason is why a relay can't apply the change, empty if none said so.
+// measureProgress counts the relays that have completed the phase of a change. excused are the others whose lease has expired, which count
+// as done; dropReason is why a relay can't apply the change, empty if none reported that.
 func (n *Node) measureProgress(change *policy.Change) (progress *Progress, excused []string, dropReason string) {
 	progress = &Progress{Version: change.Version, Phase: change.Phase.String()}
 	for _, name := range slices.Concat(n.applied.Roster, n.applied.Former) {
 		relay := n.leadership.relays[name]
-		leaseOverAt := n.leadership.since + n.maxLeaseDuration()
+		leaseExpiresAt := n.leadership.since + n.maxLeaseDuration()
 		if relay != nil {
-			leaseOverAt = relay.leaseOverAt
+			leaseExpiresAt = relay.leaseExpiresAt
 		}
 		done := false
 		switch {
@@ -297,7 +298,7 @@
 				dropReason = fmt.Sprintf("%s: %s", name, relay.request.Verdict.Reason)
 			}
 		}
-		if !done && n.now >= leaseOverAt {
+		if !done && n.now >= leaseExpiresAt {
 			done = true
 			excused = append(excused, name)
 		}
@@ -305,7 +306,7 @@
 			progress.Done++
 			continue
 		}
-		progress.Within = max(progress.Within, leaseOverAt-n.now)
+		progress.Within = max(progress.Within, leaseExpiresAt-n.now)
 		if len(progress.Missing) < maxMissingNames {
 			progress.Missing = append(progress.Missing, name)
 		}
@@ -313,7 +314,7 @@
 	return progress, excused, dropReason
 }
 
-// broadcastState sends a new state to all relays, and during a change again to those that have not reported it.
+// broadcastState sends a new state to all relays, and during a change repeatedly to those that have not reported that they know it.
 func (n *Node) broadcastState() {
 	state := n.applied
 	if len(state.Roster) == 0 {
--- a/internal/relay/fleet/node/lease.go
+++ b/internal/relay/fleet/node/lease.go
@@ -20,7 +20,7 @@
 		}
 	}
 	request := LeaseRequest{From: n.config.Name, Generation: n.config.Generation, Incarnation: n.config.Incarnation, Seq: n.requestSeq,
-		Epoch: n.newest.Epoch, Index: n.newest.Index, Verdict: n.verdict}
+		Epoch: n.newest.Epoch, Index: n.newest.Index, Verdict: n.changeVerdict}
 	if n.lessee != nil {
 		request.QuotaRequest = n.lessee.NextRequest(n.now, n.config.Zone)
 	}
@@ -31,9 +31,9 @@
 		request.Member = n.engine.ID
 		position := n.engine.Position()
 		request.Term, request.LastIndex = position.Term, position.LastIndex
-		record := request // for those that only remember its log position
+		record := request // for the voters that only remember the log position
 		record.Forwarded, record.QuotaRequest = true, nil
-		for _, name := range n.config.Voters { // its log position must be remembered by more than the leader
+		for _, name := range n.config.Voters { // more voters than the leader must remember the log position
 			n.send(name, &Message{LeaseRequest: &record})
 		}
 		if n.engine.IsLeader() && !n.probation {
@@ -50,8 +50,9 @@
 	}
 }
 
-// raiseGeneration begins a new incarnation with a generation above newest, which was heard of this relay's name: a folder that was lost, or
-// restored, does not know how often the relay was started. Two relays of one name would outbid each other for ever: it is done twice at most.
+// raiseGeneration starts a new incarnation with a generation above newest, the highest that the leader knows for this relay's name: a lost
+// or restored folder has too low a generation. It does so at most twice, since two relays with one name would raise theirs in turn for
+// ever.
 func (n *Node) raiseGeneration(newest uint64) {
 	if n.generationRaises++; n.generationRaises > 2 {
 		if n.generationRaises == 3 {
@@ -65,12 +66,12 @@
 	n.emit(Action{Generation: n.config.Generation})
 }
 
-// handleLeaseGrant takes a lease, which lasts from when its request was sent, shortened by the clocks' drift: so it always ends before the
-// leader considers it expired.
+// handleLeaseGrant accepts a lease. It counts from when its request was sent and is shortened by MaxClockDrift, so that it always ends
+// before the leader considers it expired.
 func (n *Node) handleLeaseGrant(from string, grant *LeaseGrant) {
 	sentAt, ok := n.pendingRequests[grant.Seq]
 	if !ok || grant.Generation != n.config.Generation || grant.Incarnation != n.config.Incarnation {
-		return // of a former incarnation, or answered
+		return // for a former incarnation, or a request that was answered before
 	}
 	n.grantedAt, n.leader, n.progress = n.now, from, grant.Progress
 	if grant.State != nil {
--- a/internal/relay/fleet/node/members.go
+++ b/internal/relay/fleet/node/members.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// reconcileMembers changes the voters to those of the configuration, one change at a time.
+// reconcileMembers changes the voters step by step to those of the configuration.
 func (n *Node) reconcileMembers() {
 	if n.engine.InJointConfig() || n.applied.Members[n.engine.ID] == "" || len(n.applied.Roster) == 0 {
 		return
@@ -12,8 +12,8 @@
 	}
 }
 
-// proposeMemberChange proposes the next change that is missing: to add a voter of the configuration as a learner, in place of its relay's former
-// members, to promote a learner that has caught up, or to remove members that the configuration does not have.
+// proposeMemberChange proposes the next change that is needed: adding a configured voter as a learner that replaces its relay's former
+// members, promoting a learner that has caught up, or removing members whose relays are no longer configured as voters.
 func (n *Node) proposeMemberChange() error {
 	engine := n.engine
 	for _, name := range n.config.Voters {
@@ -42,10 +42,10 @@
 	return engine.Remove(removed)
 }
 
-// promotionLag is by how many entries a learner's log may be shorter than the leader's when it becomes a voter.
+// promotionLag is the maximum number of entries that a learner may lack when it is promoted to a voter.
 const promotionLag = 8
 
-// formerMembers are the members of a relay other than its current one, in ascending order.
+// formerMembers returns the members of a relay other than its current one, in ascending order.
 func (n *Node) formerMembers(name string, current uint64) (former []uint64) {
 	for member, relay := range n.applied.Members {
 		if relay == name && member != current {
--- a/internal/relay/fleet/node/voter.go
+++ b/internal/relay/fleet/node/voter.go
@@ -11,19 +11,20 @@
 	"mastusher/internal/relay/fleet/policy"
 )
 
-// disableVoting ends this relay's part in the voters' group until its next start, since what its engine must remember is not on disk.
+// disableVoting removes this relay from the voter group until its next start. It is called when the engine fails or its state can't be
+// saved.
 func (n *Node) disableVoting(reason string) {
 	if n.engine == nil {
 		return
 	}
-	// What only the engine knew may not be committed: this relay learns the state from others.
+	// The state that only the engine knew may not be committed: this relay gets it from others again.
 	n.engine, n.votingDisabled, n.applied = nil, reason, &policy.State{}
 	n.newest, n.leaseUntil, n.leaseIndex = &policy.State{}, 0, 0
 	n.leadership.reset(n.now)
 	n.log("voting disabled until restart", "err", reason)
 }
 
-// rejoinAsNewMember makes this relay a new member of the voters' group, as the old one may have forgotten votes and entries.
+// rejoinAsNewMember makes this relay a new member of the voter group, since the old member may have lost votes and entries.
 func (n *Node) rejoinAsNewMember(reason string) {
 	id := n.random() | 1
 	engine, err := consensus.New(id, n.random(), &consensus.Image{}, n.now)
@@ -37,7 +38,7 @@
 	n.emit(Action{Save: &consensus.Image{Complete: true}, Member: id})
 }
 
-// stepVoter does a voter's work in a Step: it drives the engine, and leads the fleet where it is the leader.
+// stepVoter does a voter's work in a Step: it drives the engine and, on the leader, leads the fleet.
 func (n *Node) stepVoter() {
 	if n.probation {
 		n.queryPositions()
@@ -88,21 +89,22 @@
 func (n *Node) encodeState() []byte {
 	encoded, err := cbor.Marshal(n.applied)
 	if err != nil {
-		panic(err) // plain data can always be encoded
+		panic(err) // a State can always be encoded
 	}
 	return encoded
 }
 
-// restoreState replaces the applied state by that of a snapshot. It panics where that can't be decoded: see consensus.Engine.Ready.
+// restoreState replaces the applied state by that of a snapshot. It panics if the snapshot can't be decoded; consensus.Engine.Ready returns
+// that panic as an error.
 func (n *Node) restoreState(encoded []byte) {
 	state := &policy.State{}
 	if err := cbor.Unmarshal(encoded, state); err != nil {
-		panic(fmt.Sprintf("node: a snapshot can't be read: %v", err)) // the engine turns it into an error
+		panic(fmt.Sprintf("node: decoding a snapshot: %v", err)) // the engine turns it into an error
 	}
 	n.applied = state
 }
 
-// apply applies a committed entry to the state; one that can't be decoded changes nothing.
+// apply applies a committed entry to the state. An entry that can't be decoded is ignored.
 func (n *Node) apply(committed consensus.Committed) {
 	state := n.applied.Clone()
 	switch {
@@ -128,7 +130,7 @@
 	n.applied = state
 }
 
-// logTransition logs a change that has reached its next phase, or its end.
+// logTransition logs that a change has reached a new phase, or has ended.
 func (n *Node) logTransition(before *policy.Change, state *policy.State) {
 	switch change := state.Change; {
 	case change != nil && (before == nil || before.Phase != change.Phase):
@@ -142,7 +144,7 @@
 	}
 }
 
-// rememberPosition stores the newest log position that a member has shown; it is on disk with the next save.
+// rememberPosition remembers a log position that a member has shown if it is the newest. The next save writes it to disk.
 func (n *Node) rememberPosition(member uint64, position consensus.LogPosition) {
 	if !position.After(n.remembered[member]) {
 		return
@@ -156,7 +158,8 @@
 	}
 }
 
-// queryPositions asks the other voters, before this one votes, which log position they remember of it: its folder may be an older copy.
+// queryPositions asks the other voters for the log position that they remember of this one, and ends the probation once enough have
+// answered. This voter's folder may be an older copy, with which it must not vote.
 func (n *Node) queryPositions() {
 	others := 0
 	for _, name := range n.config.Voters {
@@ -170,13 +173,13 @@
 	if n.now >= n.nextPositionQueryAt {
 		n.nextPositionQueryAt = n.now + retryInterval
 	}
-	// Half of the others and itself are a majority. It waits for all others' answers, but only for recallLeases leases.
-	if got := len(n.positionAnswers); got >= others || got >= (others+1)/2 && n.now-n.startedAt > recallLeases*n.config.Lease {
+	// Half of the other voters and this one are a majority. It waits for the others as well, but only for positionQueryLeases leases.
+	if got := len(n.positionAnswers); got >= others || got >= (others+1)/2 && n.now-n.startedAt > positionQueryLeases*n.config.Lease {
 		n.probation = false
 	}
 }
 
-// handlePositionQuery answers a query, or takes the answer to this relay's own.
+// handlePositionQuery answers a query, or handles an answer to this relay's query.
 func (n *Node) handlePositionQuery(from string, query *PositionQuery) {
 	if !query.Answer {
 		position := n.remembered[query.Member]
@@ -187,13 +190,13 @@
 		return
 	}
 	if (consensus.LogPosition{Term: query.Term, LastIndex: query.LastIndex}).After(n.engine.Position()) {
-		n.rejoinAsNewMember("others remember more of it than its folder does")
+		n.rejoinAsNewMember("other voters remember entries that its log has lost")
 		return
 	}
 	n.positionAnswers[from] = true
 }
 
-// Voters returns the number of voters, as far as this relay's engine knows; 0: it has none.
+// Voters returns the number of voters that this relay's engine knows; 0: this relay has no engine.
 func (n *Node) Voters() int {
 	if n.engine == nil {
 		return 0
@@ -201,5 +204,5 @@
 	return len(n.engine.Voters())
 }
 
-// IsLeader reports whether this relay takes itself for the leader.
+// IsLeader reports whether this relay considers itself the leader.
 func (n *Node) IsLeader() bool { return n.engine != nil && n.engine.IsLeader() }
--- a/internal/relay/fleet/peer/client.go
+++ b/internal/relay/fleet/peer/client.go
@@ -11,15 +11,15 @@
 	"mastusher/internal/relay/fleet/node"
 )
 
-// answerTimeout is how long an answer is waited for before the request is repeated: datagrams get lost.
+// answerTimeout is the time without an answer after which Ask repeats a request: datagrams may be lost.
 const answerTimeout = 300 * time.Millisecond
 
-// Ask sends an operator's request to the relay of this configuration, on this machine, again and again until it answers. It fails when ctx
-// ends before that; the error wraps ctx's cause.
+// Ask sends an operator's request to the relay with this configuration on this machine, and repeats it until the relay answers. If ctx is
+// done before that, the error wraps the cause.
 func Ask(ctx context.Context, cfg *config.Peers, request node.AdminRequest) (*node.Status, error) {
 	conn, err := net.Dial("udp4", cfg.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("the fleet: %w", err)
+		return nil, fmt.Errorf("peer: %w", err)
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetReadDeadline(time.Now()) })
@@ -27,17 +27,17 @@
 	buf := make([]byte, maxFrameBytes+1)
 	for ctx.Err() == nil {
 		request.Number++
-		b, err := (&frame{Fleet: cfg.Fleet, AdminRequest: &request}).pack(nil, kindAsk)
+		b, err := (&frame{Fleet: cfg.Fleet, AdminRequest: &request}).pack(nil, kindAdminRequest)
 		if err != nil {
 			return nil, err
 		}
-		_, _ = conn.Write(b) // lost, or nobody listens yet: it is sent again
+		_, _ = conn.Write(b) // if it is lost, or the relay does not listen yet, the loop repeats it
 		_ = conn.SetReadDeadline(time.Now().Add(answerTimeout))
 		for ctx.Err() == nil {
 			n, err := conn.Read(buf)
 			if err != nil {
 				if netErr := net.Error(nil); !errors.As(err, &netErr) || !netErr.Timeout() {
-					select { // refused: the relay is not there yet
+					select { // connection refused: the relay does not listen yet
 					case <-time.After(answerTimeout / 3):
 					case <-ctx.Done():
 					}
@@ -49,5 +49,5 @@
 			}
 		}
 	}
-	return nil, fmt.Errorf("the relay at %s does not answer: %w", cfg.Listen, context.Cause(ctx))
+	return nil, fmt.Errorf("no answer from the relay at %s: %w", cfg.Listen, context.Cause(ctx))
 }
--- a/internal/relay/fleet/peer/clock.go
+++ b/internal/relay/fleet/peer/clock.go
@@ -2,11 +2,11 @@
 
 package peer
 
-// clockRate is how fast the fleet's clock runs against the machine's; only builds for the test cluster (tag fleetrig) have another.
+// clockRate is the speed of the fleet's clock relative to the machine's. Only builds for the test cluster (tag fleetrig) have another.
 const clockRate = 1.0
 
-// fullDisk is the error of a disk that is made to be full; only builds for the test cluster have one.
-func fullDisk() error { return nil }
+// simulatedDiskError returns the error of a simulated full disk. Only builds for the test cluster return one.
+func simulatedDiskError() error { return nil }
 
-// slowDisk is added to the time that a sync takes; only builds for the test cluster have any.
-const slowDisk = 0
+// extraSyncDelay is added to the time of a sync. Only builds for the test cluster have a delay.
+const extraSyncDelay = 0
--- a/internal/relay/fleet/peer/fleet.go
+++ b/internal/relay/fleet/peer/fleet.go
@@ -18,8 +18,8 @@
 	"mastusher/internal/relay/fleet/quota"
 )
 
-// Fleet is this relay's member of its fleet while the process runs. The goroutine of run owns all of it but the channels, the buffers and
-// observedKeys; times are on the node's clock, see now.
+// Fleet runs this relay's node.Node. The goroutine of run owns all fields except the channels, buffers and observedKeys. Times are on the
+// node's clock, see now.
 type Fleet struct {
 	config       *config.Peers
 	rules        *Rules
@@ -28,49 +28,49 @@
 	disk         *disk
 	node         *node.Node
 	startedAt    time.Time
-	self         netip.Addr // of this relay's socket
+	self         netip.Addr // address of this relay's socket
 	applyMandate func(node.Mandate, Times, func())
 	core         Core // nil: no limits are shared
 
-	addresses   map[string]netip.AddrPort // of peers, by name
-	generations map[string]uint64         // the newest that was heard of each
-	events      chan node.Event           // from the core's callbacks and from checks of policies
+	addresses   map[string]netip.AddrPort // of the peers, by name
+	generations map[string]uint64         // newest generation that each peer has sent, by name
+	events      chan node.Event           // from the core's callbacks and checks of policies
 	packets     chan packet               // from read
-	buffers     sync.Pool                 // of *[]byte that hold a datagram
-	ended       chan struct{}             // closed by Close
+	buffers     sync.Pool                 // of *[]byte for a datagram
+	closing     chan struct{}             // closed by Close
 	done        chan struct{}             // closed when run has returned
 
-	adminClients  map[uint64]adminClient // by the number that their request has here
+	adminClients  map[uint64]adminClient // by the number of their request at the node
 	lastRequest   uint64
-	droppedFrames map[string]int // by error text
+	droppedFrames map[string]int // dropped frames, by error text
 	sendBuffer    []byte         // reused by send
 
-	observedKeys  atomic.Pointer[map[quota.Key]observedKey] // stored by the core's goroutine; the map is never changed
-	lease         *quota.Lease                              // the newest; nil: none yet
-	leaseAt       time.Duration                             // when it came
-	halted        bool                                      // as the core was notified last
+	observedKeys  atomic.Pointer[map[quota.Key]observedKey] // stored by the core's goroutine; a stored map does not change
+	lease         *quota.Lease                              // the newest quota lease; nil: none yet
+	leaseAt       time.Duration                             // when lease was received
+	halted        bool                                      // whether the core was last told to halt
 	nextObserveAt time.Duration
 }
 
-// packet is a datagram that was received.
+// packet is a received datagram.
 type packet struct {
-	buffer *[]byte // goes back to Fleet.buffers once it is decoded
-	size   int     // bytes of the datagram in buffer
+	buffer *[]byte // returned to Fleet.buffers after decoding
+	size   int     // of the datagram in buffer, in bytes
 	from   netip.AddrPort
 }
 
-// adminClient is who waits for the answer to a request.
+// adminClient is an operator's client that waits for an answer.
 type adminClient struct {
 	address netip.AddrPort
-	number  uint64 // that the client gave its request
+	number  uint64 // of the request at the client
 }
 
-// Times converts the node's clock to the process's.
+// Times converts times on the node's clock to those of the process.
 type Times struct {
 	startedAt time.Time
 }
 
-// At returns a time on the node's clock as the process's; 0 is the zero time.
+// At converts a time on the node's clock; 0 becomes the zero time.
 func (t Times) At(d time.Duration) time.Time {
 	if d == 0 {
 		return time.Time{}
@@ -79,21 +79,21 @@
 }
 
 const (
-	maxPackets      = 256 // queue length of packets, and of events; also the maximum a Step takes
-	maxAdminClients = 64  // requests that wait for an answer; when one more comes, all that wait are forgotten
+	maxQueued       = 256 // length of the queues of packets and events, and maximum number of events in a Step
+	maxAdminClients = 64  // maximum number of waiting clients; one more clears them all
 )
 
-// Open joins the relay to its fleet, as a new member where its folder is damaged or of another fleet. applyMandate is called by the Fleet's
-// goroutine with each new mandate, must not block, and calls its callback once the core acts by it, from any goroutine. core is used only
-// where limits are shared (GuaranteedShare above 0).
+// Open joins the relay to its fleet, as a new member if its folder is damaged or belongs to another fleet. The Fleet's goroutine calls
+// applyMandate with each new mandate. That function must not block, and must call its callback, from any goroutine, once the core has
+// applied the mandate. core is used only if limits are shared (GuaranteedShare above 0).
 //
-// It returns a config.KeyError for an address that can't be parsed, and other errors for the socket, the folder and the node's configuration.
-// Close ends the goroutines that it starts.
+// Open returns a config.KeyError for an address that can't be parsed, and other errors for the socket, the folder and the node. Close ends
+// the goroutines that Open starts.
 func Open(cfg *config.Config, rules *Rules, log *slog.Logger, core Core, applyMandate func(node.Mandate, Times, func())) (*Fleet, error) {
 	peers := cfg.Peers
 	f := &Fleet{config: peers, rules: rules, log: log, applyMandate: applyMandate, addresses: map[string]netip.AddrPort{},
-		generations: map[string]uint64{}, events: make(chan node.Event, maxPackets), packets: make(chan packet, maxPackets),
-		ended: make(chan struct{}), done: make(chan struct{}), adminClients: map[uint64]adminClient{}, droppedFrames: map[string]int{},
+		generations: map[string]uint64{}, events: make(chan node.Event, maxQueued), packets: make(chan packet, maxQueued),
+		closing: make(chan struct{}), done: make(chan struct{}), adminClients: map[uint64]adminClient{}, droppedFrames: map[string]int{},
 		startedAt: time.Now()}
 	if peers.GuaranteedShare > 0 {
 		f.core = core
@@ -125,12 +125,12 @@
 		}
 	}
 	if f.conn, err = net.ListenUDP("udp4", address); err != nil {
-		return fmt.Errorf("the fleet: %w", err)
+		return fmt.Errorf("peer: %w", err)
 	}
 	return nil
 }
 
-// openNode makes the node from the relay's folder. Where that can't be trusted the node is a new member, with an empty log.
+// openNode creates the node from the relay's folder. If the folder is damaged or inconsistent, the node is a new member with an empty log.
 func (f *Fleet) openNode(zone int) error {
 	disk, image, damage, err := openDisk(f.config.State, f.config.Fleet, randomUint64)
 	if err != nil {
@@ -144,7 +144,7 @@
 	if err == nil {
 		return nil
 	}
-	f.log.Error("rejoining fleet as new member", "err", err) // the records are intact but contradict each other
+	f.log.Error("rejoining fleet as new member", "err", err) // the records are intact but inconsistent
 	disk.member = randomUint64() | 1
 	if err = disk.rewrite(emptyImage()); err != nil {
 		return err
@@ -153,7 +153,7 @@
 	return err
 }
 
-// nodeConfig is the node's configuration as the member that the disk names, with a new incarnation and seed.
+// nodeConfig returns the configuration of the node as the member on disk, with a new incarnation and seed.
 func (f *Fleet) nodeConfig(zone int) node.Config {
 	peers := f.config
 	return node.Config{Name: peers.Name, Generation: f.disk.id.Generation, Incarnation: randomUint64() | 1, Seed: randomUint64(),
@@ -161,21 +161,21 @@
 		ServeWhenPartitioned: peers.ServeWhenPartitioned, GuaranteedShare: peers.GuaranteedShare, Zone: zone}
 }
 
-// randomUint64 returns a random number of the system's.
+// randomUint64 returns a random number from the operating system.
 func randomUint64() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // it never fails
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// now is the node's clock: monotonic, from Open on, and never 0.
+// now returns the time on the node's clock, which is monotonic, starts with Open and is never 0.
 func (f *Fleet) now() time.Duration {
 	return time.Duration(float64(time.Since(f.startedAt))*clockRate) + time.Millisecond
 }
 
-// Close ends the member and waits until its goroutine has returned; the lease expires by itself. It must be called once.
+// Close stops the node and waits until run has returned; the lease expires by itself. It must be called once.
 func (f *Fleet) Close() {
-	close(f.ended)
+	close(f.closing)
 	_ = f.conn.Close()
 	<-f.done
 }
@@ -190,11 +190,11 @@
 		}
 		if err != nil {
 			f.buffers.Put(b)
-			continue // nobody listens on a peer's port
+			continue // such as connection refused, if a peer does not listen
 		}
 		select {
 		case f.packets <- packet{b, n, netip.AddrPortFrom(from.Addr().Unmap(), from.Port())}:
-		default: // run can't keep up: lost, as on any link
+		default: // run can't keep up: the datagram is lost, as on any link
 			f.buffers.Put(b)
 		}
 	}
@@ -204,12 +204,12 @@
 func (f *Fleet) post(ev node.Event) {
 	select {
 	case f.events <- ev:
-	case <-f.ended:
+	case <-f.closing:
 	}
 }
 
-// run owns the node until Close: it takes what has come, and the node's timer, and carries out what the node answers. It is a goroutine of its
-// own.
+// run drives the node until Close: it passes datagrams, events and timer expiries to the node and executes the resulting actions. It is a
+// goroutine of its own.
 func (f *Fleet) run() {
 	defer close(f.done)
 	timer := time.NewTimer(0)
@@ -218,7 +218,7 @@
 		timer.Reset(max(f.idleFor(), 0))
 		events = events[:0]
 		select {
-		case <-f.ended:
+		case <-f.closing:
 			return
 		case ev := <-f.events:
 			events = append(events, ev)
@@ -227,14 +227,14 @@
 		case <-timer.C:
 		}
 		events = f.drainQueues(events)
-		// Events that the actions cause at once are part of the next step, which follows without delay.
+		// Events that an action posts at once are handled in the next step, which follows without delay.
 		for failed := f.execute(f.node.Step(f.now(), events)); failed != nil; {
 			failed = f.execute(f.node.Step(f.now(), []node.Event{{SaveFailed: failed}}))
 		}
 	}
 }
 
-// idleFor observes the core if that is due, and returns how long nothing is due unless something comes; it may be negative.
+// idleFor observes the core if that is due. It returns the time until the next timer is due, which may be negative.
 func (f *Fleet) idleFor() time.Duration {
 	next := f.node.Next(f.now())
 	if f.core == nil {
@@ -247,9 +247,9 @@
 	return min(next, f.nextObserveAt-f.now())
 }
 
-// drainQueues appends the events that are queued, up to maxPackets in all.
+// drainQueues appends the queued events, up to maxQueued in all.
 func (f *Fleet) drainQueues(events []node.Event) []node.Event {
-	for len(events) < maxPackets {
+	for len(events) < maxQueued {
 		select {
 		case ev := <-f.events:
 			events = append(events, ev)
@@ -262,7 +262,8 @@
 	return events
 }
 
-// receive decodes a datagram and appends its event. One that is no message of a peer's current incarnation is counted and dropped.
+// receive decodes a datagram and appends its event. It counts and drops a datagram that is neither an operator's request from this machine
+// nor a message from a peer's newest incarnation.
 func (f *Fleet) receive(p packet, events []node.Event) []node.Event {
 	received, kind, err := unpack((*p.buffer)[:p.size])
 	f.buffers.Put(p.buffer)
@@ -270,7 +271,7 @@
 	case err != nil:
 	case received.Fleet != f.config.Fleet:
 		err = errFleet
-	case kind == kindAsk && received.AdminRequest != nil && (p.from.Addr().IsLoopback() || p.from.Addr() == f.self):
+	case kind == kindAdminRequest && received.AdminRequest != nil && (p.from.Addr().IsLoopback() || p.from.Addr() == f.self):
 		if len(f.adminClients) >= maxAdminClients {
 			clear(f.adminClients)
 		}
@@ -283,7 +284,7 @@
 	case received.To != f.config.Name:
 		err = errOtherRelay
 	case received.Generation < f.generations[received.From] &&
-		received.Message.LeaseRequest == nil: // by its lease requests the leader detects two relays of one name
+		received.Message.LeaseRequest == nil: // the leader needs these to detect two relays with the same name
 		err = errFormerIncarnation
 	}
 	if err != nil {
@@ -296,7 +297,7 @@
 	return append(events, node.Event{From: received.From, Message: received.Message})
 }
 
-// execute carries out a Step's actions in their order, up to a save that fails, whose error it returns.
+// execute executes a Step's actions in order. It stops at a save that fails and returns its error.
 func (f *Fleet) execute(actions []node.Action) error {
 	for i := range actions {
 		action := &actions[i]
@@ -330,7 +331,7 @@
 	return nil
 }
 
-// check checks a policy's document and posts the verdict. It is a goroutine of its own, since plug-ins may be loaded for it.
+// check checks a policy's document and posts the verdict. It is a goroutine of its own, since it may load plug-ins.
 func (f *Fleet) check(version uint64, doc []byte) {
 	verdict := &node.Verdict{Version: version}
 	if err := f.rules.Check(doc); err != nil {
@@ -339,7 +340,7 @@
 	f.post(node.Event{Verdict: verdict})
 }
 
-// answerAdmin adds what the node does not know to a status and sends it to whoever asked.
+// answerAdmin completes a status with what the node does not know, and sends it to the client that waits for it.
 func (f *Fleet) answerAdmin(request uint64, status *node.Status) {
 	client, ok := f.adminClients[request]
 	if !ok {
@@ -354,7 +355,7 @@
 	f.send(client.address, kindAnswer, &frame{Fleet: f.config.Fleet, Answer: status, RequestNumber: client.number})
 }
 
-// send sends a frame to an address; a peer without one is passed over.
+// send sends a frame to an address. A frame for a peer without an address is dropped.
 func (f *Fleet) send(to netip.AddrPort, kind byte, message *frame) {
 	if !to.IsValid() {
 		return
@@ -365,5 +366,5 @@
 		return
 	}
 	f.sendBuffer = b
-	_, _ = f.conn.WriteToUDPAddrPort(b, to) // lost, as on any link
+	_, _ = f.conn.WriteToUDPAddrPort(b, to) // an error is like a loss on the link
 }
--- a/internal/relay/fleet/peer/peer_test.go
+++ b/internal/relay/fleet/peer/peer_test.go
@@ -12,30 +12,30 @@
 	"mastusher/internal/relay/fleet/node"
 )
 
-// lastDrawn is the last number of uniqueNumbers.
+// lastDrawn is the last number that uniqueNumbers returned.
 var lastDrawn uint64
 
-// uniqueNumbers draws numbers that are never the same twice within the tests.
+// uniqueNumbers returns a generator of numbers that are unique within the tests.
 func uniqueNumbers() func() uint64 {
 	return func() uint64 { lastDrawn += 2; return lastDrawn }
 }
 
-// openAt opens a folder of the fleet "f"; the error is the damage that was found.
+// openAt opens a folder of the fleet "f"; the error is the damage in it.
 func openAt(t *testing.T, dir string) (*disk, *consensus.Image, error) {
 	t.Helper()
-	d, image, why, err := openDisk(dir, "f", uniqueNumbers())
+	d, image, damage, err := openDisk(dir, "f", uniqueNumbers())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d, image, why
+	return d, image, damage
 }
 
-// filled opens an empty folder and saves three images to it.
-func filled(t *testing.T, dir string) *disk {
+// filledDisk opens an empty folder and saves three images to it.
+func filledDisk(t *testing.T, dir string) *disk {
 	t.Helper()
-	d, image, why := openAt(t, dir)
-	if why != nil || !image.Empty() {
-		t.Fatal(why, image)
+	d, image, damage := openAt(t, dir)
+	if damage != nil || !image.Empty() {
+		t.Fatal(damage, image)
 	}
 	for _, s := range []*consensus.Image{{HardState: []byte("h1"), Entries: [][]byte{[]byte("e1")}}, {Complete: true, Snapshot: []byte("s"),
 		HardState: []byte("h2")}, {Entries: [][]byte{[]byte("e2")}, Remembered: map[uint64]consensus.LogPosition{7: {Term: 1,
@@ -47,82 +47,83 @@
 	return d
 }
 
-// TestDisk_TruncatedOrDamagedLog_RecoversOrBecomesNewMember: what was saved is read back, truncated anywhere in its last record it is read back
-// but for that record, and damage that no crash leaves behind makes a new member.
+// TestDisk_TruncatedOrDamagedLog_RecoversOrBecomesNewMember: a log is read as saved, and without its last record if it is truncated in
+// that. After damage that a crash can't cause the relay is a new member.
 func TestDisk_TruncatedOrDamagedLog_RecoversOrBecomesNewMember(t *testing.T) {
 	dir := t.TempDir()
-	original := filled(t, dir)
-	complete, err := os.ReadFile(filepath.Join(dir, logName))
+	original := filledDisk(t, dir)
+	complete, err := os.ReadFile(filepath.Join(dir, logFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := &consensus.Image{Snapshot: []byte("s"), HardState: []byte("h2"), Entries: [][]byte{[]byte("e2")},
 		Remembered: map[uint64]consensus.LogPosition{7: {Term: 1, LastIndex: 2}}}
-	reopened, image, why := openAt(t, dir)
-	if diff := cmp.Diff(want, image); diff != "" || why != nil || reopened.member != original.member ||
+	reopened, image, damage := openAt(t, dir)
+	if diff := cmp.Diff(want, image); diff != "" || damage != nil || reopened.member != original.member ||
 		reopened.id.Generation != original.id.Generation+1 {
-		t.Fatal(diff, why, reopened.member, original.member, reopened.id.Generation)
+		t.Fatal(diff, damage, reopened.member, original.member, reopened.id.Generation)
 	}
-	records, _ := records(complete)
-	last := len(complete) - recordHead - len(records[len(records)-1])
+	records, _ := splitRecords(complete)
+	last := len(complete) - recordHeaderBytes - len(records[len(records)-1])
 	for size := range len(complete) {
-		if err := os.WriteFile(filepath.Join(dir, logName), complete[:size], 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, logFile), complete[:size], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		got, image, why := openAt(t, dir)
+		got, image, damage := openAt(t, dir)
 		switch {
-		case size >= last && (why != nil || len(image.Entries) != 0 || got.member != original.member):
-			t.Fatalf("truncated at %d of %d: %v %+v", size, len(complete), why, image)
+		case size >= last && (damage != nil || len(image.Entries) != 0 || got.member != original.member):
+			t.Fatalf("truncated at %d of %d: %v %+v", size, len(complete), damage, image)
 		case size < last && got.member == original.member:
-			t.Fatalf("truncated at %d, before what was replaced in one step: still the same member", size)
+			t.Fatalf("truncated at %d, before the last record: the member is unchanged, want a new one", size)
 		}
-		if err := got.save(&consensus.Image{HardState: []byte("h3")}, 0); err != nil { // behind a torn tail
+		if err := got.save(&consensus.Image{HardState: []byte("h3")}, 0); err != nil { // after an incomplete record
 			t.Fatal(err)
 		}
-		if _, image, why = openAt(t, dir); why != nil || string(image.HardState) != "h3" {
-			t.Fatalf("truncated at %d: what was saved after is not there: %v %+v", size, why, image)
+		if _, image, damage = openAt(t, dir); damage != nil || string(image.HardState) != "h3" {
+			t.Fatalf("truncated at %d: the image saved after that is lost: %v %+v", size, damage, image)
 		}
 	}
 	for i := range last {
 		bad := bytes.Clone(complete)
 		bad[i] ^= 1
-		if err := os.WriteFile(filepath.Join(dir, logName), bad, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, logFile), bad, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if got, image, _ := openAt(t, dir); got.member == original.member && cmp.Diff(want, image) != "" {
-			t.Fatalf("byte %d of %d is wrong, and the same member goes on with %+v", i, len(complete), image)
+			t.Fatalf("byte %d of %d is wrong, but the member is unchanged with %+v", i, len(complete), image)
 		}
 	}
 }
 
-// TestDisk_NewMember_ReplacesLogAndMemberAtOnce: a new member and its log are there together, or the old ones.
+// TestDisk_NewMember_ReplacesLogAndMemberAtOnce: the member id and its log are replaced together, so that a member whose log is lost does
+// not continue.
 func TestDisk_NewMember_ReplacesLogAndMemberAtOnce(t *testing.T) {
 	dir := t.TempDir()
-	d := filled(t, dir)
+	d := filledDisk(t, dir)
 	if err := d.save(&consensus.Image{Complete: true}, 99); err != nil {
 		t.Fatal(err)
 	}
-	if reopened, image, why := openAt(t, dir); reopened.member != 99 || !image.Empty() || why != nil {
-		t.Fatal(reopened.member, image, why)
+	if reopened, image, damage := openAt(t, dir); reopened.member != 99 || !image.Empty() || damage != nil {
+		t.Fatal(reopened.member, image, damage)
 	}
-	if err := os.Remove(filepath.Join(dir, logName)); err != nil {
+	if err := os.Remove(filepath.Join(dir, logFile)); err != nil {
 		t.Fatal(err)
 	}
-	if reopened, image, why := openAt(t, dir); reopened.member == 99 || !image.Empty() || why == nil {
-		t.Fatal("a log is missing, and its member goes on")
+	if reopened, image, damage := openAt(t, dir); reopened.member == 99 || !image.Empty() || damage == nil {
+		t.Fatal("the member is unchanged although its log is missing")
 	}
 }
 
-// TestDisk_WriteFails_ErrorAndOldStateStays: what can't be saved is said to be so, and nothing later pretends otherwise.
+// TestDisk_WriteFails_ErrorAndOldStateStays: a save that fails returns an error, and the folder keeps the image saved before.
 func TestDisk_WriteFails_ErrorAndOldStateStays(t *testing.T) {
 	dir := t.TempDir()
-	d := filled(t, dir)
+	d := filledDisk(t, dir)
 	_ = d.file.Close()
 	if err := d.save(&consensus.Image{HardState: []byte("h9")}, 0); err == nil {
-		t.Fatal("saved to a closed file")
+		t.Fatal("saving to a closed file returned no error")
 	}
-	if _, image, why := openAt(t, dir); why != nil || string(image.HardState) != "h2" {
-		t.Fatal(why, image)
+	if _, image, damage := openAt(t, dir); damage != nil || string(image.HardState) != "h2" {
+		t.Fatal(damage, image)
 	}
 }
 
@@ -139,14 +140,14 @@
 		bad := bytes.Clone(good)
 		bad[i] ^= 0x40
 		if _, _, err := unpack(bad); err == nil {
-			t.Errorf("byte %d is wrong, and the frame is read", i)
+			t.Errorf("frame with wrong byte %d is accepted", i)
 		}
 		if _, _, err := unpack(good[:i]); err == nil {
-			t.Errorf("truncated at %d, and the frame is read", i)
+			t.Errorf("frame truncated at %d is accepted", i)
 		}
 	}
 	if _, err := (&frame{Message: &node.Message{Raft: &node.Raft{Data: make([]byte, maxFrameBytes)}}}).pack(nil, kindPeer); err == nil {
-		t.Error("a frame too large for a datagram is packed")
+		t.Error("frame above maxFrameBytes is packed")
 	}
 }
 
@@ -155,7 +156,7 @@
 	f.Add(good)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if fr, _, err := unpack(b); err == nil && fr == nil {
-			t.Fatal("nothing, and no error")
+			t.Fatal("no frame and no error")
 		}
 	})
 }
--- a/internal/relay/fleet/peer/rules.go
+++ b/internal/relay/fleet/peer/rules.go
@@ -16,37 +16,37 @@
 	"mastusher/internal/relay/fleet/policy"
 )
 
-// Rules applies a policy's document to this relay's configuration. Its methods may be called from any goroutine.
+// Rules applies documents of policies to this relay's configuration. Its methods may be called from any goroutine.
 type Rules struct {
-	// Terms are what a document may name at this relay.
+	// Terms are what a document may refer to at this relay.
 	Terms policy.Terms
 
-	// LoadPlugins loads plug-ins with the settings that a policy gives them, ready to be taken over, and returns why they can't run; nil:
-	// no plug-ins run here. It must be set before the first Check.
+	// LoadPlugins tries to load the plug-ins with the settings of a policy, and returns why they can't run. It is nil if no plug-ins run
+	// here, and must be set before the first Check.
 	LoadPlugins func(*config.Config) error
 
-	mu  sync.Mutex // guards cfg and Terms.Plugins: both may be reloaded
+	mu  sync.Mutex // guards cfg and Terms.Plugins, which Reload replaces
 	cfg *config.Config
 }
 
-// NewRules returns the rules of a configuration. It fails where a plug-in's file can't be read.
+// NewRules returns the rules of a configuration. It fails if a plug-in's file can't be read.
 func NewRules(cfg *config.Config) (*Rules, error) {
 	r := &Rules{cfg: cfg, Terms: policy.Terms{Relays: cfg.Peers.Roster(), MaxAttempts: cfg.Settings.MaxAttempts, Tenants: cfg.Settings.TenantNames}}
 	for i := range cfg.Settings.Classes {
 		r.Terms.Classes = append(r.Terms.Classes, cfg.Settings.Classes[i].Name)
 	}
 	var err error
-	r.Terms.Plugins, err = modules(cfg)
+	r.Terms.Plugins, err = moduleDigests(cfg)
 	return r, err
 }
 
-// modules returns the SHA-256 digests, in hexadecimal, of the plug-ins that a configuration names.
-func modules(cfg *config.Config) (map[string]string, error) {
+// moduleDigests returns the SHA-256 digests, in hexadecimal, of a configuration's plug-ins by name.
+func moduleDigests(cfg *config.Config) (map[string]string, error) {
 	all := map[string]string{}
 	for _, g := range cfg.Plugins {
 		b, err := os.ReadFile(g.File)
 		if err != nil {
-			return nil, fmt.Errorf("the fleet: plug-in %s: %w", g.Name, err)
+			return nil, fmt.Errorf("peer: plug-in %s: %w", g.Name, err)
 		}
 		sum := sha256.Sum256(b)
 		all[g.Name] = hex.EncodeToString(sum[:])
@@ -54,11 +54,11 @@
 	return all, nil
 }
 
-// Reload replaces the plug-ins by those of a configuration that was read again. doc is the document of the policy in force, empty for none;
-// load gets the plug-ins with that policy's settings and is called under the lock. Nothing changes where a file can't be read, the policy
-// forbids the plug-ins, or load fails: each is an error.
+// Reload replaces the plug-ins by those of a reloaded configuration. doc is the document of the policy in force, empty for none. load is
+// called under the lock, with the plug-ins and that policy's settings. If a file can't be read, the policy does not allow the plug-ins or
+// load fails, Reload returns an error and changes nothing.
 func (r *Rules) Reload(cfg *config.Config, doc []byte, load func(*config.Config) error) error {
-	all, err := modules(cfg)
+	all, err := moduleDigests(cfg)
 	if err != nil {
 		return err
 	}
@@ -66,44 +66,44 @@
 	defer r.mu.Unlock()
 	next := *r.cfg
 	next.Plugins, next.PluginHost = cfg.Plugins, cfg.PluginHost
-	shaped := &next
+	effective := &next
 	if len(doc) > 0 {
 		d, err := policy.Parse(doc)
 		if err == nil {
 			terms := r.Terms
 			terms.Plugins = all
-			err = d.Applies(&terms)
+			err = d.CheckTerms(&terms)
 		}
 		if err != nil {
-			return fmt.Errorf("the policy in force forbids it: %w", err)
+			return fmt.Errorf("the policy in force does not allow the plug-ins: %w", err)
 		}
-		shaped = shape(&next, d)
+		effective = withPluginSettings(&next, d)
 	}
-	if err := load(shaped); err != nil {
+	if err := load(effective); err != nil {
 		return err
 	}
 	r.cfg, r.Terms.Plugins = &next, all
 	return nil
 }
 
-// Check returns why this relay can't apply a document; nil: it can. It may take as long as loading the plug-ins.
+// Check returns why this relay can't apply a document; nil: it can. It may load plug-ins, which takes long.
 func (r *Rules) Check(text []byte) error {
 	d, err := policy.Parse(text)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
-	err = d.Applies(&r.Terms)
-	shaped, same := shape(r.cfg, d), r.cfg
+	err = d.CheckTerms(&r.Terms)
+	effective, base := withPluginSettings(r.cfg, d), r.cfg
 	r.mu.Unlock()
-	if err != nil || r.LoadPlugins == nil || shaped == same {
+	if err != nil || r.LoadPlugins == nil || effective == base {
 		return err
 	}
-	return r.LoadPlugins(shaped)
+	return r.LoadPlugins(effective)
 }
 
-// Shaped returns this relay's configuration with the plug-ins' settings of a document, empty for none. It must not be changed. It fails where
-// the document can't be parsed.
+// Shaped returns this relay's configuration with the plug-ins' settings of a document, which is empty for no policy. The result must not be
+// changed. Shaped fails if the document can't be parsed.
 func (r *Rules) Shaped(doc []byte) (*config.Config, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,11 +114,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return shape(r.cfg, d), nil
+	return withPluginSettings(r.cfg, d), nil
 }
 
-// shape returns a copy of a configuration with the plug-ins' settings of a document, or the configuration itself where the document has none.
-func shape(cfg *config.Config, d *policy.Document) *config.Config {
+// withPluginSettings returns a copy of a configuration with the plug-ins' settings of a document, or the configuration itself if the
+// document has none.
+func withPluginSettings(cfg *config.Config, d *policy.Document) *config.Config {
 	c := *cfg
 	c.Plugins = slices.Clone(c.Plugins)
 	changed := false
@@ -133,8 +134,8 @@
 	return &c
 }
 
-// Mandate converts the fleet's mandate to the core's: what its document says, and for all else the relay's own configuration. It fails where
-// the document can't be parsed.
+// Mandate converts the fleet's mandate to the core's: the values of the policy's document, and the relay's own configuration for those that
+// the document does not set. It fails if the document can't be parsed.
 func (r *Rules) Mandate(s node.Mandate) (capture.Mandate, error) {
 	r.mu.Lock()
 	cfg := r.cfg // never changed, only replaced
@@ -154,7 +155,7 @@
 	if err != nil {
 		return out, err
 	}
-	out.Stamp, out.Closed = d.Stamp, !d.Takes(cfg.Peers.Name)
+	out.Stamp, out.Closed = d.Stamp, !d.AcceptsMessages(cfg.Peers.Name)
 	out.Attempts = make([]int, len(set.Classes))
 	for i := range set.Classes {
 		c := d.Classes[set.Classes[i].Name]
@@ -170,7 +171,7 @@
 	for name, p := range d.Partners {
 		n, err := strconv.Atoi(name)
 		if err != nil {
-			continue // it was checked
+			continue // Parse has checked it
 		}
 		if p.Shut {
 			out.Shut = append(out.Shut, n)
--- a/internal/relay/fleet/peer/rules_test.go
+++ b/internal/relay/fleet/peer/rules_test.go
@@ -11,8 +11,8 @@
 	"mastusher/internal/relay/fleet/node"
 )
 
-// TestRules_MandateDuringReload_SeesOneConfiguration: a reload replaces the configuration while mandates are converted by it. The race
-// detector, with which CI runs this package, reports an access without the lock.
+// TestRules_MandateDuringReload_SeesOneConfiguration: mandates are converted while reloads replace the configuration. The race detector,
+// with which CI runs this package, reports an access without the lock.
 func TestRules_MandateDuringReload_SeesOneConfiguration(t *testing.T) {
 	// Given rules that are reloaded again and again with other plug-ins,
 	file := filepath.Join(t.TempDir(), "plugin.wasm")
@@ -34,7 +34,7 @@
 			}
 		}
 	})
-	// when mandates are converted meanwhile, then each is.
+	// when mandates are converted meanwhile, then each conversion succeeds.
 	for range 200 {
 		if got, err := rules.Mandate(node.Mandate{Version: 3, Doc: []byte(`{"format":1}`)}); err != nil || got.Version != 3 {
 			t.Errorf("mandate %+v, %v", got, err)
--- a/internal/relay/fleet/peer/share.go
+++ b/internal/relay/fleet/peer/share.go
@@ -12,33 +12,33 @@
 	"mastusher/internal/relay/fleet/quota"
 )
 
-// Core is the relay's core as the fleet uses it where limits are shared; see engine.Core.
+// Core is the part of engine.Core that the fleet uses if limits are shared.
 type Core interface {
-	// Observe has report called, by the core's goroutine, with what the module has seen and needs, and what the core has counted.
+	// Observe has the core's goroutine call report with the observations of the control module and the counters of the core.
 	Observe(report func(observations []engine.Observation, counts map[string]uint64))
-	// GrantQuota has the core spend within limits until then; done is called by the core's goroutine once it does.
+	// GrantQuota has the core spend within limits until a time. The core's goroutine calls done once it does.
 	GrantQuota(limits control.SharedLimits, until time.Time, done func())
 }
 
-// observedKey is what a key identifies at this relay: a tenant or a destination.
+// observedKey is the tenant or destination that a key identifies at this relay.
 type observedKey struct {
 	name     string
-	tenant   int    // index into the settings' tenants; -1: it is a destination's
-	endpoint uint32 // the module's id of the destination; 0 for a tenant
+	tenant   int    // index into the settings' tenants; -1: a destination
+	endpoint uint32 // id of the destination at the control module; 0 for a tenant
 }
 
-// observationsPerLease is how often within the duration of a lease the core's demands are observed.
+// observationsPerLease is how often the core's demands are observed within the duration of a lease.
 const observationsPerLease = 8
 
-// observeCore asks the core for its demands and counts. They come as events, or not at all where this relay can't keep up: the core's
-// goroutine must not wait.
+// observeCore asks the core for its demands and counters, which are posted as events. They are dropped if the queue is full: the core's
+// goroutine must not block.
 func (f *Fleet) observeCore() {
 	f.core.Observe(func(all []engine.Observation, counted map[string]uint64) {
 		demands, keys := demandsOf(all)
 		f.observedKeys.Store(&keys)
 		counts := make(map[quota.Key]uint64, len(counted))
 		for _, name := range slices.Sorted(maps.Keys(counted)) {
-			if len(counts) < quota.MaxCounters { // the same ones each time
+			if len(counts) < quota.MaxCounters { // in sorted order, so that the same counters are kept each time
 				counts[quota.KeyOf(quota.Counter, name)] = counted[name]
 			}
 		}
@@ -51,7 +51,8 @@
 	})
 }
 
-// demandsOf converts a core's observations to demands, MaxKeys of them at most: those of the largest value.
+// demandsOf converts a core's observations to demands, and returns what their keys identify. Of more than MaxKeys demands it keeps those
+// with the largest value.
 func demandsOf(all []engine.Observation) ([]quota.Demand, map[quota.Key]observedKey) {
 	list, keys := make([]quota.Demand, 0, len(all)), make(map[quota.Key]observedKey, len(all))
 	for _, s := range all {
@@ -75,8 +76,8 @@
 	return list, keys
 }
 
-// setMandate gives the core a new mandate. While it is halted the core spends next to nothing, from right after it is halted until right
-// before it resumes, so that it decides nothing that would be sent all at once afterwards.
+// setMandate gives the core a new mandate. While the core is halted it spends as without a lease: its limits are reduced right after it
+// halts and restored right before it resumes. So it makes no decisions while halted that would all be sent at once afterwards.
 func (f *Fleet) setMandate(mandate node.Mandate) {
 	halted := mandate.Halted
 	if f.halted && halted == 0 {
@@ -100,7 +101,7 @@
 	f.grantQuota()
 }
 
-// grantQuota grants the core what it may spend now by the newest lease, and reports the lease as confirmed once it does.
+// grantQuota gives the core its limits by the newest quota lease, and confirms the lease to the node once the core has applied it.
 func (f *Fleet) grantQuota() {
 	lease := f.lease
 	if lease == nil {
@@ -118,8 +119,8 @@
 	f.core.GrantQuota(limits, Times{f.startedAt}.At(lease.Expires), func() { f.post(node.Event{ConfirmedLease: &confirmed}) })
 }
 
-// sharedLimits converts a lease that came some time ago for the core, with ages and waits as of now. Shares of keys that this relay has not
-// observed are left out.
+// sharedLimits converts a lease received ago earlier to limits for the core, with ages and waits as of now. It omits shares of keys that
+// this relay has not observed.
 func sharedLimits(lease *quota.Lease, keys map[quota.Key]observedKey, ago time.Duration) control.SharedLimits {
 	limits := control.SharedLimits{GuaranteedShare: lease.Minimum, KeepsGuaranteed: lease.MinimumLasts}
 	for _, share := range lease.Shares {
@@ -138,7 +139,7 @@
 	return limits
 }
 
-// quotaStatus is the lease in force, for operators; nil: there is none yet.
+// quotaStatus returns the current quota lease for operators; nil: there is none yet.
 func (f *Fleet) quotaStatus() *node.QuotaStatus {
 	lease := f.lease
 	if lease == nil {
@@ -157,7 +158,7 @@
 	return status
 }
 
-// nameOf is what operators know a key by; one that this relay has not observed has no name but the key itself.
+// nameOf returns the name of a key for operators, or the key in hexadecimal if this relay has not observed it.
 func (f *Fleet) nameOf(keys *map[quota.Key]observedKey, key quota.Key) string {
 	if keys == nil {
 		return key.String()
--- a/internal/relay/fleet/peer/stored_format_test.go
+++ b/internal/relay/fleet/peer/stored_format_test.go
@@ -24,13 +24,13 @@
 
 const formatFile = "testdata/formats.txt"
 
-var updateFormat = flag.Bool("update-format", false, "write the golden files anew; only for a format that is meant to change")
+var updateFormat = flag.Bool("update-format", false, "rewrite the golden files; only for an intended change of format")
 
-// formats are all that relays of a fleet send and store as CBOR: the golden file has a line for each.
+// formats are all types that relays of a fleet send or store as CBOR. The golden file has a line for each.
 var formats = []any{&frame{}, &identity{}, &logRecord{}, &node.Message{}, &node.AdminRequest{}, &node.Status{}, &consensus.Image{},
 	&policy.State{}, &policy.Command{}, &quota.Request{}, &quota.Grant{}, &quota.Tally{}, &quota.Totals{}}
 
-// goldenEncodings are the golden encodings of formats, in hexadecimal.
+// goldenEncodings returns the golden encodings of formats, in hexadecimal.
 func goldenEncodings(t *testing.T) []string {
 	t.Helper()
 	data, err := os.ReadFile(formatFile)
@@ -39,7 +39,7 @@
 	}
 	encodings := strings.Split(strings.TrimSpace(string(data)), "\n")
 	if len(encodings) != len(formats) {
-		t.Fatalf("%d formats are stored, want %d", len(encodings), len(formats))
+		t.Fatalf("the golden file has %d formats, want %d", len(encodings), len(formats))
 	}
 	return encodings
 }
@@ -81,7 +81,7 @@
 	}
 }
 
-// TestStatusJSON_KeepsItsKeys holds what `mastusher fleet --json` prints.
+// TestStatusJSON_KeepsItsKeys: the output of `mastusher fleet --json` keeps its keys.
 func TestStatusJSON_KeepsItsKeys(t *testing.T) {
 	const file = "testdata/status.json"
 	got, err := json.MarshalIndent(filler.New(&node.Status{}), "", "\t")
@@ -102,7 +102,7 @@
 	}
 }
 
-// TestStoredFormat_ReadsTheFolderOfEarlierVersions starts on a copy of a folder whose log has two records.
+// TestStoredFormat_ReadsTheFolderOfEarlierVersions: a copy of a stored folder, whose log has two records, can be opened.
 func TestStoredFormat_ReadsTheFolderOfEarlierVersions(t *testing.T) {
 	const folder = "testdata/folder"
 	image := &consensus.Image{HardState: []byte{8, 3, 16, 1, 24, 5}, Entries: [][]byte{{8, 0, 16, 3, 24, 5}}, Complete: true,
@@ -112,9 +112,9 @@
 		if err := os.RemoveAll(folder); err != nil {
 			t.Fatal(err)
 		}
-		stored, _, why, err := openDisk(folder, "fleet one", func() uint64 { return 40 })
-		if err != nil || why != nil {
-			t.Fatal(err, why)
+		stored, _, damage, err := openDisk(folder, "fleet one", func() uint64 { return 40 })
+		if err != nil || damage != nil {
+			t.Fatal(err, damage)
 		}
 		if err := stored.rewrite(image); err != nil {
 			t.Fatal(err)
@@ -125,7 +125,7 @@
 		_ = stored.file.Close()
 	}
 	dir := t.TempDir()
-	for _, name := range []string{identityName, logName} {
+	for _, name := range []string{identityFile, logFile} {
 		data, err := os.ReadFile(filepath.Join(folder, name))
 		if err != nil {
 			t.Fatal(err)
@@ -134,9 +134,9 @@
 			t.Fatal(err)
 		}
 	}
-	stored, got, why, err := openDisk(dir, "fleet one", func() uint64 { return 0 })
-	if err != nil || why != nil {
-		t.Fatal(err, why)
+	stored, got, damage, err := openDisk(dir, "fleet one", func() uint64 { return 0 })
+	if err != nil || damage != nil {
+		t.Fatal(err, damage)
 	}
 	t.Cleanup(func() { _ = stored.file.Close() })
 	if stored.id.Fleet != "fleet one" || stored.id.Generation != 2 || stored.member != 41 {
--- a/internal/relay/fleet/policy/diff.go
+++ b/internal/relay/fleet/policy/diff.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Diff returns, a line for each key in their order, what a document changes of another: "+ KEY VALUE", "- KEY VALUE" or "~ KEY OLD -> NEW". An
-// empty text is each relay's own configuration. It fails with a *KeyError where a document can't be parsed.
+// Diff returns the differences between two documents, one line for each key in sorted order: "+ KEY VALUE", "- KEY VALUE" or
+// "~ KEY OLD -> NEW". An empty text is a document without keys. Diff returns a *KeyError if a document can't be parsed.
 func Diff(from, to []byte) ([]string, error) {
 	before, err := flattenDocument(from)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return changes, nil
 }
 
-// flattenDocument returns the values of a document, as JSON, by their keys' paths; an empty text has none.
+// flattenDocument returns the values of a document, encoded as JSON, by the paths of their keys; an empty text has none.
 func flattenDocument(text []byte) (map[string]string, error) {
 	values := map[string]string{}
 	if len(text) == 0 {
@@ -53,11 +53,11 @@
 	return values, nil
 }
 
-// flatten adds a value to values under its path, or, if it is an object, the values in it under theirs.
+// flatten adds a value to values under its path. For an object it adds the members instead, under their own paths.
 func flatten(values map[string]string, path string, value any) {
 	object, ok := value.(map[string]any)
 	if !ok {
-		encoded, _ := json.Marshal(value) // it was decoded from JSON
+		encoded, _ := json.Marshal(value) // a value decoded from JSON can be encoded
 		values[path] = string(encoded)
 		return
 	}
--- a/internal/relay/fleet/policy/document.go
+++ b/internal/relay/fleet/policy/document.go
@@ -1,5 +1,5 @@
-// Package policy is what a fleet agrees on: the document that operators change on a fleet in service, the phases that each change goes through,
-// and which phase follows which. It does no I/O, reads no clock and starts no goroutine; its types aren't safe for concurrent use.
+// Package policy has the replicated state of a fleet: the document that operators change while the fleet is in service, and the phases of
+// each change. It does no I/O, reads no clock and starts no goroutine; its types aren't safe for concurrent use.
 package policy
 
 import (
@@ -19,70 +19,70 @@
 const (
 	// Format is the newest format of documents that this version understands.
 	Format = 1
-	// MaxDocumentBytes is the maximum size of a document, in bytes: a datagram must carry it with all else.
+	// MaxDocumentBytes is the maximum size of a document, in bytes: it must fit into a datagram with the rest of a message.
 	MaxDocumentBytes = 16 << 10
 
-	minLimit = 0.01 // calls a second: one in 100 s
+	minLimit = 0.01 // calls/s: one in 100 s
 )
 
-// Document is what operators change on a fleet in service. What it does not name stays as each relay's own configuration has it. The JSON keys are
-// the operators' words.
+// Document has the settings that operators change while the fleet is in service. For those that it does not have, each relay's own
+// configuration applies. The JSON keys are part of the operators' interface.
 type Document struct {
 	Format   int                `json:"format"`
 	Classes  map[string]Class   `json:"classes,omitempty"`
 	Tenants  map[string]Tenant  `json:"tenants,omitempty"`
 	Partners map[string]Partner `json:"partners,omitempty"` // by number
-	Accept   []string           `json:"accept,omitempty"`   // relays that accept new messages; empty: all
+	Accept   []string           `json:"accept,omitempty"`   // names of the relays that accept new messages; empty: all
 	Plugins  map[string]Plugin  `json:"plugins,omitempty"`  // by name
-	Stamp    bool               `json:"stamp,omitempty"`    // calls carry the version that they are made under, in X-Policy-Version
+	Stamp    bool               `json:"stamp,omitempty"`    // calls carry the policy's version in the header X-Policy-Version
 }
 
-// Class is what changes of a class of messages.
+// Class has the settings of a class of messages.
 type Class struct {
-	Value    *float64 `json:"worth,omitempty"`    // of a message that is in time; nil: unchanged
-	Attempts int      `json:"attempts,omitempty"` // attempts that a message may have; 0: what the settings allow
+	Value    *float64 `json:"worth,omitempty"`    // of a message that is delivered in time; nil: unchanged
+	Attempts int      `json:"attempts,omitempty"` // maximum attempts for a message; 0: as many as the settings allow
 }
 
-// Tenant is what changes of a tenant.
+// Tenant has the settings of a tenant.
 type Tenant struct {
-	Quota float64 `json:"quota_per_s"` // messages a second within its share, over all relays
+	Quota float64 `json:"quota_per_s"` // messages/s that the tenant may send, over all relays
 }
 
-// Partner is what changes of a partner.
+// Partner has the settings of a partner.
 type Partner struct {
-	Shut  bool    `json:"shut,omitempty"`        // nothing is accepted for it and nothing is sent to it
-	Limit float64 `json:"limit_per_s,omitempty"` // calls a second that all relays together may make to it; 0: the operator sets no limit
+	Shut  bool    `json:"shut,omitempty"`        // no messages are accepted for it, and none are sent to it
+	Limit float64 `json:"limit_per_s,omitempty"` // calls/s to it from all relays together; 0: no limit by the operator
 }
 
-// Plugin is what changes of a plug-in. In JSON a string in place of the object is the module alone.
+// Plugin has the settings of a plug-in. In JSON, a string instead of the object sets Module only.
 type Plugin struct {
-	Module   string          `json:"sha256,omitempty"`   // SHA-256 in hex of the module that each relay must run; empty: whichever it runs
-	Settings json.RawMessage `json:"settings,omitempty"` // the plug-in's configuration; empty: as in the relay's own
+	Module   string          `json:"sha256,omitempty"`   // SHA-256 in hex of the module that each relay must run; empty: any
+	Settings json.RawMessage `json:"settings,omitempty"` // the plug-in's configuration; empty: that of the relay's own configuration
 }
 
-// UnmarshalJSON decodes either form; an unknown key is an error.
+// UnmarshalJSON decodes an object or a string. An unknown key is an error.
 func (p *Plugin) UnmarshalJSON(text []byte) error {
 	if len(text) > 0 && text[0] == '"' {
 		return json.Unmarshal(text, &p.Module)
 	}
 	type plain Plugin
 	decoder := json.NewDecoder(bytes.NewReader(text))
-	decoder.DisallowUnknownFields() // the outer decoder's option does not apply here
+	decoder.DisallowUnknownFields() // the option of the outer decoder does not apply here
 	return decoder.Decode((*plain)(p))
 }
 
-// Terms is what one relay can apply: what its settings and plug-ins permit.
+// Terms is what a relay's settings and plug-ins permit in a document.
 type Terms struct {
-	Relays      []string          // names, of the fleet's roster
+	Relays      []string          // names in the fleet's roster
 	Classes     []string          // names
-	MaxAttempts int               // that the settings allow a message
+	MaxAttempts int               // maximum that the settings allow for a message
 	Tenants     []string          // names
-	Plugins     map[string]string // SHA-256 of each that runs, by name
+	Plugins     map[string]string // SHA-256 in hex of the running plug-ins, by name
 }
 
-// KeyError names the key that is at fault, of a document or of the relay's configuration (package config).
+// KeyError is an error in the value of a key, in a document or in a relay's configuration (package config).
 type KeyError struct {
-	Source string // what the key belongs to, by its package: "policy" or "config"
+	Source string // where the key is: "policy" or "config"
 	Key    string // the path, such as classes.match-event.attempts, or "(whole file)"
 	Reason string
 }
@@ -90,12 +90,12 @@
 // Error returns source, key and reason, as in "policy: key format: missing".
 func (e *KeyError) Error() string { return fmt.Sprintf("%s: key %s: %s", e.Source, e.Key, e.Reason) }
 
-// keyError returns the error of a document's key.
+// keyError returns a KeyError for a document.
 func keyError(key, reason string) error {
 	return &KeyError{Source: "policy", Key: key, Reason: reason}
 }
 
-// Parse decodes a document and checks all that does not depend on a relay's terms. Its error is a *KeyError.
+// Parse decodes a document and checks everything that does not depend on a relay's terms. Its error is a *KeyError.
 func Parse(text []byte) (*Document, error) {
 	if len(text) > MaxDocumentBytes {
 		return nil, keyError("(whole file)", fmt.Sprintf("%d bytes, want %d at most", len(text), MaxDocumentBytes))
@@ -125,7 +125,7 @@
 	return d, d.check()
 }
 
-// check returns a *KeyError for the first key, in their order, whose value no relay can apply.
+// check returns a *KeyError for the first key, in order, whose value is invalid for every relay.
 func (d *Document) check() error {
 	for _, name := range slices.Sorted(maps.Keys(d.Classes)) {
 		class, key := d.Classes[name], "classes."+name
@@ -146,7 +146,7 @@
 			return keyError("partners."+name, "want a partner's number")
 		}
 		if limit := d.Partners[name].Limit; limit != 0 && !(limit >= minLimit && limit <= 1e6) {
-			return keyError("partners."+name+".limit_per_s", fmt.Sprintf("want %g to 1e6; shut takes all", minLimit))
+			return keyError("partners."+name+".limit_per_s", fmt.Sprintf("want %g to 1e6; to stop all calls set shut", minLimit))
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Plugins)) {
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// Applies returns why a relay of these terms can't apply the document, as a *KeyError; nil: it can.
-func (d *Document) Applies(t *Terms) error {
+// CheckTerms returns a *KeyError for the first key that a relay with these terms can't apply; nil: it can apply the document.
+func (d *Document) CheckTerms(t *Terms) error {
 	for _, name := range slices.Sorted(maps.Keys(d.Classes)) {
 		if !slices.Contains(t.Classes, name) {
 			return keyError("classes."+name, "no class of that name")
@@ -192,13 +192,13 @@
 	return nil
 }
 
-// Takes reports whether a relay accepts new messages.
-func (d *Document) Takes(relay string) bool {
+// AcceptsMessages reports whether a relay accepts new messages.
+func (d *Document) AcceptsMessages(relay string) bool {
 	return len(d.Accept) == 0 || slices.Contains(d.Accept, relay)
 }
 
-// Shut reports whether operators have shut a partner.
+// Shut reports whether the document shuts a partner.
 func (d *Document) Shut(partner int) bool { return d.Partners[strconv.Itoa(partner)].Shut }
 
-// Digest returns a hash of a document's text, by which relays compare what they have in force.
+// Digest returns a hash of a document's text, with which relays compare their policies.
 func Digest(text []byte) uint64 { return xxhash.Sum64(text) }
--- a/internal/relay/fleet/policy/policy_test.go
+++ b/internal/relay/fleet/policy/policy_test.go
@@ -9,11 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// terms are what the tests' relay can apply.
+// terms are the terms of the relay in the tests.
 var terms = &Terms{Relays: []string{"a", "b"}, Classes: []string{"event"}, MaxAttempts: 6, Tenants: []string{"desk"},
 	Plugins: map[string]string{"x": strings.Repeat("ab", 32)}}
 
-// TestDocument_EachKey_IsAppliedOrRejected: a document is applied, or its error names the key and why.
+// TestDocument_EachKey_IsAppliedOrRejected: a document is valid for a relay, or the error has the key and the reason.
 func TestDocument_EachKey_IsAppliedOrRejected(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{`{"format":1}`, ""},
@@ -40,7 +40,7 @@
 	} {
 		document, err := Parse([]byte(test.text))
 		if err == nil {
-			err = document.Applies(terms)
+			err = document.CheckTerms(terms)
 		}
 		if got := fmt.Sprint(err); test.want == "" && err != nil || test.want != "" && !strings.Contains(got, test.want) {
 			t.Errorf("%.80s: %s, want %q", test.text, got, test.want)
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestDiff_TwoDocuments_ListsChangedKeys: each key that differs has a line.
+// TestDiff_TwoDocuments_ListsChangedKeys: each different key has a line.
 func TestDiff_TwoDocuments_ListsChangedKeys(t *testing.T) {
 	got, err := Diff([]byte(`{"format":1,"stamp":true,"classes":{"event":{"worth":2}}}`),
 		[]byte(`{"format":1,"classes":{"event":{"worth":3}},"accept":["a"]}`))
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestState_AnyCommands_DecidedChangeIsNeverUndone: whatever commands come in whatever order, a version only ever proceeds, what was decided comes
-// into force or stays decided, and all that is remembered is bounded.
+// TestState_AnyCommands_DecidedChangeIsNeverUndone: for any commands in any order, the version never decreases, a decided change stays
+// decided until it takes effect, and the number of remembered changes is bounded.
 func TestState_AnyCommands_DecidedChangeIsNeverUndone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := &State{Epoch: 1}
@@ -76,21 +76,21 @@
 			state = state.Clone()
 			state.Apply(i+1, command)
 			if before.Halted() && !state.Halted() && state.Version != before.Change.Version {
-				t.Fatalf("what was decided, %d, was undone, and %d is in force", before.Change.Version, state.Version)
+				t.Fatalf("decided version %d was undone, and %d is in force", before.Change.Version, state.Version)
 			}
 			if state.Halted() {
 				decided[state.Change.Version] = true
 			}
 			if state.Version < before.Version || state.Version != before.Version && !decided[state.Version] {
-				t.Fatalf("version %d is in force after %d, and was not decided", state.Version, before.Version)
+				t.Fatalf("version %d is in force after %d, but was not decided", state.Version, before.Version)
 			}
 			if len(state.PastChanges) > maxPastChanges {
-				t.Fatalf("%d past changes are remembered", len(state.PastChanges))
+				t.Fatalf("%d past changes are remembered, want at most maxPastChanges", len(state.PastChanges))
 			}
 			if repeated := state.Clone(); state.Change != nil && command.Kind == Propose && command.Ticket != 0 {
 				repeated.Apply(i+1, command)
 				if diff := cmp.Diff(state, repeated); diff != "" && state.Change.Ticket == command.Ticket {
-					t.Fatal("a duplicate proposal counts twice", diff)
+					t.Fatal("a duplicate proposal changed the state", diff)
 				}
 			}
 		}
--- a/internal/relay/fleet/quota/allocation.go
+++ b/internal/relay/fleet/quota/allocation.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// KeyUsage is one key over all relays, for operators. The JSON keys are the operators' words.
+// KeyUsage is the use of a key by all relays, for operators. The JSON keys are part of the operators' interface.
 type KeyUsage struct {
 	Key      Key            `cbor:"1,keyasint" json:"-"`
-	Name     string         `cbor:"2,keyasint,omitempty" json:"name"`            // empty, unless a relay has filled it in
-	Limit    float64        `cbor:"3,keyasint,omitempty" json:"limit"`           // units a second; 0: none is known
-	Demand   float64        `cbor:"4,keyasint" json:"want"`                      // units a second, of all
-	Leased   float64        `cbor:"5,keyasint" json:"lent"`                      // of 1, beyond the guaranteed minimums
-	Minimums float64        `cbor:"6,keyasint" json:"floors"`                    // of 1
-	Relays   int            `cbor:"7,keyasint" json:"relays"`                    // with a demand
+	Name     string         `cbor:"2,keyasint,omitempty" json:"name"`            // set by the relay that reports the usage
+	Limit    float64        `cbor:"3,keyasint,omitempty" json:"limit"`           // units/s; 0: unknown
+	Demand   float64        `cbor:"4,keyasint" json:"want"`                      // units/s, of all relays
+	Leased   float64        `cbor:"5,keyasint" json:"lent"`                      // fraction of the limit that is leased in addition to the guaranteed minimums
+	Minimums float64        `cbor:"6,keyasint" json:"floors"`                    // fraction of the limit
+	Relays   int            `cbor:"7,keyasint" json:"relays"`                    // number of relays with a demand
 	Zones    map[int]string `cbor:"8,keyasint,omitempty" json:"zones,omitempty"` // verdicts, by zone
 }
 
-// Usage returns the keys for which any relay has a demand, in their order. The names are empty: only relays know them.
+// Usage returns the usage of all keys with a demand, in order. The names are empty: the allocator does not know them.
 func (l *Allocator) Usage() (all []KeyUsage) {
 	for _, key := range slices.Sorted(maps.Keys(l.keys)) {
 		state := l.keys[key]
@@ -39,7 +39,7 @@
 	return all
 }
 
-// split recomputes each relay's target share of each key, if splitInterval has passed since the last time.
+// split recomputes each relay's target share of each key, at most once per splitInterval.
 func (l *Allocator) split(now time.Duration) {
 	if now-l.splitAt < splitInterval {
 		return
@@ -54,7 +54,7 @@
 			l.keys[key] = state
 		}
 		state.observe(key, demanding[key])
-		l.judge(now, key, state, demanding[key])
+		l.updateVerdicts(now, key, state, demanding[key])
 		l.allocate(key, state, demanding[key])
 	}
 	for key := range l.keys {
@@ -64,8 +64,8 @@
 	}
 }
 
-// relaysByKey clears all targets, drops expired leases, and returns for each key the relays of the roster with a demand that is not too old,
-// in the order of their names.
+// relaysByKey clears all targets, drops expired leases, and returns for each key the relays in the roster with a recent demand, sorted by
+// name.
 func (l *Allocator) relaysByKey(now time.Duration) map[Key][]*relayState {
 	demanding := map[Key][]*relayState{}
 	for _, name := range slices.Sorted(maps.Keys(l.relays)) {
@@ -84,15 +84,15 @@
 	return demanding
 }
 
-// claim is what a relay needs of a key beyond its guaranteed minimum.
+// claim is the part of a key that a relay needs in addition to its guaranteed minimum.
 type claim struct {
 	relay  *relayState
-	need   float64 // of 1
-	weight float64 // by the value of its units, 0.25 to 4
+	need   float64 // fraction of the limit
+	weight float64 // by the value of its units relative to the mean, 0.25 to 4
 }
 
-// allocate splits what the guaranteed minimums leave, by demand. Where the demands exceed it, a relay that gets less than its demand never
-// gets less than another of the same value. What nobody demands goes to where the demand is largest.
+// allocate splits the part of a limit beyond the guaranteed minimums by demand. If the demands exceed that, a relay that gets less than its
+// demand does not get less than another whose units have the same value. A surplus is split in proportion to the demands.
 func (l *Allocator) allocate(key Key, state *keyState, relays []*relayState) {
 	demand, meanValue := 0.0, 0.0
 	for _, relay := range relays {
@@ -120,8 +120,8 @@
 	}
 }
 
-// newClaim is a relay's claim to a key of which all relays together demand so much, at that mean value; limit 0: nothing is known of it,
-// and the claim is the relay's part of the demand.
+// newClaim returns a relay's claim to a key, given the demand of all relays and its mean value. If the limit is unknown (0), the claim is
+// the relay's fraction of the total demand.
 func newClaim(relay *relayState, key Key, limit, totalDemand, meanValue, minimum float64) claim {
 	demand := relay.demands[key]
 	c := claim{relay, demand.Rate / totalDemand, 1}
@@ -135,19 +135,19 @@
 	return c
 }
 
-// allocateSurplus gives each claim what it needs, and splits the rest by demand.
+// allocateSurplus satisfies all claims, and splits the rest by demand.
 func allocateSurplus(key Key, claims []claim, relays []*relayState, totalDemand, rest float64) {
 	for _, claim := range claims {
 		claim.relay.target[key] = toUnits(claim.need + rest*claim.relay.demands[key].Rate/totalDemand)
 	}
-	for _, relay := range relays { // those whose guaranteed minimum is enough get some of the rest too
+	for _, relay := range relays { // relays without a claim, whose guaranteed minimum is enough, also get a part of the rest
 		if demand := relay.demands[key]; relay.target[key] == 0 && demand.Rate > 0 {
 			relay.target[key] = toUnits(rest * demand.Rate / totalDemand)
 		}
 	}
 }
 
-// allocateScarce splits a pool that is smaller than the needs, by weight (weighted max-min fairness).
+// allocateScarce splits a pool that is smaller than the claims by weighted max-min fairness.
 func allocateScarce(key Key, claims []claim, pool float64) {
 	slices.SortStableFunc(claims, func(a, b claim) int { return cmp.Compare(a.need/a.weight, b.need/b.weight) })
 	totalWeight := 0.0
--- a/internal/relay/fleet/quota/allocator.go
+++ b/internal/relay/fleet/quota/allocator.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Options are an Allocator's.
+// Options configure an Allocator.
 type Options struct {
-	MinimumSum    float64       // of 1: all guaranteed minimums together. More of it serves partitioned relays better, and leaves less to lease by demand
-	LeaseDuration time.Duration // from the arrival of a request until a lease granted upon it has surely expired
-	ServeAlone    bool          // partitioned relays go on, with their guaranteed minimums
+	MinimumSum    float64       // sum of all guaranteed minimums, as a fraction. More serves partitioned relays better, but leaves less to lease by demand
+	LeaseDuration time.Duration // from the arrival of a request until its lease has expired by any relay's clock
+	ServeAlone    bool          // partitioned relays keep spending their guaranteed minimums
 }
 
-// Shares are summed in integer units, so that rounding neither loses nor makes any.
+// Shares are added in integer units, so that sums have no rounding errors.
 const (
-	unitsPerLimit = int64(1) << 40 // units of a complete limit
-	minUnits      = 1 << 10        // units: smaller shares count as none
+	unitsPerLimit = int64(1) << 40 // units of a whole limit
+	minUnits      = 1 << 10        // smaller shares are rounded to none
 )
 
-// toShare converts units to a share of 1.
+// toShare converts units to a fraction of a limit.
 func toShare(units int64) float64 { return float64(units) / float64(unitsPerLimit) }
 
-// toUnits converts a share of 1 to units, rounded towards zero; less than minUnits is none.
+// toUnits converts a fraction of a limit to units, rounded towards zero. Less than minUnits becomes 0.
 func toUnits(share float64) int64 {
 	if units := int64(share * float64(unitsPerLimit)); units >= minUnits {
 		return min(units, unitsPerLimit)
@@ -31,87 +31,87 @@
 
 // Times and thresholds of the allocator.
 const (
-	splitInterval   = 100 * time.Millisecond // between two splits
-	resendInterval  = 500 * time.Millisecond // shares that are the same, since limits and judgements age
-	evidenceTTL     = 5 * time.Second        // evidence that is older does not count
-	deliveryTTL     = 2 * time.Second        // a delivery that contradicts others' evidence that a destination is down
-	probeTurn       = time.Second            // a relay's turn to probe
-	growThreshold   = 0.1                    // of a share: smaller growth is not sent
-	shrinkThreshold = 0.02                   // of a share: smaller shrinkage is not sent; others may need the rest
-	maxReportedWait = 3 * time.Second        // that one relay's report makes others wait
+	splitInterval   = 100 * time.Millisecond // minimum time between two splits
+	resendInterval  = 500 * time.Millisecond // of unchanged shares, since limits and verdicts age
+	evidenceTTL     = 5 * time.Second        // maximum age of evidence that a destination is down
+	deliveryTTL     = 2 * time.Second        // maximum age of a delivery that contradicts such evidence
+	probeTurn       = time.Second            // duration of a relay's turn to probe
+	growThreshold   = 0.1                    // relative: smaller growth of a share is not sent
+	shrinkThreshold = 0.02                   // relative: smaller shrinkage of a share is not sent; it is lower, since others may need the rest
+	maxReportedWait = 3 * time.Second        // maximum wait for others because of one relay's report
 )
 
-// Allocator is the leader's side of the leases, for one term. It is not safe for concurrent use: the leader's node.Node owns it. Times are on
-// that node's clock.
+// Allocator grants quota leases at the leader, for one term. It is not safe for concurrent use: the leader's node.Node owns it. Times are
+// on that node's clock.
 type Allocator struct {
 	options            Options
 	term               uint64
 	startedAt          time.Duration
 	splitAt            time.Duration // of the last split
-	roster             []string      // the roster, sorted
+	roster             []string      // sorted names
 	relays             map[string]*relayState
-	leased             map[Key]int64 // sum of what relays may spend, beyond the guaranteed minimums
-	minimumSum         int64         // all guaranteed minimums that may be spent
-	reservedMinimumSum int64         // the same with those that are still to be leased
+	leased             map[Key]int64 // sum of the relays' bounds, in units
+	minimumSum         int64         // sum of the guaranteed minimums that relays may spend, in units
+	reservedMinimumSum int64         // minimumSum and the minimums that are still to be leased
 	keys               map[Key]*keyState
-	Contradictions     map[string]int // reports that contradicted all others', or could not be true, by relay; must not be changed
+	Contradictions     map[string]int // reports that contradicted all others or were impossible, by relay; must not be changed
 }
 
-// relayState is one relay as the allocator knows it.
+// relayState is the allocator's state of a relay.
 type relayState struct {
 	name             string
 	incarnation      uint64
-	reported         bool          // it has reported its former lease in this term, or that has expired
-	firstIncarnation bool          // the first incarnation of its name in this term: only that may have a lease of the term before
-	verdictChanged   bool          // there is a verdict that it was not sent yet
-	sharesSentAt     time.Duration // when it was sent its shares last
-	confirmedLease   uint64        // number of the lease that its core has confirmed
+	reported         bool          // it has reported its lease from a former term in this term, or that lease has expired
+	firstIncarnation bool          // its first incarnation in this term, the only one that may have a lease from a former term
+	verdictChanged   bool          // a verdict or probe turn changed since its shares were last sent
+	sharesSentAt     time.Duration // when its shares were last sent
+	confirmedLease   uint64        // number of the newest lease that its core has confirmed
 	zone             int
 	demands          map[Key]Demand
-	demandsAt        time.Duration // of these
-	heardAt          time.Duration // of its last request
+	demandsAt        time.Duration // when the demands were received
+	heardAt          time.Duration // when its last request was received
 	lastLease        uint64        // number of the newest lease
-	leases           []lease       // that may be in force at the relay, oldest first; the first may be confirmed
-	formerLeases     []lease       // of former incarnations
-	bound            map[Key]int64 // the most that it may spend by any of its leases, in units, beyond the minimum
-	minimum          int64         // that it may spend
-	lastingMinimum   int64         // of expired leases: the relay may still spend the guaranteed minimum alone
-	target           map[Key]int64 // what split would give it, in units
+	leases           []lease       // leases that the relay may be using, oldest first
+	formerLeases     []lease       // leases of former incarnations and terms
+	bound            map[Key]int64 // maximum of its leases in addition to the minimum, in units
+	minimum          int64         // guaranteed minimum that it may spend, in units
+	lastingMinimum   int64         // guaranteed minimum of expired leases, which a partitioned relay may still spend
+	target           map[Key]int64 // share that split assigns to it, in units
 }
 
-// lease is the shares of all keys that one grant gave a relay, in units.
+// lease has the shares of all keys that a grant gave to a relay, in units.
 type lease struct {
 	number  uint64
 	minimum int64
 	shares  map[Key]int64
-	expires time.Duration // it may be spent before that
+	expires time.Duration // the shares may be spent until then
 }
 
-// keyState is one key over all relays.
+// keyState is the allocator's state of a key.
 type keyState struct {
-	limit         float64               // units a second; 0: not known
+	limit         float64               // units/s; 0: unknown
 	limitAt       time.Duration         // when the destination reported it
 	verdicts      map[int]State         // by zone
-	evidenceAt    map[int]time.Duration // when the newest evidence for a verdict was sent, by zone
-	waitUntil     time.Duration         // as destinations have asked for
-	probers       map[int]string        // whose turn it is, by zone
+	evidenceAt    map[int]time.Duration // when the call of the newest evidence for the verdict was sent, by zone
+	waitUntil     time.Duration         // until when the destination asked relays to wait
+	probers       map[int]string        // name of the relay whose turn it is to probe, by zone
 	probeTurnEnds time.Duration
-	turn          int // counts the turns to probe
+	turn          int // number of the turn to probe
 }
 
-// NewAllocator returns the allocator of a relay that becomes the leader in term. It leases nothing beyond former leases until all relays of the
-// roster have reported theirs, or LeaseDuration has passed.
+// NewAllocator returns the allocator of a relay that becomes the leader in a term. It leases nothing beyond the leases from former terms
+// until all relays in the roster have reported these, or LeaseDuration has passed.
 func NewAllocator(options Options, term uint64, now time.Duration) *Allocator {
 	return &Allocator{options: options, term: term, startedAt: now, splitAt: now - splitInterval, relays: map[string]*relayState{},
 		leased: map[Key]int64{}, keys: map[Key]*keyState{}, Contradictions: map[string]int{}}
 }
 
-// minimumPerRelay is the guaranteed minimum of each relay of the roster, in units.
+// minimumPerRelay returns the guaranteed minimum of each relay in the roster, in units.
 func (l *Allocator) minimumPerRelay() int64 {
 	return toUnits(RoundToWire(l.options.MinimumSum / float64(max(len(l.roster), 1))))
 }
 
-// SetRoster sets the names of the relays that belong to the fleet, sorted.
+// SetRoster sets the names of the fleet's relays, which must be sorted.
 func (l *Allocator) SetRoster(names []string) {
 	if !slices.Equal(names, l.roster) {
 		l.roster = slices.Clone(names)
@@ -119,8 +119,8 @@
 	}
 }
 
-// sumMinimums sums what all relays may spend as guaranteed minimums, also those not heard from: until LeaseDuration after the
-// start they may have what a former leader granted, and with ServeAlone for ever.
+// sumMinimums recomputes minimumSum and reservedMinimumSum. Relays that were not heard from count as well: they may spend the minimum that
+// a former leader granted for LeaseDuration after the start, and with ServeAlone for ever.
 func (l *Allocator) sumMinimums() {
 	l.minimumSum, l.reservedMinimumSum = 0, 0
 	for _, name := range l.roster {
@@ -132,7 +132,7 @@
 			minimum = max(minimum, l.minimumPerRelay())
 		}
 		l.minimumSum += minimum
-		if relay != nil && l.splitAt-relay.heardAt <= l.options.LeaseDuration { // its guaranteed minimum is kept for it, also if it was not leased yet
+		if relay != nil && l.splitAt-relay.heardAt <= l.options.LeaseDuration { // its guaranteed minimum is reserved, even if it was not leased yet
 			minimum = max(minimum, l.minimumPerRelay())
 		}
 		l.reservedMinimumSum += minimum
@@ -144,7 +144,7 @@
 	}
 }
 
-// allReported reports whether all relays have reported their former leases, or those have expired.
+// allReported reports whether all relays have reported their leases from former terms, or these have expired.
 func (l *Allocator) allReported(now time.Duration) bool {
 	if now >= l.startedAt+l.options.LeaseDuration {
 		return true
@@ -152,7 +152,7 @@
 	return !slices.ContainsFunc(l.roster, func(name string) bool { return l.relays[name] == nil || !l.relays[name].reported })
 }
 
-// updateBound recomputes what a relay may spend, and drops its expired leases.
+// updateBound drops the expired leases of a relay and recomputes its bound and minimum.
 func (l *Allocator) updateBound(relay *relayState, now time.Duration) {
 	bound, minimum := map[Key]int64{}, int64(0)
 	expired := func(l lease) bool { return l.expires <= now }
@@ -168,7 +168,7 @@
 			bound[key] = max(bound[key], units)
 		}
 	}
-	if l.options.ServeAlone { // a guaranteed minimum never expires then, unless another replaces it
+	if l.options.ServeAlone { // then a guaranteed minimum is valid until another replaces it
 		minimum = max(minimum, relay.lastingMinimum)
 	}
 	for key, units := range relay.bound {
--- a/internal/relay/fleet/quota/counters.go
+++ b/internal/relay/fleet/quota/counters.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// Tally is what one incarnation of a relay has counted since its start. It only grows, so that of two the larger is the newer, and merging
-// one twice changes nothing.
+// Tally has the counters of one incarnation of a relay since its start. Counters only grow, so that the larger of two values is the newer
+// one, and merging a tally twice has no effect.
 type Tally struct {
 	Relay      string `cbor:"1,keyasint"`
-	Generation uint64 `cbor:"2,keyasint"`           // of the incarnation: counts the relay's starts
+	Generation uint64 `cbor:"2,keyasint"`           // of the incarnation
 	Counters   []byte `cbor:"3,keyasint,omitempty"` // see EncodeCounters
-	Compacted  bool   `cbor:"4,keyasint,omitempty"` // Counters are the sum of all incarnations up to Generation, which has ended
+	Compacted  bool   `cbor:"4,keyasint,omitempty"` // Counters has the sums of all incarnations up to Generation, which have ended
 }
 
-// MaxCounters is how many counters a relay has.
+// MaxCounters is the maximum number of counters of a relay.
 const MaxCounters = 160
 
-// ErrCounters is returned for bytes that EncodeCounters can't have written.
+// ErrCounters is returned for bytes that are not an output of EncodeCounters.
 var ErrCounters = errors.New("quota: malformed counters")
 
-// EncodeCounters encodes counters for the wire, in the order of their keys.
+// EncodeCounters encodes counters for the wire, sorted by key.
 func EncodeCounters(counters map[Key]uint64) []byte {
 	encoded := make([]byte, 0, 7*len(counters))
 	for _, key := range slices.Sorted(maps.Keys(counters)) {
@@ -32,7 +32,7 @@
 	return encoded
 }
 
-// DecodeCounters decodes what EncodeCounters wrote; it returns ErrCounters for anything else.
+// DecodeCounters decodes the output of EncodeCounters. It returns ErrCounters for other bytes.
 func DecodeCounters(encoded []byte) (map[Key]uint64, error) {
 	counters := map[Key]uint64{}
 	for len(encoded) > 0 {
@@ -49,33 +49,33 @@
 	return counters, nil
 }
 
-// CounterTable is what a voter knows of all relays' counts. It is not safe for concurrent use: the voter's node.Node owns it.
+// CounterTable has all relays' counters at a voter. It is not safe for concurrent use: the voter's node.Node owns it.
 type CounterTable struct {
 	relays    map[string]*relayCounters // by name
-	nextRelay int                       // whose turn it is in NextTallies
+	nextRelay int                       // counter for the round robin of NextTallies
 }
 
-// relayCounters are one relay's counts: of its newest incarnations, and the sum of those before them.
+// relayCounters has the counters of one relay: those of its newest incarnations, and the sums of the incarnations before.
 type relayCounters struct {
 	incarnations  map[uint64]*incarnationCounters
 	compacted     map[Key]uint64
-	compactedUpTo uint64 // the newest generation in compacted; 0: none
+	compactedUpTo uint64 // newest generation in compacted; 0: none
 }
 
-// incarnationCounters are the counts of one incarnation.
+// incarnationCounters has the counters of one incarnation.
 type incarnationCounters struct {
 	counters  map[Key]uint64
-	updatedAt time.Duration // when a tally of it came last
+	updatedAt time.Duration // when its last tally was received
 }
 
-// maxIncarnations is how many incarnations of a relay are counted separately; older ones are compacted.
+// maxIncarnations is the maximum number of incarnations per relay with separate counters; older ones are compacted.
 const maxIncarnations = 3
 
 // NewCounterTable returns an empty table.
 func NewCounterTable() *CounterTable { return &CounterTable{relays: map[string]*relayCounters{}} }
 
-// Merge takes in a tally; order and repetition don't matter. Ignored are a tally of an incarnation that is compacted already, one that can't
-// be decoded, and one of a new relay where the table has maxRelays.
+// Merge merges a tally into the table; the order and repetition of tallies don't matter. It ignores a tally of a compacted incarnation, one
+// that can't be decoded, and one of a new relay if the table already has maxRelays.
 func (b *CounterTable) Merge(now time.Duration, t *Tally, maxRelays int) {
 	counters, err := DecodeCounters(t.Counters)
 	if err != nil {
@@ -100,18 +100,18 @@
 	relay.compact()
 }
 
-// mergeCompacted takes in the sum of all incarnations up to a generation.
+// mergeCompacted merges the sums of all incarnations up to a generation.
 func (r *relayCounters) mergeCompacted(generation uint64, counters map[Key]uint64) {
 	if generation < r.compactedUpTo {
 		return
 	}
-	if generation == r.compactedUpTo { // each voter may have missed the end of an incarnation
+	if generation == r.compactedUpTo { // either voter may have missed the last tallies of an incarnation
 		for key, count := range counters {
 			r.compacted[key] = max(r.compacted[key], count)
 		}
 		return
 	}
-	for known := range r.incarnations { // another voter has compacted more: its sum replaces all of that
+	for known := range r.incarnations { // another voter has compacted more incarnations: its sums replace these
 		if known <= generation {
 			delete(r.incarnations, known)
 		}
@@ -119,7 +119,7 @@
 	r.compactedUpTo, r.compacted = generation, counters
 }
 
-// mergeIncarnation takes in what one incarnation has counted.
+// mergeIncarnation merges the counters of one incarnation.
 func (r *relayCounters) mergeIncarnation(now time.Duration, generation uint64, counters map[Key]uint64) {
 	incarnation := r.incarnations[generation]
 	if incarnation == nil {
@@ -127,12 +127,12 @@
 		r.incarnations[generation] = incarnation
 	}
 	incarnation.updatedAt = now
-	for key, count := range counters { // counters only grow: a smaller count is older, or not true
+	for key, count := range counters { // counters only grow: a smaller value is older, or wrong
 		incarnation.counters[key] = max(incarnation.counters[key], count)
 	}
 }
 
-// compact sums up the oldest incarnations beyond maxIncarnations.
+// compact adds the oldest incarnations beyond maxIncarnations to the sums.
 func (r *relayCounters) compact() {
 	generations := slices.Sorted(maps.Keys(r.incarnations))
 	for len(generations) > maxIncarnations {
@@ -146,7 +146,7 @@
 	}
 }
 
-// NextTallies returns what one voter sends to another this time: the tallies of maxRelays relays, in turn.
+// NextTallies returns the tallies of the next maxRelays relays, in round robin, to be sent to another voter.
 func (b *CounterTable) NextTallies(maxRelays int) (all []Tally) {
 	names := slices.Sorted(maps.Keys(b.relays))
 	for range min(maxRelays, len(names)) {
@@ -163,16 +163,16 @@
 	return all
 }
 
-// Totals is what a fleet has counted.
+// Totals has the sums of all relays' counters.
 type Totals struct {
 	Counters     []byte        `cbor:"1,keyasint,omitempty"` // see EncodeCounters
-	Relays       int           `cbor:"2,keyasint"`           // that have ever counted
-	Incarnations int           `cbor:"3,keyasint"`           // not compacted yet
-	SilentFor    time.Duration `cbor:"4,keyasint"`           // since the last tally of the relay not heard from for the longest
-	Silent       string        `cbor:"5,keyasint,omitempty"` // the name of that relay
+	Relays       int           `cbor:"2,keyasint"`           // number of relays with a tally
+	Incarnations int           `cbor:"3,keyasint"`           // number of incarnations that are not compacted
+	SilentFor    time.Duration `cbor:"4,keyasint"`           // longest time since the last tally of any relay
+	Silent       string        `cbor:"5,keyasint,omitempty"` // name of that relay
 }
 
-// Totals returns the sums of what all relays have counted.
+// Totals returns the sums of all relays' counters.
 func (b *CounterTable) Totals(now time.Duration) *Totals {
 	totals, sum := &Totals{Relays: len(b.relays)}, map[Key]uint64{}
 	for _, name := range slices.Sorted(maps.Keys(b.relays)) {
--- a/internal/relay/fleet/quota/counters_test.go
+++ b/internal/relay/fleet/quota/counters_test.go
@@ -8,9 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestCounterTable_TalliesInAnyOrder_NeverCountTwice: whatever tallies come, in whatever order, twice, late or not at all, a sum never
-// counts an incarnation twice and never more than was counted; when the newest of each incarnation has come to any of the voters and they
-// have talked, all say the same, exactly.
+// TestCounterTable_TalliesInAnyOrder_NeverCountTwice: with tallies that are lost, late, duplicated or reordered, no voter's sum exceeds
+// what the relays have counted.
 func TestCounterTable_TalliesInAnyOrder_NeverCountTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -21,7 +20,7 @@
 		}
 		truth := map[incarnation]uint64{}
 		generations := map[string]uint64{"a": 1, "b": 1}
-		var inFlight []Tally // sent, perhaps lost or late
+		var inFlight []Tally // sent; they may arrive late, repeatedly or never
 		names := []string{"a", "b"}
 		total := func() (sum uint64) {
 			for _, v := range truth {
@@ -33,7 +32,7 @@
 			name := names[random.IntN(2)]
 			current := incarnation{name, generations[name]}
 			switch random.IntN(8) {
-			case 0: // started again; its last tally has reached some voter
+			case 0: // the relay restarts after its last tally has reached a voter
 				tables[random.IntN(3)].Merge(0, &Tally{current.relay, current.gen, EncodeCounters(map[Key]uint64{1: truth[current]}), false}, 10)
 				generations[name]++
 			case 1, 2, 3:
@@ -44,7 +43,7 @@
 					t := inFlight[random.IntN(len(inFlight))]
 					tables[random.IntN(3)].Merge(time.Second, &t, 10)
 				}
-			default: // two voters talk
+			default: // a voter sends its tallies to another
 				to := tables[random.IntN(3)]
 				for _, x := range tables[random.IntN(3)].NextTallies(10) {
 					to.Merge(time.Second, &x, 10)
@@ -53,15 +52,15 @@
 			for i, b := range tables {
 				n, err := DecodeCounters(b.Totals(0).Counters)
 				if err != nil || n[1] > total() {
-					t.Fatalf("voter %d says %d of %d: %v", i, n[1], total(), err)
+					t.Fatalf("voter %d has a sum of %d, want at most %d: %v", i, n[1], total(), err)
 				}
 			}
 		}
 	})
 }
 
-// TestCounterTable_VotersExchangeTallies_Agree: voters that have merged different tallies agree once they have exchanged them, and a relay
-// that was restarted many times takes little memory.
+// TestCounterTable_VotersExchangeTallies_Agree: voters with different tallies agree after exchanging them, and the number of incarnations
+// in the table stays bounded for a relay that restarts often.
 func TestCounterTable_VotersExchangeTallies_Agree(t *testing.T) {
 	first, second := NewCounterTable(), NewCounterTable()
 	want := uint64(0)
@@ -87,7 +86,7 @@
 		s := table.Totals(3 * time.Second)
 		n, err := DecodeCounters(s.Counters)
 		if err != nil || n[7] != want || s.Incarnations > maxIncarnations || s.SilentFor != 2*time.Second || s.Silent != "r" {
-			t.Errorf("%d of %d, %+v, %v", n[7], want, s, err)
+			t.Errorf("sum %d, want %d; totals %+v, %v", n[7], want, s, err)
 		}
 	}
 	if _, err := DecodeCounters([]byte{1, 2, 3}); err == nil {
@@ -95,6 +94,6 @@
 	}
 	first.Merge(0, &Tally{Relay: "stranger", Generation: 1}, 1)
 	if s := first.Totals(0); s.Relays != 1 {
-		t.Error("more relays than the fleet has")
+		t.Error("a tally of a new relay was merged into a table with the maximum of relays")
 	}
 }
--- a/internal/relay/fleet/quota/encoding.go
+++ b/internal/relay/fleet/quota/encoding.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	demandBytes   = 4 + 3*2 + 4           // key; rate, value, limit; three ages or waits and the state
-	keyShareBytes = 4 + 2*2 + 4           // key; share, limit; three ages or waits and the state
-	ageUnit       = 50 * time.Millisecond // of ages and waits on the wire; they end at 255 units
-	probeFlag     = 0x80                  // of the byte with the state: KeyShare.MayProbe
+	demandBytes   = 4 + 3*2 + 4           // key; rate, value, limit; limit age, state, state age, wait
+	keyShareBytes = 4 + 2*2 + 4           // key; share, limit; limit age, state, state age, wait
+	ageUnit       = 50 * time.Millisecond // unit of ages and waits on the wire, which are at most 255 units
+	probeFlag     = 0x80                  // bit for KeyShare.MayProbe in the byte of the state
 )
 
-// ErrListSize is returned for a list of demands or shares whose length no encoder writes.
-var ErrListSize = errors.New("quota: length is no multiple of the entry size")
+// ErrListSize is returned for an encoded list of demands or shares with an invalid length.
+var ErrListSize = errors.New("quota: list length is not a multiple of the entry size, or above MaxKeys entries")
 
-// toFloat16 encodes a number in 16 bits, rounded towards zero: a leased share must never grow by its encoding.
+// toFloat16 encodes a number in 16 bits (bfloat16), rounded towards zero: the encoding must never increase a leased share.
 func toFloat16(value float64) uint16 {
 	if !(value > 0) {
 		return 0
@@ -29,16 +29,16 @@
 	return uint16(math.Float32bits(rounded) >> 16)
 }
 
-// fromFloat16 is the reverse of toFloat16; bytes from the wire may also be negative, infinite or no number.
+// fromFloat16 decodes the result of toFloat16. Bytes from the wire may also decode to a negative, infinite or NaN value.
 func fromFloat16(b uint16) float64 { return float64(math.Float32frombits(uint32(b) << 16)) }
 
-// RoundToWire returns a share as it arrives after it was encoded: never larger, and less than a hundredth smaller.
+// RoundToWire returns a share after encoding and decoding: it is not larger, and less than a hundredth smaller.
 func RoundToWire(v float64) float64 { return fromFloat16(toFloat16(v)) }
 
-// encodeAge encodes an age in one byte, rounded up: evidence must never seem fresher than it is.
+// encodeAge encodes an age in a byte, rounded up: evidence must never appear fresher than it is.
 func encodeAge(d time.Duration) byte { return byte(min((max(d, 0)+ageUnit-1)/ageUnit, 255)) }
 
-// EncodeDemands encodes demands for the wire, demandBytes each; ages are rounded up, numbers down.
+// EncodeDemands encodes demands for the wire, in demandBytes each. Ages are rounded up, other numbers down.
 func EncodeDemands(all []Demand) []byte {
 	b := make([]byte, 0, demandBytes*len(all))
 	for i := range all {
@@ -52,7 +52,7 @@
 	return b
 }
 
-// DecodeDemands decodes what EncodeDemands wrote; it returns ErrListSize for another length, or for more than MaxKeys demands.
+// DecodeDemands decodes the output of EncodeDemands. It returns ErrListSize for an invalid length, or more than MaxKeys demands.
 func DecodeDemands(b []byte) ([]Demand, error) {
 	if len(b)%demandBytes != 0 || len(b) > demandBytes*MaxKeys {
 		return nil, ErrListSize
@@ -67,7 +67,7 @@
 	return all, nil
 }
 
-// EncodeKeyShares encodes shares for the wire, keyShareBytes each; ages are rounded up, numbers down.
+// EncodeKeyShares encodes shares for the wire, in keyShareBytes each. Ages are rounded up, other numbers down.
 func EncodeKeyShares(shares []KeyShare) []byte {
 	encoded := make([]byte, 0, keyShareBytes*len(shares))
 	for i := range shares {
@@ -84,7 +84,7 @@
 	return encoded
 }
 
-// DecodeKeyShares decodes what EncodeKeyShares wrote; it returns ErrListSize for another length, or for more than MaxKeys shares.
+// DecodeKeyShares decodes the output of EncodeKeyShares. It returns ErrListSize for an invalid length, or more than MaxKeys shares.
 func DecodeKeyShares(b []byte) ([]KeyShare, error) {
 	if len(b)%keyShareBytes != 0 || len(b) > keyShareBytes*MaxKeys {
 		return nil, ErrListSize
@@ -99,7 +99,7 @@
 	return all, nil
 }
 
-// finiteOrZero returns 0 for what is no finite number.
+// finiteOrZero returns 0 for a value that is not positive and finite.
 func finiteOrZero(v float64) float64 {
 	if !(v > 0) || math.IsInf(v, 0) {
 		return 0
--- a/internal/relay/fleet/quota/granting.go
+++ b/internal/relay/fleet/quota/granting.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// available is how much of a key may be leased to a relay in all, in units.
+// available returns the maximum of a key that may be leased to a relay now, in units.
 func (l *Allocator) available(relay *relayState, key Key, now time.Duration) int64 {
 	if !l.allReported(now) {
-		return relay.bound[key] // others may hold the rest
+		return relay.bound[key] // other relays may have leases on the rest
 	}
 	return max(0, unitsPerLimit-l.minimumSum-l.leased[key]+relay.bound[key])
 }
 
-// Grant returns the answer to a relay's request that arrived at came, which HandleRequest has taken. It lasts for as long as the relay's own
-// lease that the answer renews; nil: the relay is not known, or that would have expired already.
-func (l *Allocator) Grant(now, came time.Duration, name string) *Grant {
+// Grant returns the answer to a relay's request that arrived at arrivedAt and was passed to HandleRequest. The grant is valid for as long
+// as the relay lease that is renewed with it. It is nil if the relay is unknown or that lease would have expired already.
+func (l *Allocator) Grant(now, arrivedAt time.Duration, name string) *Grant {
 	l.split(now)
-	relay, until := l.relays[name], came+l.options.LeaseDuration
+	relay, until := l.relays[name], arrivedAt+l.options.LeaseDuration
 	if relay == nil || until <= now {
 		return nil
 	}
@@ -37,7 +37,7 @@
 		relay.lastLease++
 		next.number, next.expires = relay.lastLease, until
 		relay.leases = append(relay.leases, next)
-		if len(relay.leases) > maxUnconfirmedLeases { // it confirms none of them: a new one waits until these have expired
+		if len(relay.leases) > maxUnconfirmedLeases { // the relay confirms none of them: no new lease until these have expired
 			relay.leases = relay.leases[:maxUnconfirmedLeases]
 			grant.LeaseNumber = 0
 			return grant
@@ -57,10 +57,10 @@
 	return grant
 }
 
-// maxUnconfirmedLeases bounds the leases that one relay has not confirmed: each of them still counts as leased to it.
+// maxUnconfirmedLeases bounds the leases that a relay has not confirmed, since each of them counts for the relay's bound.
 const maxUnconfirmedLeases = 8
 
-// keyShares are the shares of a lease, with the newest that the fleet knows of each key.
+// keyShares returns the shares of a lease, with the fleet's newest limits, verdicts and waits of the keys.
 func (l *Allocator) keyShares(now time.Duration, relay *relayState, lease *lease) (all []KeyShare) {
 	for _, key := range slices.Sorted(maps.Keys(relay.demands)) {
 		share := l.keyShare(now, relay, key)
@@ -70,29 +70,29 @@
 	return all
 }
 
-// nextLease is what would be leased to a relay now.
+// nextLease returns the lease that a relay would get now.
 func (l *Allocator) nextLease(now time.Duration, relay *relayState) lease {
 	next := lease{shares: map[Key]int64{}}
-	if next.minimum = l.minimumPerRelay(); next.minimum > relay.minimum { // a guaranteed minimum is leased like all else
+	if next.minimum = l.minimumPerRelay(); next.minimum > relay.minimum { // an increase of the guaranteed minimum needs free units as well
 		available := int64(0)
 		if l.allReported(now) {
 			available = max(0, unitsPerLimit-l.minimumSum-l.maxLeased())
 		}
-		next.minimum = rounded(relay.minimum + min(next.minimum-relay.minimum, available))
+		next.minimum = roundUnits(relay.minimum + min(next.minimum-relay.minimum, available))
 	}
-	if relay.demands == nil && relay.demandsAt == 0 { // its demands are not known yet: it keeps what it has
+	if relay.demands == nil && relay.demandsAt == 0 { // its demands are unknown: it keeps its shares
 		maps.Copy(next.shares, relay.bound)
 	}
 	for key := range relay.demands {
-		next.shares[key] = rounded(min(relay.target[key], max(0, l.available(relay, key, now)-max(0, next.minimum-relay.minimum))))
+		next.shares[key] = roundUnits(min(relay.target[key], max(0, l.available(relay, key, now)-max(0, next.minimum-relay.minimum))))
 	}
 	return next
 }
 
-// rounded is a share as it arrives after it was encoded, in units.
-func rounded(units int64) int64 { return toUnits(RoundToWire(toShare(units))) }
+// roundUnits returns a share after encoding and decoding, in units.
+func roundUnits(units int64) int64 { return toUnits(RoundToWire(toShare(units))) }
 
-// maxLeased is the largest sum of leased shares of any key, in units.
+// maxLeased returns the maximum of leased units over all keys.
 func (l *Allocator) maxLeased() (largest int64) {
 	for _, units := range l.leased {
 		largest = max(largest, units)
@@ -100,7 +100,7 @@
 	return largest
 }
 
-// differsEnough reports whether a lease differs enough from the last one to be sent; see growThreshold and shrinkThreshold.
+// differsEnough reports whether a lease differs enough from the last one to replace it; see growThreshold and shrinkThreshold.
 func (l *Allocator) differsEnough(last, next *lease) bool {
 	if last.minimum != next.minimum {
 		return true
--- a/internal/relay/fleet/quota/lessee.go
+++ b/internal/relay/fleet/quota/lessee.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Lessee is the relay's side of the leases: what it may spend, by its own clock. It is not safe for concurrent use: the relay's node.Node owns it.
+// Lessee has a relay's quota lease, with times on its own clock. It is not safe for concurrent use: the relay's node.Node owns it.
 type Lessee struct {
-	ServeAlone bool // the relay goes on when it is partitioned: its guaranteed minimum does not expire; must not be changed
+	ServeAlone bool // a partitioned relay keeps spending its guaranteed minimum, which does not expire; must not be changed
 
-	newestTerm   uint64  // term of the newest allocator that it has heard of
-	term, number uint64  // the lease that it has; 0: none
-	minimum      float64 // of 1, guaranteed
+	newestTerm   uint64  // newest term of an allocator that sent a grant
+	term, number uint64  // of the current lease; 0: none
+	minimum      float64 // guaranteed fraction of each limit
 	shares       []KeyShare
-	expires      time.Duration // of the shares; the guaranteed minimum lasts for as long as the relay acts
-	reportLeased bool          // the allocator has asked for the lease that it has
+	expires      time.Duration // end of the shares; with ServeAlone the guaranteed minimum does not expire
+	reportLeased bool          // the allocator has requested a report of the current lease
 	confirmed    [2]uint64     // term and number of the lease that the core has confirmed
-	demands      []Demand      // of the core, as observed last
-	requests     int           // that were made
+	demands      []Demand      // of the core, as last observed
+	requests     int           // number of requests made
 }
 
-// Lease is what the core may spend.
+// Lease has the shares that the core may spend.
 type Lease struct {
-	Term, Number uint64        // for Confirm, once it is in force at the core
-	Minimum      float64       // guaranteed share of each key, of 1
+	Term, Number uint64        // for Confirm, once the core has applied the lease
+	Minimum      float64       // guaranteed fraction of the limit of each key
 	Shares       []KeyShare    // must not be changed
-	Expires      time.Duration // it may be spent before that
-	MinimumLasts bool          // but for the guaranteed minimum, which has no end
+	Expires      time.Duration // end of the lease
+	MinimumLasts bool          // the guaranteed minimum does not expire
 }
 
-// HandleGrant takes a grant whose relay lease ends at until; nil: the answer had none. It returns what the core may spend from now on; nil: what
-// it may spend does not change, since the grant is of a former leader, late, or can't be decoded.
+// HandleGrant handles a grant that came with a relay lease until a time; the grant may be nil. It returns the lease for the core, or nil if
+// the core's lease stays: the grant has no lease, is late or from a former leader, or can't be decoded.
 func (p *Lessee) HandleGrant(until time.Duration, grant *Grant) *Lease {
 	switch {
 	case grant == nil || grant.Term < p.newestTerm || grant.Term == p.term && grant.LeaseNumber != 0 && grant.LeaseNumber < p.number:
-		return nil // of a former leader, or late
+		return nil // from a former leader, or late
 	case grant.ReportLeased:
 		p.newestTerm, p.reportLeased = grant.Term, true
 		return nil
@@ -39,7 +39,7 @@
 		return nil // a lease whose shares were not received
 	}
 	p.newestTerm = grant.Term
-	if grant.Term != p.term || grant.LeaseNumber != p.number { // a new lease has an expiry of its own
+	if grant.Term != p.term || grant.LeaseNumber != p.number { // a new lease does not inherit the expiry
 		p.expires = 0
 	}
 	if grant.HasShares {
@@ -53,23 +53,23 @@
 	return p.Lease()
 }
 
-// Lease returns what the core may spend.
+// Lease returns the current lease.
 func (p *Lessee) Lease() *Lease {
 	return &Lease{Term: p.term, Number: p.number, Minimum: p.minimum, Shares: p.shares, Expires: p.expires, MinimumLasts: p.ServeAlone}
 }
 
-// Confirm reports that a lease is in force at the core, and none before it.
+// Confirm records that the core has applied a lease in place of all before it.
 func (p *Lessee) Confirm(term, number uint64) {
 	if term == p.term && number == p.number {
 		p.confirmed = [2]uint64{term, number}
 	}
 }
 
-// SetDemands replaces the relay's demands, which must not be changed afterwards.
+// SetDemands replaces the relay's demands. The caller must not change them afterwards.
 func (p *Lessee) SetDemands(all []Demand) { p.demands = all }
 
-// NextRequest returns the request that goes with the next request for the relay's own lease. Demands are sent with every second one: a lost
-// one is replaced by the next.
+// NextRequest returns the request to be sent with the next request for the relay lease. Every second one has the demands, so that a lost
+// one is soon replaced.
 func (p *Lessee) NextRequest(now time.Duration, zone int) *Request {
 	r := &Request{LeaseTerm: p.confirmed[0], LeaseNumber: p.confirmed[1], Zone: zone, NewestTerm: p.newestTerm}
 	if p.expires <= now { // the lease has expired
@@ -78,7 +78,7 @@
 	if p.ServeAlone {
 		r.Minimum = toFloat16(p.minimum)
 	}
-	if p.reportLeased && p.confirmed == [2]uint64{p.term, p.number} && r.LeaseNumber != 0 { // otherwise the core may still spend more
+	if p.reportLeased && p.confirmed == [2]uint64{p.term, p.number} && r.LeaseNumber != 0 { // before that the core may still spend more
 		r.LeasedShares, r.Minimum = EncodeKeyShares(p.shares), toFloat16(p.minimum)
 	}
 	if p.requests++; p.requests%2 == 0 || p.reportLeased {
--- a/internal/relay/fleet/quota/quota_test.go
+++ b/internal/relay/fleet/quota/quota_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestWireEncoding_RoundTrip_IsNeverMoreNorFresher: what goes over the wire and back is never more, and never fresher, than it was; a list
-// of any other size is refused.
+// TestWireEncoding_RoundTrip_IsNeverMoreNorFresher: after encoding and decoding, numbers are not larger and ages not shorter than before. A
+// truncated list is rejected.
 func TestWireEncoding_RoundTrip_IsNeverMoreNorFresher(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		age := func(name string) time.Duration {
@@ -42,9 +42,9 @@
 	})
 }
 
-// TestAllocator_AnyDemands_SplitsFairlyWithinLimit: whatever relays demand, never more than the limit is leased, guaranteed minimums are
-// never leased to others, equal demands get equal shares, and where demands exceed the limit no relay has more than another of the same
-// value that has less than its demand.
+// TestAllocator_AnyDemands_SplitsFairlyWithinLimit: for any demands, the shares do not exceed the limit, every relay has its guaranteed
+// minimum, and equal demands get equal shares. If demands exceed the limit, a relay does not get more than another with a larger unmet
+// demand.
 func TestAllocator_AnyDemands_SplitsFairlyWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		allocator := NewAllocator(Options{MinimumSum: 0.25, LeaseDuration: 2 * time.Second}, 1, 0)
@@ -65,7 +65,7 @@
 			for i, name := range names {
 				grant := allocator.Grant(now, now, name)
 				if grant == nil || grant.ReportLeased {
-					t.Fatalf("%s is granted %+v", name, grant)
+					t.Fatalf("%s got grant %+v, want a lease", name, grant)
 				}
 				if leases[i] = grant.LeaseNumber; grant.HasShares {
 					p, err := DecodeKeyShares(grant.Shares)
@@ -79,53 +79,53 @@
 				sum += p
 			}
 			if sum > 1+1e-9 {
-				t.Fatalf("%.6f is leased: %.4f", sum, shares)
+				t.Fatalf("the shares add up to %.6f, want at most 1: %.4f", sum, shares)
 			}
 		}
 		for i, p := range shares {
 			if p < 0.24/float64(relays) {
-				t.Fatalf("%s has %.4f, less than its guaranteed minimum", names[i], p)
+				t.Fatalf("%s has share %.4f, less than its guaranteed minimum", names[i], p)
 			}
 			for j, q := range shares {
 				if demands[i] == demands[j] && (p > q*1.15+0.01 || q > p*1.15+0.01) {
-					t.Fatalf("the same demand, %v, has %.4f and %.4f", demands[i], p, q)
+					t.Fatalf("equal demands of %v got the shares %.4f and %.4f", demands[i], p, q)
 				}
 				if limit > 0 && p > q*1.15+0.01 && q*limit < demands[j]*0.85 && demands[i] <= demands[j] {
-					t.Fatalf("%s needs %v and has %.4f, %s needs %v and has %.4f", names[i], demands[i], p, names[j], demands[j], q)
+					t.Fatalf("%s demands %v and has share %.4f, but %s demands %v and has only %.4f", names[i], demands[i], p, names[j], demands[j], q)
 				}
 			}
 		}
 	})
 }
 
-// TestLease_NewLeader_FormerGrantsCountNoMore: a relay that has heard of a newer leader takes no grant of a former one any more, and the
-// newer one leases nothing until the relay has reported that it has heard of it.
+// TestLease_NewLeader_FormerGrantsCountNoMore: a relay that knows a newer leader rejects grants of a former one, and the newer leader
+// leases nothing to a relay until that has reported the new term.
 func TestLease_NewLeader_FormerGrantsCountNoMore(t *testing.T) {
 	lessee := &Lessee{}
 	grant := func(term uint64) *Grant {
 		return &Grant{Term: term, LeaseNumber: 1, HasShares: true, Minimum: toFloat16(0.1), Shares: EncodeKeyShares([]KeyShare{{Key: 7, Extra: 0.5}})}
 	}
 	if lessee.HandleGrant(time.Second, &Grant{Term: 5, ReportLeased: true}) != nil || lessee.HandleGrant(time.Second, grant(4)) != nil {
-		t.Error("it takes a grant of a leader before one that it has heard of")
+		t.Error("the relay accepted a grant of a former leader")
 	}
 	if s := lessee.HandleGrant(time.Second, grant(5)); s == nil || len(s.Shares) != 1 || s.Shares[0].Extra != 0.5 {
-		t.Errorf("it does not take one of the newest: %+v", s)
+		t.Errorf("the relay got lease %+v from a grant of the newest leader, want one share with Extra 0.5", s)
 	}
 	allocator := NewAllocator(Options{MinimumSum: 0.25, LeaseDuration: 2 * time.Second, ServeAlone: true}, 5, 0)
 	allocator.SetRoster([]string{"a"})
 	demands := EncodeDemands([]Demand{{Key: 7, Rate: 1, Value: 1}})
 	allocator.HandleRequest(time.Millisecond, "a", 1, &Request{NewestTerm: 4, Demands: demands})
 	if a := allocator.Grant(time.Millisecond, time.Millisecond, "a"); !a.ReportLeased || a.HasShares {
-		t.Errorf("it leases to a relay that may yet take a grant of a former leader: %+v", a)
+		t.Errorf("a relay that may still accept a grant of a former leader got %+v, want only ReportLeased", a)
 	}
 	allocator.HandleRequest(time.Second, "a", 1, &Request{NewestTerm: 5, Demands: demands})
 	if a := allocator.Grant(time.Second, time.Second, "a"); a.ReportLeased || !a.HasShares {
-		t.Errorf("it does not lease: %+v", a)
+		t.Errorf("a relay that reported the new term got %+v, want shares", a)
 	}
 }
 
-// TestAllocator_FalseClaim_IsCountedAndGainsNothing: a relay that claims a lease that it can't have is counted as a contradiction, takes
-// nothing from what others truly have beyond one lease, and gains nothing by it.
+// TestAllocator_FalseClaim_IsCountedAndGainsNothing: a report of a former lease that is impossible is counted as a contradiction.
+// Afterwards all relays have equal shares, and the sum never exceeds the limit.
 func TestAllocator_FalseClaim_IsCountedAndGainsNothing(t *testing.T) {
 	allocator := NewAllocator(Options{MinimumSum: 0.25, LeaseDuration: 2 * time.Second}, 9, 0)
 	names := []string{"a", "b", "liar"}
@@ -151,15 +151,15 @@
 			sum += shares[name]
 		}
 		if sum > 1+1e-9 {
-			t.Fatalf("at %v %.3f is leased: %v", now, sum, shares)
+			t.Fatalf("at %v the shares add up to %.3f, want at most 1: %v", now, sum, shares)
 		}
 	}
 	if allocator.Contradictions["liar"] == 0 || len(allocator.Contradictions) != 1 {
-		t.Errorf("named: %v", allocator.Contradictions)
+		t.Errorf("contradictions %v, want them of the relay liar only", allocator.Contradictions)
 	}
 	for _, name := range names {
 		if shares[name] < 0.3 || shares[name] > 0.37 {
-			t.Errorf("%s has %.3f in the end", name, shares[name])
+			t.Errorf("%s has share %.3f in the end, want 0.3 to 0.37", name, shares[name])
 		}
 	}
 }
--- a/internal/relay/fleet/quota/requests.go
+++ b/internal/relay/fleet/quota/requests.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// HandleRequest takes a relay's request. The caller has checked that it is not late, and of the relay's newest incarnation.
+// HandleRequest handles a relay's request. The caller must have checked that it is not late and is from the relay's newest incarnation.
 func (l *Allocator) HandleRequest(now time.Duration, name string, incarnation uint64, r *Request) {
 	relay := l.relays[name]
 	if relay == nil {
@@ -21,15 +21,15 @@
 	relay.heardAt = now
 	relay.zone = r.Zone
 	relay.updateDemands(now, r)
-	mine := r.NewestTerm == l.term                                                 // otherwise a grant of a former leader may still be in flight
-	if l.options.ServeAlone && !relay.reported && relay.firstIncarnation && mine { // its minimum never expires
+	knowsTerm := r.NewestTerm == l.term                                                 // before that the relay may still accept a grant of a former leader
+	if l.options.ServeAlone && !relay.reported && relay.firstIncarnation && knowsTerm { // its minimum does not expire
 		relay.lastingMinimum = max(relay.lastingMinimum, toUnits(fromFloat16(r.Minimum)))
 	}
 	switch {
 	case r.LeaseTerm == l.term && r.LeaseNumber != 0:
 		relay.confirm(r.LeaseNumber)
-	case !mine:
-	case r.LeaseNumber == 0: // it has none
+	case !knowsTerm:
+	case r.LeaseNumber == 0: // it has no lease
 		relay.reported = true
 	case !relay.reported && now >= l.startedAt+l.options.LeaseDuration: // its former leases have expired
 		relay.reported = true
@@ -40,14 +40,14 @@
 	l.updateBound(relay, now)
 }
 
-// restart takes over a new incarnation of a relay. Leases of the former one may still run, and expire by its own clock.
+// restart replaces the incarnation of a relay. The former incarnation may still run, and use its leases until they expire.
 func (relay *relayState) restart(incarnation uint64) {
 	relay.formerLeases, relay.leases = append(relay.formerLeases, relay.leases...), nil
 	relay.incarnation, relay.reported, relay.firstIncarnation = incarnation, false, false
 	relay.lastLease++
 }
 
-// updateDemands takes over the demands of a request; one without any, or whose demands can't be decoded, changes nothing.
+// updateDemands replaces the demands by those of a request. A request without demands, or with demands that can't be decoded, is ignored.
 func (relay *relayState) updateDemands(now time.Duration, r *Request) {
 	if r.NoDemand {
 		relay.demands, relay.demandsAt = nil, now
@@ -63,7 +63,7 @@
 	}
 }
 
-// confirm records that the lease of that number is in force at the relay, and none before it.
+// confirm records that the relay's core has applied the lease with a number in place of all before it.
 func (relay *relayState) confirm(number uint64) {
 	relay.leases = slices.DeleteFunc(relay.leases, func(l lease) bool { return l.number < number })
 	relay.reported, relay.confirmedLease = true, number
@@ -72,9 +72,9 @@
 	}
 }
 
-// adoptFormerLease takes over the lease that a relay reports from a former leader, until it has surely expired. All leases were
-// granted within 1 in all; a report beyond that can't be true and is counted as a contradiction of the relay's. Then nothing of that
-// key is available (see available), and all relays fall back to their guaranteed minimums of it until those leases expire.
+// adoptFormerLease counts the lease that a relay reports from a former term until it has expired. The sum of all former leases was at most
+// 1: a report beyond that is wrong and counted as a contradiction of the relay. Until such leases expire, nothing of the key is available
+// (see available), and all relays fall back to their guaranteed minimums.
 func (l *Allocator) adoptFormerLease(now time.Duration, relay *relayState, r *Request) {
 	shares, err := DecodeKeyShares(r.LeasedShares)
 	if err != nil {
@@ -88,5 +88,5 @@
 		}
 		former.shares[share.Key] = units
 	}
-	relay.formerLeases = append(relay.formerLeases, former) // in force there until it has another; it ends when the former lease does
+	relay.formerLeases = append(relay.formerLeases, former) // the relay may use the former lease until that expires or is replaced
 }
--- a/internal/relay/fleet/quota/verdict.go
+++ b/internal/relay/fleet/quota/verdict.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// limitReport is a limit that a destination has reported to a relay.
+// limitReport is a limit that a destination reported to a relay.
 type limitReport struct {
 	limit float64
 	at    time.Duration
 }
 
-// observe takes over the newest limits and waits that relays report.
+// observe updates the limit and the wait from the relays' demands.
 func (p *keyState) observe(key Key, relays []*relayState) {
 	var reports []limitReport
-	healthyAt := -time.Hour // when the newest call that was delivered had been sent, to anyone
+	healthyAt := -time.Hour // when the newest delivered call of any relay was sent
 	for _, relay := range relays {
 		demand := relay.demands[key]
 		if demand.Limit > 0 && demand.LimitAge < 254*ageUnit {
@@ -28,14 +28,14 @@
 	p.observeLimits(reports)
 	p.waitUntil = 0
 	for _, relay := range relays {
-		if demand := relay.demands[key]; demand.Wait > 0 && healthyAt < relay.demandsAt { // nothing that was sent since contradicts it
+		if demand := relay.demands[key]; demand.Wait > 0 && healthyAt < relay.demandsAt { // unless a delivered call was sent since
 			p.waitUntil = max(p.waitUntil, relay.demandsAt+min(demand.Wait, maxReportedWait))
 		}
 	}
 }
 
-// observeLimits takes over the median of the three freshest limits, of two the fresher: no single relay of three can make all others send
-// more, or less.
+// observeLimits sets the limit to the median of the three newest reports, or to the newest of fewer. So a single wrong report among three
+// has no effect on the others.
 func (p *keyState) observeLimits(reports []limitReport) {
 	if len(reports) == 0 {
 		return
@@ -55,27 +55,27 @@
 	p.limit = three[1].limit
 }
 
-// witnesses are what the relays of one zone have lately seen of a destination.
-type witnesses struct {
-	down, healthy     int           // relays
-	downAt, healthyAt time.Duration // of the newest evidence
-	lastDown          *relayState   // nil: none
+// zoneEvidence is the recent evidence of a zone's relays on a destination.
+type zoneEvidence struct {
+	down, healthy     int           // number of relays
+	downAt, healthyAt time.Duration // when the call of the newest evidence was sent
+	lastDown          *relayState   // the last relay that reported it down; nil: none
 }
 
-// evidence is what all relays have lately seen of a destination.
+// evidence is the recent evidence of all relays on a destination.
 type evidence struct {
-	zones         map[int]*witnesses
-	down, healthy int // relays
-	zonesDown     int // zones with a relay that sees it down
+	zones         map[int]*zoneEvidence
+	down, healthy int // number of relays
+	zonesDown     int // number of zones with a relay that reports it down
 }
 
-// collectEvidence counts the witnesses whose evidence is not too old.
+// collectEvidence counts the relays with recent evidence.
 func collectEvidence(now time.Duration, key Key, relays []*relayState) evidence {
-	all := evidence{zones: map[int]*witnesses{}}
+	all := evidence{zones: map[int]*zoneEvidence{}}
 	for _, relay := range relays {
 		demand, zone := relay.demands[key], all.zones[relay.zone]
 		if zone == nil {
-			zone = &witnesses{downAt: -1 << 62, healthyAt: -1 << 62}
+			zone = &zoneEvidence{downAt: -1 << 62, healthyAt: -1 << 62}
 			all.zones[relay.zone] = zone
 		}
 		switch at := relay.demandsAt - demand.StateAge; {
@@ -93,12 +93,12 @@
 	return all
 }
 
-// verdict is the state of a destination for the relays of a zone, and when the newest evidence for that was sent.
-func (e *evidence) verdict(zone *witnesses) (State, time.Duration) {
+// verdict returns the verdict on a destination for a zone, and when the call of the newest evidence for it was sent.
+func (e *evidence) verdict(zone *zoneEvidence) (State, time.Duration) {
 	switch {
 	case zone.down >= 2 && zone.down > 2*zone.healthy, e.zonesDown >= 2 && zone.healthy == 0 && e.down > 2*e.healthy:
 		at := zone.downAt
-		if zone.down == 0 { // by witnesses of other zones
+		if zone.down == 0 { // the evidence is from other zones only
 			for _, other := range e.zones {
 				at = max(at, other.downAt)
 			}
@@ -110,10 +110,10 @@
 	return Unseen, 0
 }
 
-// judge decides for each zone's relays whether a destination is down. What one relay sees may be its own link, and what one zone sees may be
-// that zone's: a verdict takes two witnesses in the zone that it is for, or witnesses in two zones and none there who contradicts them.
-// Evidence ages out; a relay's own counts for it before any verdict.
-func (l *Allocator) judge(now time.Duration, key Key, state *keyState, relays []*relayState) {
+// updateVerdicts decides for each zone whether a destination is down. The evidence of a single relay or zone may be a fault of its own
+// network. So a zone's verdict needs two relays in that zone, or relays in two zones and no delivery in that zone. Evidence expires, and a
+// relay's own evidence has priority over a verdict.
+func (l *Allocator) updateVerdicts(now time.Duration, key Key, state *keyState, relays []*relayState) {
 	all := collectEvidence(now, key, relays)
 	for zone, seen := range all.zones {
 		before := state.verdicts[zone]
@@ -139,7 +139,7 @@
 	l.assignProbes(now, key, state, relays)
 }
 
-// assignProbes decides which relay probes a destination that is down, one per zone. The turn rotates, so that a dead relay costs one turn.
+// assignProbes selects one relay per zone to probe a destination that is down. The relays take turns, so that a crashed one costs one turn.
 func (l *Allocator) assignProbes(now time.Duration, key Key, state *keyState, relays []*relayState) {
 	if now < state.probeTurnEnds {
 		return
@@ -167,7 +167,7 @@
 	}
 }
 
-// keyShare is what a relay learns of a key beside its share.
+// keyShare returns the fleet's information on a key for a relay, without the relay's share.
 func (l *Allocator) keyShare(now time.Duration, relay *relayState, key Key) KeyShare {
 	share := KeyShare{Key: key}
 	state := l.keys[key]
--- a/internal/relay/fleet/simulation/disk.go
+++ b/internal/relay/fleet/simulation/disk.go
@@ -6,7 +6,7 @@
 	"mastusher/internal/relay/fleet/consensus"
 )
 
-// disk is what a relay has saved: the consensus image, the member id and the process generation.
+// disk is the saved state of a relay: the consensus image, the member id and the generation.
 type disk struct {
 	generation, member uint64
 	image              consensus.Image
