--- a/internal/relay/fleet/checker/check.go
+++ b/internal/relay/fleet/checker/check.go
@@ -157,7 +157,7 @@
 	}
 	for i, entry := range history {
 		if entry.Kind == Accepted && c.outcomes[entry.ID] == "" {
-			return &BreachError{SingleOutcome, entry, "message " + entry.ID + " was accepted and has no outcome", i}
+			return &BreachError{SingleOutcome, entry, entry.ID + " was accepted and has no outcome", i}
 		}
 	}
 	return nil
@@ -194,8 +194,8 @@
 	return "", ""
 }
 
-// worstExcess returns the index of the entry at which a history exceeds the bound the most, and by how many calls; 0: nowhere. It simulates
-// a leaky bucket of size Burst that drains at Rate, which overflows exactly in the histories that exceed the bound.
+// worstExcess returns the index of the entry at which a history exceeds the bound the most, and the excess in calls, 0 for none. It
+// simulates a leaky bucket of size Burst that drains at Rate, which overflows exactly in the histories that exceed the bound.
 func (b *Bound) worstExcess(history []Entry) (index int, excess float64) {
 	level, last := 0.0, time.Duration(0)
 	for i, entry := range history {
@@ -222,9 +222,9 @@
 	return entry.At >= b.From && entry.At <= b.Until
 }
 
-// StaleActs counts the acts under a version after another relay acted under a newer one, and returns the longest time between the two. They
-// are the cost of letting partitioned relays serve.
-func StaleActs(history []Entry) (count int, longest time.Duration) {
+// CountStaleActs counts the acts under a version after another relay acted under a newer one, and returns the longest time between the two.
+// They are the cost of letting partitioned relays serve.
+func CountStaleActs(history []Entry) (count int, longest time.Duration) {
 	supersededAt := map[uint64]time.Duration{} // when a relay first acted under a newer version
 	newest := uint64(0)
 	for _, entry := range sortByTime(history) {
--- a/internal/relay/fleet/checker/check_test.go
+++ b/internal/relay/fleet/checker/check_test.go
@@ -59,7 +59,7 @@
 
 func TestStale_ActsUnderOldVersion_CountFromTheFirstUnderNewer(t *testing.T) {
 	history := []Entry{{At: 1, Kind: Acted, Relay: "a"}, {At: 5, Kind: Acted, Relay: "b", Version: 2}, {At: 7, Kind: Acted, Relay: "a"}, {At: 9, Kind: Acted, Relay: "a"}}
-	if count, longest := StaleActs(history); count != 2 || longest != 4 {
+	if count, longest := CountStaleActs(history); count != 2 || longest != 4 {
 		t.Errorf("%d stale acts for up to %v, want 2 for up to 4ns", count, longest)
 	}
 }
--- a/internal/relay/fleet/consensus/image.go
+++ b/internal/relay/fleet/consensus/image.go
@@ -16,7 +16,8 @@
 	Entries   [][]byte `cbor:"3,keyasint,omitempty"` // raftpb.Entry, encoded, in order; one replaces all earlier ones from its index on
 	Complete  bool     `cbor:"4,keyasint,omitempty"` // it replaces the log on disk
 
-	// Remembered is the newest log position that each other member, by id, has shown. A member that lost entries learns that from it.
+	// Remembered is the newest log position that each other member, by id, has shown. By it a member whose disk lost entries can detect
+	// that.
 	Remembered map[uint64]LogPosition `cbor:"5,keyasint,omitempty"`
 }
 
--- a/internal/relay/fleet/consensus/members.go
+++ b/internal/relay/fleet/consensus/members.go
@@ -12,12 +12,12 @@
 // memberNames are the names of the members' relays by member id. They are encoded in the context of a configuration change.
 type memberNames map[uint64]string
 
-// AddLearner proposes to add a learner for the relay with a name, and to remove the members in old.
+// AddLearner proposes to add learner id for the relay called name, and to remove the members in old.
 func (e *Engine) AddLearner(id uint64, name string, old []uint64) error {
 	return e.proposeConfChange(memberNames{id: name}, raftpb.ConfChangeAddLearnerNode, id, old)
 }
 
-// Promote proposes to make the learner of the relay with a name a voter.
+// Promote proposes to make learner id, of the relay called name, a voter.
 func (e *Engine) Promote(id uint64, name string) error {
 	return e.proposeConfChange(memberNames{id: name}, raftpb.ConfChangeAddNode, id, nil)
 }
--- a/internal/relay/fleet/node/message.go
+++ b/internal/relay/fleet/node/message.go
@@ -55,7 +55,7 @@
 	Member      uint64   `cbor:"9,keyasint,omitempty"` // id of a voter, or of a relay that is to become one
 	Term        uint64   `cbor:"10,keyasint,omitempty"`
 	LastIndex   uint64   `cbor:"11,keyasint,omitempty"`
-	Forwarded   bool     `cbor:"12,keyasint,omitempty"` // by a voter; if it comes from the sender itself it only reports a log position
+	Forwarded   bool     `cbor:"12,keyasint,omitempty"` // by a voter; if the sender itself sets it, the request only reports a log position
 
 	QuotaRequest *quota.Request `cbor:"13,keyasint,omitempty"` // nil: the sender shares no limits
 }
--- a/internal/relay/fleet/peer/share.go
+++ b/internal/relay/fleet/peer/share.go
@@ -119,8 +119,8 @@
 	f.core.GrantQuota(limits, Times{f.startedAt}.At(lease.Expires), func() { f.post(node.Event{ConfirmedLease: &confirmed}) })
 }
 
-// sharedLimits converts a lease received ago earlier to limits for the core, with ages and waits as of now. It omits shares of keys that
-// this relay has not observed.
+// sharedLimits converts a lease, given the time since it was received, to limits for the core. Ages and waits are as of now. Shares of keys
+// that this relay has not observed are omitted.
 func sharedLimits(lease *quota.Lease, keys map[quota.Key]observedKey, ago time.Duration) control.SharedLimits {
 	limits := control.SharedLimits{GuaranteedShare: lease.Minimum, KeepsGuaranteed: lease.MinimumLasts}
 	for _, share := range lease.Shares {
--- a/internal/relay/fleet/policy/state.go
+++ b/internal/relay/fleet/policy/state.go
@@ -13,7 +13,7 @@
 	None     Phase = iota
 	Proposed       // relays check whether they can apply it, and act under the old version
 	Checked        // each relay can apply it, or can't act since it has no lease
-	Decided        // relays that know of it have halted or will halt: nobody acts under the old version once the new one is in force
+	Decided        // relays that know the decision halt, so that the old version ends before the new one starts
 )
 
 // String returns the name of the phase for operators and logs.
@@ -69,10 +69,10 @@
 	Ticket     uint64   `cbor:"7,keyasint,omitempty" json:"-"`
 }
 
-// The number of past changes that are remembered, newest first: the size of the state must be bounded.
+// Bounds on the past changes that are remembered, of which the newest are kept: the state must not grow with the number of changes.
 const (
-	maxPastChanges   = 32
-	maxLostProposals = 8 // maximum among them without a version
+	maxPastChanges   = 32 // in all
+	maxLostProposals = 8  // among them, those without a version
 )
 
 // State is the replicated state of a fleet. Version 0 stands for each relay's own configuration.
--- a/internal/relay/fleet/quota/lessee.go
+++ b/internal/relay/fleet/quota/lessee.go
@@ -26,8 +26,8 @@
 	MinimumLasts bool          // the guaranteed minimum does not expire
 }
 
-// HandleGrant handles a grant that came with a relay lease until a time; the grant may be nil. It returns the lease for the core, or nil if
-// the core's lease stays: the grant has no lease, is late or from a former leader, or can't be decoded.
+// HandleGrant handles a grant, which may be nil, that came with a relay lease that ends at until. It returns the lease for the core, or nil
+// if the core's lease stays: the grant has no lease, is late or from a former leader, or can't be decoded.
 func (p *Lessee) HandleGrant(until time.Duration, grant *Grant) *Lease {
 	switch {
 	case grant == nil || grant.Term < p.newestTerm || grant.Term == p.term && grant.LeaseNumber != 0 && grant.LeaseNumber < p.number:
--- a/internal/relay/fleet/quota/requests.go
+++ b/internal/relay/fleet/quota/requests.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// adoptFormerLease counts the lease that a relay reports from a former term until it has expired. The sum of all former leases was at most
-// 1: a report beyond that is wrong and counted as a contradiction of the relay. Until such leases expire, nothing of the key is available
-// (see available), and all relays fall back to their guaranteed minimums.
+// adoptFormerLease treats the lease that a relay reports from a former term as leased until it has expired. The sum of all former leases
+// was at most 1: a report beyond that is wrong and counted as a contradiction of the relay. Until such leases expire, nothing of the key is
+// available (see available), and all relays fall back to their guaranteed minimums.
 func (l *Allocator) adoptFormerLease(now time.Duration, relay *relayState, r *Request) {
 	shares, err := DecodeKeyShares(r.LeasedShares)
 	if err != nil {
--- a/internal/relay/fleet/simulation/crash_test.go
+++ b/internal/relay/fleet/simulation/crash_test.go
@@ -29,14 +29,14 @@
 			t.Run(fmt.Sprint(target, " ", p), func(t *testing.T) {
 				options := faultlessOptions(7, 3, uint64(p)+100)
 				world := formedWorld(t, options)
-				leader, proposer := world.leader(t), world.Relays[5]
+				leaderRelay, proposer := world.leader(t), world.Relays[5]
 				ticket := world.Propose(proposer, 0, `{"format":1,"stamp":true}`)
 				var crashed []*Relay
 				if target != "leader" {
 					crashed = append(crashed, proposer)
 				}
 				if target != "proposer" {
-					crashed = append(crashed, leader)
+					crashed = append(crashed, leaderRelay)
 				}
 				if p == policy.None {
 					world.Run(ms)
--- a/internal/relay/fleet/simulation/scenario_test.go
+++ b/internal/relay/fleet/simulation/scenario_test.go
@@ -295,8 +295,8 @@
 	}
 }
 
-// TestVoter_RestoredFromEmptyDisk_Rejoins: a voter rejoins after it is restored from a disk from before it joined, which has no log. Seed
-// 10908 of Random found that such a voter may fail to rejoin.
+// TestVoter_RestoredFromEmptyDisk_Rejoins: a voter rejoins after it is restored from a disk from before it joined, which has no log, as
+// with seed 10908 of Random.
 func TestVoter_RestoredFromEmptyDisk_Rejoins(t *testing.T) {
 	for seed := range uint64(6) {
 		world := New(faultlessOptions(3, 3, 500+seed))
