--- a/internal/relay/fleet/testcluster/errors.go
+++ b/internal/relay/fleet/testcluster/errors.go
@@ -15,7 +15,7 @@
 // Error names the scenario and the key.
 func (e *ScenarioKeyError) Error() string {
 	if e.Reason == "" {
-		return fmt.Sprintf("scenario %s: key %s is unknown", e.Scenario, e.Key)
+		return fmt.Sprintf("scenario %s: key %s is not known", e.Scenario, e.Key)
 	}
 	return fmt.Sprintf("scenario %s: key %s: %s", e.Scenario, e.Key, e.Reason)
 }
