--- a/cmd/mastusher/capture.go
+++ b/cmd/mastusher/capture.go
@@ -19,16 +19,16 @@
 	"mastusher/internal/relay/engine"
 )
 
-// recorder starts and stops captures of a running core.
+// recorder starts and stops captures of the running core's decisions.
 type recorder struct {
-	cfg  *config.Config
-	core *engine.Core
-	log  *slog.Logger
-	mu   sync.Mutex
-	on   *capture.Recorder
+	cfg     *config.Config
+	core    *engine.Core
+	log     *slog.Logger
+	mu      sync.Mutex
+	current *capture.Recorder
 }
 
-// start begins a capture, unless one is under way.
+// start begins a capture, unless one is already running.
 func (r *recorder) start() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -37,42 +37,42 @@
 	case c.Dir == "":
 		r.log.Warn("capture not started, configuration has no capture.dir")
 		return
-	case r.on != nil && r.on.Err() == nil:
+	case r.current != nil && r.current.Err() == nil:
 		r.log.Info("capture already running", "dir", c.Dir)
 		return
 	}
-	on, err := capture.New(c.Dir, r.core.Begin(r.cfg.Name, build()), capture.Limits{Queue: r.cfg.Limits.CaptureQueue,
+	started, err := capture.New(c.Dir, r.core.Begin(r.cfg.Name, build()), capture.Limits{Queue: r.cfg.Limits.CaptureQueue,
 		Chunk: r.cfg.Limits.CaptureChunk, Within: r.cfg.Limits.CaptureWithin, FileSize: c.FileSize, DirSize: c.DirSize}, r.log)
 	if err != nil {
 		r.log.Error("capture not started", "err", err)
 		return
 	}
-	r.on = on
-	r.core.Record(on)
+	r.current = started
+	r.core.Record(started)
 	r.log.Info("capture started", "dir", c.Dir)
 }
 
-// stop ends the capture that is under way. While the core runs it closes the recorder itself.
+// stop ends the running capture, if any. A running core closes the capture's recorder itself.
 func (r *recorder) stop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.on != nil {
+	if r.current != nil {
 		r.core.Record(nil)
-		r.on = nil
+		r.current = nil
 	}
 }
 
-// close ends it once the core has stopped.
+// close closes the recorder of the running capture, if any. It must be called after the core has stopped.
 func (r *recorder) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.on != nil {
-		r.on.Close()
-		r.on = nil
+	if r.current != nil {
+		r.current.Close()
+		r.current = nil
 	}
 }
 
-// build names the program for a capture: its version and the revision that it was built from.
+// build identifies the program in a capture: its version and the VCS revision that it was built from.
 func build() string {
 	text := version
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -85,7 +85,7 @@
 	return text
 }
 
-// captureCommand has a running relay start and stop captures, by signals, and looks at captures.
+// captureCommand starts and stops captures in a running relay by signals, and summarizes capture files.
 func captureCommand(o *options) *cobra.Command {
 	root := &cobra.Command{Use: "capture", Short: "switch the recording of decisions in a running relay, and look at captures"}
 	root.AddCommand(captureSignalCommand(o, "start", "have a relay record from now on (SIGUSR1)", syscall.SIGUSR1),
@@ -94,7 +94,7 @@
 			RunE: func(cmd *cobra.Command, args []string) error {
 				for _, file := range args {
 					if err := captureInfo(cmd.OutOrStdout(), file); err != nil {
-						return workError{fmt.Errorf("%s: %w", file, err)}
+						return operationError{fmt.Errorf("%s: %w", file, err)}
 					}
 				}
 				return nil
@@ -102,16 +102,16 @@
 	return root
 }
 
-// captureSignalCommand is a command that sends a relay the signal that starts or stops a capture.
+// captureSignalCommand returns a command that sends a running relay the signal that starts or stops a capture.
 func captureSignalCommand(o *options, use, short string, signal syscall.Signal) *cobra.Command {
 	var pid int
 	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		cfg, err := config.Load(o.file, os.Getenv)
 		if err != nil {
-			return workError{err}
+			return operationError{err}
 		}
-		if cfg.Capture.Dir == "" { // the signal would end a relay that knows nothing of captures
-			return workError{config.NewKeyError("capture.dir", "missing: where captures go")}
+		if cfg.Capture.Dir == "" { // a relay without capture.dir would be killed by the signal
+			return operationError{config.NewKeyError("capture.dir", "missing: where captures go")}
 		}
 		return sendSignal(pid, signal)
 	}}
@@ -119,21 +119,21 @@
 	return cmd
 }
 
-// pidFlag adds the flag that names a running relay.
+// pidFlag adds the required flag for the process ID of a running relay.
 func pidFlag(cmd *cobra.Command, pid *int) {
 	cmd.Flags().IntVar(pid, "pid", 0, "process of the relay")
 	_ = cmd.MarkFlagRequired("pid")
 }
 
-// sendSignal sends a running relay a signal.
+// sendSignal sends a signal to a running relay.
 func sendSignal(pid int, signal syscall.Signal) error {
 	if err := syscall.Kill(pid, signal); err != nil {
-		return workError{fmt.Errorf("--pid %d: %w", pid, err)}
+		return operationError{fmt.Errorf("--pid %d: %w", pid, err)}
 	}
 	return nil
 }
 
-// readCapture opens a capture and hands it to do.
+// readCapture opens a capture file and calls do with its reader.
 func readCapture(file string, do func(*capture.Reader) error) error {
 	f, err := os.Open(file)
 	if err != nil {
@@ -147,14 +147,14 @@
 	return do(reader)
 }
 
-// captureSummary counts what a capture holds.
+// captureSummary counts the contents of a capture.
 type captureSummary struct {
 	begin                                 capture.Begin
 	chunks, turns, events, messages, gaps int
-	first, last                           time.Duration // of its turns, on the module's clock
+	first, last                           time.Duration // times of the first and last turn, on the decision module's clock
 }
 
-// add counts a record.
+// add counts one record.
 func (s *captureSummary) add(record any) error {
 	switch record := record.(type) {
 	case *capture.Begin:
@@ -174,7 +174,7 @@
 	return nil
 }
 
-// print prints the counts with the relay and the time that they are of.
+// print prints the counts, the relay, its build, and the time and duration of the capture.
 func (s *captureSummary) print(out io.Writer, file string) {
 	at := time.UnixMicro(s.begin.At).Add(s.first - s.begin.Clock).UTC()
 	fmt.Fprintf(out, "%s: relay %s, build %s\n  from %s for %v; %d turns, %d events, %d messages, %d gaps in %d chunks\n", file, s.begin.Relay,
@@ -182,7 +182,7 @@
 		s.gaps, s.chunks)
 }
 
-// captureInfo prints what a capture holds, and why reading it ended early.
+// captureInfo prints a summary of a capture and, if it could not be read to its end, why.
 func captureInfo(out io.Writer, file string) error {
 	return readCapture(file, func(reader *capture.Reader) error {
 		var summary captureSummary
--- a/cmd/mastusher/counts.go
+++ b/cmd/mastusher/counts.go
@@ -16,17 +16,17 @@
 	"mastusher/internal/relay/fleet/quota"
 )
 
-// countsView is what a fleet has counted, as JSON.
+// countsView is the JSON form of a fleet's counters.
 type countsView struct {
 	Relays       int                          `json:"relays"`
 	Incarnations int                          `json:"lives"`
 	Oldest       time.Duration                `json:"oldest_ns"`
 	Silent       string                       `json:"silent,omitempty"`
 	Counts       map[string]map[string]uint64 `json:"counts"`            // by class, tenant or partner, then by counter
-	Unnamed      int                          `json:"unnamed,omitempty"` // counters of names that this relay's settings don't have
+	Unnamed      int                          `json:"unnamed,omitempty"` // number of counters whose names are not in this relay's settings
 }
 
-// countsCommand shows what all relays of a fleet have counted.
+// countsCommand prints the sums of the counters of all relays of a fleet.
 func countsCommand(t *fleetTool) *cobra.Command {
 	return &cobra.Command{Use: "counts", Short: "what all relays have taken on, refused, repeated and ended, by class, tenant and partner", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -34,16 +34,16 @@
 			if err != nil {
 				return err
 			}
-			st, err := t.once(cmd, "counts")
+			st, err := t.query(cmd, "counts")
 			if err != nil {
 				return err
 			}
 			if st.Totals == nil {
-				return workError{errNotShared}
+				return operationError{errNotShared}
 			}
 			v, err := countsOf(cfg, st.Totals)
 			if err != nil {
-				return workError{err}
+				return operationError{err}
 			}
 			if t.json {
 				return writeJSON(cmd.OutOrStdout(), v)
@@ -52,7 +52,7 @@
 		}}
 }
 
-// print prints the counters as a table, and how many relays and incarnations they are of.
+// print prints the counters as a table, followed by the number of relays and incarnations that reported them.
 func (v *countsView) print(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprint(table, "of")
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// countsOf gives the counters their names: those that this relay's settings have.
+// countsOf maps the fleet's counters, which are keyed by hashes, to the names in this relay's settings.
 func countsOf(cfg *config.Config, totals *quota.Totals) (*countsView, error) {
 	counters, err := quota.DecodeCounters(totals.Counters)
 	if err != nil {
@@ -105,7 +105,7 @@
 	return v, nil
 }
 
-// countedSubjects returns what has counters of its own: classes, tenants and partners.
+// countedSubjects returns the classes, tenants and partners that have counters.
 func countedSubjects(cfg *config.Config) (subjects []string) {
 	for i := range cfg.Settings.Classes {
 		subjects = append(subjects, "class "+cfg.Settings.Classes[i].Name)
--- a/cmd/mastusher/daemon_test.go
+++ b/cmd/mastusher/daemon_test.go
@@ -12,11 +12,11 @@
 	"mastusher/internal/relay/standin"
 )
 
-// minimalConfig is a configuration that serves, where STATE is replaced by a folder.
+// minimalConfig is the smallest configuration that the relay serves with. STATE must be replaced by a directory.
 const minimalConfig = `{"listen": "127.0.0.1:1", "state": "STATE", "discovery": "127.0.0.1:1", "settings": {"peers_total": 1,
   "allowed": {"max_attempts": 6}, "family_info": {"workers": 4}, "lanes": [{"name": "match-event", "deadline": 1000000}]}}`
 
-// TestMain lets the tests start this program as a process of its own, to be killed.
+// TestMain runs the test binary as the relay if MASTUSHER_TEST_RUN is set, so that tests can kill it as a separate process.
 func TestMain(m *testing.M) {
 	if os.Getenv("MASTUSHER_TEST_RUN") != "" {
 		os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
@@ -24,7 +24,7 @@
 	os.Exit(m.Run())
 }
 
-// writeFile writes a file that only this user may read.
+// writeFile writes a file with permissions for the owner only.
 func writeFile(t *testing.T, file string, text []byte) {
 	t.Helper()
 	if err := os.WriteFile(file, text, 0o600); err != nil {
@@ -32,7 +32,7 @@
 	}
 }
 
-// runCommandLine runs a command line in this process and returns what it prints. It must exit with want.
+// runCommandLine runs a command line in this process and returns its output. The exit code must be want.
 func runCommandLine(t *testing.T, want int, args ...string) string {
 	t.Helper()
 	var out bytes.Buffer
@@ -42,7 +42,7 @@
 	return out.String()
 }
 
-// freeUDPAddress is an address on loopback that nobody listens at now.
+// freeUDPAddress returns an unused UDP address on loopback.
 func freeUDPAddress(t *testing.T) string {
 	t.Helper()
 	address, err := standin.FreeUDPAddress()
@@ -52,7 +52,7 @@
 	return address
 }
 
-// freeAddress is a TCP address on loopback that nobody listens at now.
+// freeAddress returns an unused TCP address on loopback.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	address, err := standin.FreeAddress()
@@ -62,22 +62,22 @@
 	return address
 }
 
-// daemon is the relay as a process of its own.
+// daemon is a relay that runs as a separate process.
 type daemon struct {
 	*exec.Cmd
-	address   string
-	discovery string
-	known     string // the endpoint list of its configuration
+	address      string
+	discovery    string
+	endpointList string // the endpoint list in its configuration
 }
 
-// start starts the relay, and waits until it takes messages.
+// start starts the relay and waits until it accepts messages.
 func (d *daemon) start(t *testing.T, file string) {
 	t.Helper()
 	d.launch(t, file)
 	d.awaitServing(t)
 }
 
-// awaitServing waits until the relay takes messages.
+// awaitServing waits until the relay accepts messages.
 func (d *daemon) awaitServing(t *testing.T) {
 	t.Helper()
 	if !standin.WaitUntilServing(t.Context(), d.address) {
@@ -85,7 +85,7 @@
 	}
 }
 
-// launch starts the relay, and does not wait until it takes messages.
+// launch starts the relay without waiting until it accepts messages.
 func (d *daemon) launch(t *testing.T, file string) {
 	t.Helper()
 	d.prepare(file, "--log-format", "json")
@@ -96,13 +96,13 @@
 	d.run(t)
 }
 
-// prepare makes the command that serves with a configuration, to be run.
+// prepare creates, without starting it, the command that runs the relay with a configuration.
 func (d *daemon) prepare(file string, flags ...string) {
 	d.Cmd = exec.Command(os.Args[0], append([]string{"serve", "--config", file}, flags...)...)
 	d.Env = append(os.Environ(), "MASTUSHER_TEST_RUN=1")
 }
 
-// run starts the command, which ends with the test.
+// run starts the command. The process is killed at the end of the test.
 func (d *daemon) run(t *testing.T) {
 	t.Helper()
 	if err := d.Start(); err != nil {
@@ -111,20 +111,20 @@
 	t.Cleanup(d.kill)
 }
 
-// kill kills the relay, and waits for its end.
+// kill kills the relay and waits until the process has ended.
 func (d *daemon) kill() {
 	_ = d.Process.Kill()
 	_ = d.Wait()
 }
 
-// lanes are settings with one class of messages.
-const lanes = `"limits": {"disk_mb": 3}, "settings": {"peers_total": 1, "round": 5000, "machine_types": ["club-sites"], "localities": ["a"],
+// classSettings are settings with one message class.
+const classSettings = `"limits": {"disk_mb": 3}, "settings": {"peers_total": 1, "round": 5000, "machine_types": ["club-sites"], "localities": ["a"],
   "allowed": {"max_attempts": 6, "cancel": true, "max_open": 100, "retry_after": true, "max_retry_after": 3000000}, "family_info": {"workers": 8},
   "lanes": [{"name": "match-event", "effect": "token", "group": "all", "memory_span": 60000000, "aim": 30000000, "deadline": 60000000, "worth": 1}]}`
 
-// stage sets up a relay with n endpoints and discovery around it; more is what else its configuration has. The relay is
-// not started yet.
-func stage(t *testing.T, dir string, n int, answer func(standin.Arrival) httpwire.Answer, more string) (d *daemon, file, text string) {
+// newTestRelay sets up a relay with n endpoints and a discovery service, without starting it. The keys in more are added to its
+// configuration.
+func newTestRelay(t *testing.T, dir string, n int, answer func(standin.Arrival) httpwire.Answer, more string) (d *daemon, file, text string) {
 	t.Helper()
 	endpoints, err := standin.NewEndpoints(n, answer)
 	if err != nil {
@@ -136,16 +136,16 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(discovery.Close)
-	d = &daemon{address: freeAddress(t), discovery: discovery.Address, known: endpoints.Snapshot("club-sites", "a")}
-	file, text = d.writeConfig(t, dir, more+", "+lanes)
+	d = &daemon{address: freeAddress(t), discovery: discovery.Address, endpointList: endpoints.Snapshot("club-sites", "a")}
+	file, text = d.writeConfig(t, dir, more+", "+classSettings)
 	return d, file, text
 }
 
-// writeConfig writes the relay's configuration into dir, with a state folder there; more is what it has beside addresses and endpoint list.
+// writeConfig writes the relay's configuration and state directory into dir. The keys in more are added to addresses and endpoint list.
 func (d *daemon) writeConfig(t *testing.T, dir, more string) (file, text string) {
 	t.Helper()
 	state := filepath.Join(dir, "state")
-	text = fmt.Sprintf(`{"name": "t", "listen": %q, "discovery": %q, "state": %q, "known": %s, %s}`, d.address, d.discovery, state, d.known, more)
+	text = fmt.Sprintf(`{"name": "t", "listen": %q, "discovery": %q, "state": %q, "known": %s, %s}`, d.address, d.discovery, state, d.endpointList, more)
 	file = filepath.Join(dir, "config.json")
 	if err := os.MkdirAll(state, 0o700); err != nil {
 		t.Fatal(err)
--- a/cmd/mastusher/errors.go
+++ b/cmd/mastusher/errors.go
@@ -5,31 +5,31 @@
 	"fmt"
 )
 
-// workError is a fault of the work and not of the command line: exit code 1, where that is 2.
-type workError struct{ error }
+// operationError is a failure of what a valid command line asks for: exit code 1.
+type operationError struct{ error }
 
-// Unwrap returns the fault.
-func (e workError) Unwrap() error { return e.error }
+// Unwrap returns the cause.
+func (e operationError) Unwrap() error { return e.error }
 
-// notYetError is a change that is not over when nobody waits any longer: exit code 3.
-type notYetError struct{ error }
+// changePendingError reports that a change was not over when the wait for it timed out: exit code 3.
+type changePendingError struct{ error }
 
-// argumentError is a fault of the command line in one argument: exit code 2.
+// argumentError reports an invalid argument of the command line: exit code 2.
 type argumentError struct {
-	argument string // a flag, or a command
+	argument string // flag or command
 	reason   string
 }
 
 // Error returns the argument and the reason, as in "--calls: want 1 to 1000000".
 func (e *argumentError) Error() string { return e.argument + ": " + e.reason }
 
-// unknownCommandError is the fault of asking a command for one that it has not: exit code 2.
+// unknownCommandError reports a subcommand that does not exist: exit code 2.
 type unknownCommandError struct {
 	name, parent string
-	nearest      string // the one that may be meant; "": none is near
+	nearest      string // existing subcommand with the most similar name; empty: none is similar
 }
 
-// Error returns the command, and the one that may be meant.
+// Error returns the unknown command and, if there is one, the similar command.
 func (e *unknownCommandError) Error() string {
 	text := fmt.Sprintf("unknown command %q for %q", e.name, e.parent)
 	if e.nearest != "" {
@@ -38,7 +38,7 @@
 	return text
 }
 
-// moduleFaultsError sums up the faults of a plug-in's module, which have been printed.
+// moduleFaultsError reports the number of faults of a plug-in's module. The faults have been printed before.
 type moduleFaultsError struct {
 	file   string
 	faults int
@@ -47,10 +47,10 @@
 // Error returns the file and the number of faults.
 func (e *moduleFaultsError) Error() string { return fmt.Sprintf("%s: %d faults", e.file, e.faults) }
 
-// droppedError is returned for a change of policy that its fleet has dropped.
+// droppedError reports that the fleet dropped a change of policy.
 type droppedError struct {
 	version  uint64
-	proposed bool // by this command, which knows the change by its ticket and not by its version
+	proposed bool // the command proposed the change itself, so the user does not know its version
 	reason   string
 }
 
--- a/cmd/mastusher/fleet.go
+++ b/cmd/mastusher/fleet.go
@@ -24,13 +24,13 @@
 	"mastusher/internal/relay/fleet/policy"
 )
 
-// fleetTool is what the commands of a fleet share.
+// fleetTool holds the flags that the fleet and policy commands share.
 type fleetTool struct {
-	o          *options
-	json       bool
-	within     time.Duration
-	pollGap    time.Duration
-	putToRelay func(ctx context.Context, cfg *config.Peers, request node.AdminRequest) (*node.Status, error) // peer.Ask, but for tests
+	o           *options
+	json        bool
+	timeout     time.Duration
+	pollGap     time.Duration
+	sendToRelay func(ctx context.Context, cfg *config.Peers, request node.AdminRequest) (*node.Status, error) // peer.Ask, except in tests
 }
 
 func (t *fleetTool) config() (*config.Config, error) {
@@ -39,42 +39,42 @@
 		err = config.NewKeyError("peers", "missing: this relay belongs to no fleet")
 	}
 	if err != nil {
-		return nil, workError{err}
+		return nil, operationError{err}
 	}
 	return cfg, nil
 }
 
-// ask puts a question to this configuration's relay.
-func (t *fleetTool) ask(ctx context.Context, q node.AdminRequest) (*node.Status, error) {
+// send sends a request to the relay of this configuration.
+func (t *fleetTool) send(ctx context.Context, q node.AdminRequest) (*node.Status, error) {
 	cfg, err := t.config()
 	if err != nil {
 		return nil, err
 	}
-	st, err := t.putToRelay(ctx, cfg.Peers, q)
+	st, err := t.sendToRelay(ctx, cfg.Peers, q)
 	if err == nil && st.Error != "" {
 		err = errors.New(st.Error)
 	}
 	if err != nil {
-		return st, workError{err}
+		return st, operationError{err}
 	}
 	return st, nil
 }
 
 func (t *fleetTool) context(cmd *cobra.Command) (context.Context, context.CancelFunc) {
-	return context.WithTimeoutCause(cmd.Context(), t.within, fmt.Errorf("not within %v", t.within))
+	return context.WithTimeoutCause(cmd.Context(), t.timeout, fmt.Errorf("not within %v", t.timeout))
 }
 
-// once puts a question that needs no more than its name.
-func (t *fleetTool) once(cmd *cobra.Command, op string) (*node.Status, error) {
+// query sends a request that has no parameters.
+func (t *fleetTool) query(cmd *cobra.Command, op string) (*node.Status, error) {
 	ctx, cancel := t.context(cmd)
 	defer cancel()
-	return t.ask(ctx, node.AdminRequest{Op: op})
+	return t.send(ctx, node.AdminRequest{Op: op})
 }
 
-// command is a command that puts one question and shows the answer.
+// command returns a command that sends a request without parameters and prints the response.
 func (t *fleetTool) command(use, short, op string, show func(io.Writer, *node.Status)) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		st, err := t.once(cmd, op)
+		st, err := t.query(cmd, op)
 		if err != nil {
 			return err
 		}
@@ -92,7 +92,7 @@
 	return enc.Encode(v)
 }
 
-// statusView is a status as JSON.
+// statusView is the JSON form of a status.
 type statusView struct {
 	*node.Status
 	Epoch   uint64              `json:"epoch"`
@@ -120,7 +120,7 @@
 	return v
 }
 
-// rowWriter returns what prints a name and its values as a row of a table.
+// rowWriter returns a function that prints a name and its values as a row of a table.
 func rowWriter(table io.Writer) func(name string, values ...any) {
 	return func(name string, values ...any) {
 		fmt.Fprintf(table, "%s\t%s\n", name, strings.TrimSpace(fmt.Sprintln(values...)))
@@ -225,17 +225,17 @@
 	}
 }
 
-// follow waits until over tells how a change ended, and shows how far it has come. over may change what is asked next.
-func (t *fleetTool) follow(cmd *cobra.Command, request *node.AdminRequest, over func(*policy.State) (done bool, err error)) error {
+// follow polls the relay until finished reports that a change has ended, and prints its progress. finished may modify the next request.
+func (t *fleetTool) follow(cmd *cobra.Command, request *node.AdminRequest, finished func(*policy.State) (done bool, err error)) error {
 	ctx, cancel := t.context(cmd)
 	defer cancel()
 	last := ""
 	for {
-		st, err := t.ask(ctx, *request)
+		st, err := t.send(ctx, *request)
 		if err == nil {
-			if done, err := over(st.State); done {
+			if done, err := finished(st.State); done {
 				if err != nil {
-					return workError{err}
+					return operationError{err}
 				}
 				return nil
 			}
@@ -249,19 +249,19 @@
 		select {
 		case <-time.After(t.pollGap):
 		case <-ctx.Done():
-			return notYetError{fmt.Errorf("the change is not over: %w", context.Cause(ctx))}
+			return changePendingError{fmt.Errorf("the change is not over: %w", context.Cause(ctx))}
 		}
 	}
 }
 
-// fleetCommands are the commands that talk to a relay of a fleet.
+// fleetCommands returns the commands that talk to a relay of a fleet.
 func fleetCommands(o *options) []*cobra.Command {
-	t := &fleetTool{o: o, pollGap: 20 * time.Millisecond, putToRelay: peer.Ask}
+	t := &fleetTool{o: o, pollGap: 20 * time.Millisecond, sendToRelay: peer.Ask}
 	fleet := &cobra.Command{Use: "fleet", Short: "the relays that act together"}
-	pol := &cobra.Command{Use: "policy", Short: "change what a fleet in service goes by, everywhere or nowhere"}
-	for _, c := range []*cobra.Command{fleet, pol} {
+	policyRoot := &cobra.Command{Use: "policy", Short: "change what a fleet in service goes by, everywhere or nowhere"}
+	for _, c := range []*cobra.Command{fleet, policyRoot} {
 		c.PersistentFlags().BoolVar(&t.json, "json", false, "as JSON")
-		c.PersistentFlags().DurationVar(&t.within, "timeout", 30*time.Second, "wait for so long at most")
+		c.PersistentFlags().DurationVar(&t.timeout, "timeout", 30*time.Second, "wait for so long at most")
 	}
 	fleet.AddCommand(
 		t.command("status", "what this relay knows of its fleet", "status", showFleet),
@@ -271,28 +271,28 @@
 		t.command("roster", "have the fleet consist of the relays that this relay's file names", "roster", showFleet),
 		forceCommand(t),
 	)
-	pol.AddCommand(policyProposeCommand(t), policyWaitCommand(t), policyCheckCommand(t), policyDiffCommand(t),
+	policyRoot.AddCommand(policyProposeCommand(t), policyWaitCommand(t), policyCheckCommand(t), policyDiffCommand(t),
 		t.command("status", "the policy in force, and the change under way", "status", showPolicy),
 		t.command("history", "how the last changes ended", "status", showHistory))
-	return []*cobra.Command{fleet, pol}
+	return []*cobra.Command{fleet, policyRoot}
 }
 
 func forceCommand(t *fleetTool) *cobra.Command {
-	var sure bool
+	var confirmed bool
 	c := t.command("force", "go on without a majority that is lost for good, with this relay as the only voter", "force", showFleet)
-	inner := c.RunE
+	runForce := c.RunE
 	c.RunE = func(cmd *cobra.Command, args []string) error {
-		if !sure {
+		if !confirmed {
 			return &argumentError{"force", "what only the lost voters knew is gone, and those that come back are void; say --majority-is-lost"}
 		}
-		return inner(cmd, args)
+		return runForce(cmd, args)
 	}
-	c.Flags().BoolVar(&sure, "majority-is-lost", false, "most voters will never come back")
+	c.Flags().BoolVar(&confirmed, "majority-is-lost", false, "most voters will never come back")
 	return c
 }
 
-func ticket() uint64 {
+func newTicket() uint64 {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // it never fails
+	_, _ = rand.Read(b[:]) // never fails
 	return binary.LittleEndian.Uint64(b[:]) | 1
 }
--- a/cmd/mastusher/fleet_test.go
+++ b/cmd/mastusher/fleet_test.go
@@ -19,8 +19,8 @@
 	"mastusher/internal/relay/fleet/policy"
 )
 
-// TestFleet_Commands_AnswersAndExitCodes: one relay founds a fleet, and what operators say to it has the answers and exit codes that scripts rely on.
-// What is in force outlasts a restart, and the relay is not ready before it has it.
+// TestFleet_Commands_AnswersAndExitCodes runs the operators' commands on a relay that founds a fleet, and checks the output and exit
+// codes that scripts rely on. The policy in force must survive a restart, and the relay must not be ready before it has applied it.
 func TestFleet_Commands_AnswersAndExitCodes(t *testing.T) {
 	relay := newFleetRelay(t)
 	relay.start()
@@ -59,7 +59,8 @@
 	relay.stop(t)
 }
 
-// TestPolicyPropose_ChangeIsUnderWay_IsNotSentAgain: the proposal is sent until the relay has it, and from then on only its state is asked for.
+// TestPolicyPropose_ChangeIsUnderWay_IsNotSentAgain checks that a proposal is sent only until the relay has it. After that the command
+// polls the status only.
 func TestPolicyPropose_ChangeIsUnderWay_IsNotSentAgain(t *testing.T) {
 	relay := newFleetRelay(t)
 	var asked []string
@@ -78,7 +79,7 @@
 		}
 		return &node.Status{State: state}, nil
 	}
-	tool := &fleetTool{o: &options{file: relay.file}, within: 10 * time.Second, pollGap: time.Millisecond, putToRelay: answer}
+	tool := &fleetTool{o: &options{file: relay.file}, timeout: 10 * time.Second, pollGap: time.Millisecond, sendToRelay: answer}
 	command := policyProposeCommand(tool)
 	command.SetArgs([]string{relay.write(t, "good.json", `{"format":1}`)})
 	command.SetOut(io.Discard)
@@ -91,16 +92,16 @@
 	}
 }
 
-// fleetRelay is a relay in this process that is the only one of its fleet.
+// fleetRelay is a relay that runs in this process and is the only member of its fleet.
 type fleetRelay struct {
-	dir, file    string // the configuration
-	withoutPeers string // text of the configuration, but for the fleet
+	dir, file    string // working directory and configuration file
+	withoutPeers string // text of the configuration without the key peers
 	cfg          *config.Config
 	interrupt    chan os.Signal
 	ended        chan error
 }
 
-// newFleetRelay sets up a relay that is to found a fleet. It is not started yet.
+// newFleetRelay sets up a relay that can found a fleet, without starting it.
 func newFleetRelay(t *testing.T) *fleetRelay {
 	t.Helper()
 	relay := &fleetRelay{dir: t.TempDir(), ended: make(chan error)}
@@ -119,7 +120,7 @@
 	return relay
 }
 
-// write writes a file beside the relay's configuration, and returns its path.
+// write writes a file next to the relay's configuration, and returns its path.
 func (r *fleetRelay) write(t *testing.T, name, text string) string {
 	t.Helper()
 	file := filepath.Join(r.dir, name)
@@ -127,7 +128,7 @@
 	return file
 }
 
-// start has the relay serve.
+// start runs the relay in a goroutine.
 func (r *fleetRelay) start() {
 	interrupt := make(chan os.Signal, 1)
 	r.interrupt = interrupt
@@ -136,7 +137,7 @@
 	}()
 }
 
-// stop ends the relay, as an interrupt does, and waits for its end.
+// stop sends the relay an interrupt and waits until it has ended.
 func (r *fleetRelay) stop(t *testing.T) {
 	t.Helper()
 	r.interrupt <- os.Interrupt
@@ -145,14 +146,14 @@
 	}
 }
 
-// command runs a command line with the relay's configuration, and returns its exit code and what it prints.
+// command runs a command line with the relay's configuration, and returns its exit code and output.
 func (r *fleetRelay) command(args ...string) (int, string) {
 	var out bytes.Buffer
 	code := run(append([]string{"--config", r.file}, args...), &out, &out)
 	return code, out.String()
 }
 
-// awaitPolicy waits until the relay acts under a version of the policy.
+// awaitPolicy waits until the relay serves under a version of the policy.
 func (r *fleetRelay) awaitPolicy(t *testing.T, version int) {
 	t.Helper()
 	want := fmt.Sprint("policy in force  ", version)
--- a/cmd/mastusher/main.go
+++ b/cmd/mastusher/main.go
@@ -23,19 +23,19 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run executes a command line and returns the exit code: 0, 1 for a fault of the work, 2 for one of the command line, 3 for a change
-// that is not over.
+// run executes a command line and returns the exit code: 0 for success, 1 for a failed operation, 2 for an invalid command line, 3 for
+// a change that is not over yet.
 func run(args []string, out, errs io.Writer) int {
 	root := commands()
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errs)
-	// Where help is asked for, cobra never looks at the arguments: a command that does not exist would be told the help of
-	// the one above it, as if all were well.
+	// With --help, cobra does not check the arguments: it would print the parent's help for a subcommand that does not exist, and the exit
+	// code would be 0.
 	var unknown error
 	help := root.HelpFunc()
 	root.SetHelpFunc(func(cmd *cobra.Command, args []string) {
-		if unknown = noCommand(cmd); unknown == nil {
+		if unknown = unknownSubcommand(cmd); unknown == nil {
 			help(cmd, args)
 		}
 	})
@@ -44,18 +44,18 @@
 		return 0
 	}
 	fmt.Fprintln(errs, "mastusher:", err)
-	if errors.As(err, new(workError)) {
+	if errors.As(err, new(operationError)) {
 		return 1
 	}
-	if errors.As(err, new(notYetError)) {
+	if errors.As(err, new(changePendingError)) {
 		return 3
 	}
 	fmt.Fprintln(errs, `"mastusher --help" tells more`)
 	return 2
 }
 
-// noCommand is the fault of asking cmd for a command that it has not; nil: it was not asked for one.
-func noCommand(cmd *cobra.Command) error {
+// unknownSubcommand returns an error if the arguments name a subcommand that cmd does not have, and nil otherwise.
+func unknownSubcommand(cmd *cobra.Command) error {
 	if !cmd.HasSubCommands() || cmd.Flags().NArg() == 0 {
 		return nil
 	}
@@ -66,17 +66,17 @@
 	return unknown
 }
 
-// options are the flags that all commands know.
+// options holds the flags that all commands share.
 type options struct{ file, level, format string }
 
-// commands are all commands of the program; without one it serves.
+// commands returns the root command with all subcommands. Without a subcommand the relay is run.
 func commands() *cobra.Command {
 	o := &options{}
 	const long = "mastusher relays messages to partner systems.\n\nWithout a command it serves.\n\n" +
 		"The serving tier is a program of its own: mastusher-tier runs its roles (proxy, agent, controller, store),\n" +
 		"each named by a command, and checks its files (check-settings, check-config)."
 	root := &cobra.Command{Use: "mastusher", Short: "mastusher relays messages to partner systems",
-		Args: func(cmd *cobra.Command, _ []string) error { return noCommand(cmd) },
+		Args: func(cmd *cobra.Command, _ []string) error { return unknownSubcommand(cmd) },
 		Long: long,
 		RunE: o.serve, SilenceUsage: true, SilenceErrors: true, SuggestionsMinimumDistance: 2}
 	flags := root.PersistentFlags()
@@ -98,9 +98,9 @@
 	return root
 }
 
-// serve is the command that runs the relay.
+// serve runs the relay.
 func (o *options) serve(cmd *cobra.Command, _ []string) error {
-	got := catch()
+	received := receiveSignals()
 	log, err := o.logger(cmd.ErrOrStderr())
 	if err != nil {
 		return err
@@ -108,18 +108,18 @@
 	load := func() (*config.Config, error) { return config.Load(o.file, os.Getenv) }
 	cfg, err := load()
 	if err != nil {
-		return workError{err}
+		return operationError{err}
 	}
-	if err := serve(cfg, log, got, load); err != nil {
+	if err := serve(cfg, log, received, load); err != nil {
 		log.Error("relay stopped", "err", err)
-		return workError{err}
+		return operationError{err}
 	}
 	return nil
 }
 
 func (o *options) checkConfig(cmd *cobra.Command, _ []string) error {
 	if _, err := config.Load(o.file, os.Getenv); err != nil {
-		return workError{err}
+		return operationError{err}
 	}
 	cmd.Println("the configuration is good")
 	return nil
@@ -127,7 +127,7 @@
 
 func makeKey(_ *cobra.Command, args []string) error {
 	if err := activitypub.MakeKey(args[0]); err != nil {
-		return workError{fmt.Errorf("make-key: %w", err)}
+		return operationError{fmt.Errorf("make-key: %w", err)}
 	}
 	return nil
 }
@@ -140,7 +140,7 @@
 	fmt.Fprintln(cmd.OutOrStdout(), "mastusher", name, runtime.Version())
 }
 
-// logger is the log of a command, as the flags say.
+// logger returns the logger that the flags specify.
 func (o *options) logger(w io.Writer) (*slog.Logger, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(o.level)); err != nil {
--- a/cmd/mastusher/main_test.go
+++ b/cmd/mastusher/main_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestHelp_NamesTierAndLinksNoneOfIt: who looks for the tier's roles in the relay is told which program runs them, without its being linked.
+// TestHelp_NamesTierAndLinksNoneOfIt checks that the relay's help refers to mastusher-tier, and that the relay links none of its packages.
 func TestHelp_NamesTierAndLinksNoneOfIt(t *testing.T) {
 	var help strings.Builder
 	if got := run([]string{"--help"}, &help, io.Discard); got != 0 {
@@ -43,7 +43,7 @@
 	}
 	for _, word := range []string{"mastusher-tier", "proxy", "agent", "controller", "store"} {
 		if !strings.Contains(help.String(), word) {
-			t.Errorf("the help leaves out %s:\n%s", word, help.String())
+			t.Errorf("the help does not mention %s:\n%s", word, help.String())
 		}
 	}
 	output, err := exec.Command("go", "list", "-deps", ".").Output()
@@ -52,7 +52,8 @@
 	}
 }
 
-// TestRun_UnknownCommand_NamesNearest: a command that does not exist is named with the one that may be meant, also where help is asked for.
+// TestRun_UnknownCommand_NamesNearest checks that the error for a subcommand that does not exist suggests a similar one, also with
+// --help.
 func TestRun_UnknownCommand_NamesNearest(t *testing.T) {
 	for _, args := range []string{"serv --help", "serv"} {
 		var errs strings.Builder
@@ -62,14 +63,15 @@
 	}
 }
 
-// TestLoad_OperatorFile_IsAccepted: the file under deploy/ must stay one that the program takes.
+// TestLoad_OperatorFile_IsAccepted checks that the example configuration in deploy/ is valid.
 func TestLoad_OperatorFile_IsAccepted(t *testing.T) {
 	if _, err := config.Load("../../deploy/activitypub.json", os.Getenv); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestServe_Terminated_AnswersWhileDraining: after SIGTERM clients are still answered, and the process then ends by itself.
+// TestServe_Terminated_AnswersWhileDraining checks that clients still get answers after SIGTERM, and that the process then ends on its
+// own.
 func TestServe_Terminated_AnswersWhileDraining(t *testing.T) {
 	address := freeAddress(t)
 	cfg, err := config.Parse([]byte(strings.Replace(minimalConfig, "STATE", t.TempDir(), 1)), func(k string) string {
@@ -92,8 +94,8 @@
 	}
 }
 
-// TestServe_Hangup_WatchFollowsFile: upon SIGHUP the watch moves to the discovery that the file names now, whatever the environment
-// says, and a faulty file changes nothing but for a line that names the key.
+// TestServe_Hangup_WatchFollowsFile checks that SIGHUP moves the discovery watch to the address in the file, whatever the environment
+// says. An invalid file must change nothing, and its log line must name the key.
 func TestServe_Hangup_WatchFollowsFile(t *testing.T) {
 	file, before, after := filepath.Join(t.TempDir(), "config.json"), wiretest.Listen(t), wiretest.Listen(t)
 	write := func(discovery string) {
@@ -136,7 +138,7 @@
 	}
 }
 
-// lifecycleLog passes on the log lines about the relay as a whole.
+// lifecycleLog forwards the log lines about starting, draining and reloading.
 type lifecycleLog chan string
 
 func (c lifecycleLog) Write(b []byte) (int, error) {
--- a/cmd/mastusher/plugin.go
+++ b/cmd/mastusher/plugin.go
@@ -22,17 +22,17 @@
 	"mastusher/internal/relay/plugin/trial"
 )
 
-// pluginTool is what plugin run, test, check and bench have in common: a module in a host of its own.
+// pluginTool holds the flags of the commands that load a module into a host of their own: plugin run, test, check and bench.
 type pluginTool struct {
 	o         *options
-	name      string // of the entry in the configuration that gives the limits; "": defaults
+	name      string // the plug-in in the configuration whose limits apply; empty: default limits
 	seed      string
-	settings  string        // JSON, the plug-in's own configuration
-	cacheDir  string        // for compiled modules
-	timeLimit time.Duration // for a call; 0: as the entry, or the default, has it
+	settings  string        // the plug-in's own configuration, as JSON
+	cacheDir  string        // directory of compiled modules
+	timeLimit time.Duration // limit of one call; 0: that of the configured plug-in, or the default
 }
 
-// flags adds the flags of the tool to a command.
+// flags adds the tool's flags to a command.
 func (p *pluginTool) flags(cmd *cobra.Command) *cobra.Command {
 	cmd.Flags().StringVar(&p.name, "name", "", "take the limits and settings of the plug-in of this name in --config")
 	cmd.Flags().StringVar(&p.seed, "seed", "", "seed of random numbers, 16 hexadecimal digits")
@@ -42,18 +42,18 @@
 	return cmd
 }
 
-// withHost hands do a host of a module, without a store that outlasts it, and the configuration that it goes by.
+// withHost calls do with a host for a module and the host's configuration. The host does not keep a persistent store.
 func (p *pluginTool) withHost(file string, do func(*trial.Host, *config.Config) error) error {
 	var from *config.Config
 	if p.name != "" {
 		var err error
 		if from, err = config.Load(p.o.file, os.Getenv); err != nil {
-			return workError{err}
+			return operationError{err}
 		}
 	}
 	cfg, err := config.ForPlugin(file, from, p.name, p.seed, p.settings)
 	if err != nil {
-		return workError{err}
+		return operationError{err}
 	}
 	if p.cacheDir != "" {
 		cfg.PluginHost.Cache = p.cacheDir
@@ -66,19 +66,19 @@
 	return do(host, cfg)
 }
 
-// newQuietHost returns a host of a configuration's plug-ins that logs nothing.
+// newQuietHost returns a host for a configuration's plug-ins that discards its log.
 func newQuietHost(cfg *config.Config) (*plugin.Host, error) {
 	return plugin.New(cfg, []rules.Front{platform.Guard, activitypub.Guard}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-// pluginCommand checks, tries and measures plug-ins, and reloads those of a running relay.
+// pluginCommand returns the commands that check, test and measure plug-ins, and reload those of a running relay.
 func pluginCommand(o *options) *cobra.Command {
 	root := &cobra.Command{Use: "plugin", Short: "check, try and measure plug-ins, and reload those of a running relay"}
 	root.AddCommand(checkCommand(o), runCommand(o), testCommand(o), benchCommand(o), reloadCommand(o), statusCommand(o))
 	return root
 }
 
-// checkCommand names what is at fault in a module.
+// checkCommand lists the faults of a module.
 func checkCommand(o *options) *cobra.Command {
 	tool := &pluginTool{o: o}
 	return tool.flags(&cobra.Command{Use: "check FILE", Short: "name every import, export and limit at fault in a module", Args: cobra.ExactArgs(1),
@@ -87,7 +87,7 @@
 		}})
 }
 
-// checkModule loads a module, and prints what it is or each of its faults.
+// checkModule loads a module and prints its description, or each of its faults.
 func checkModule(cmd *cobra.Command, file string, host *trial.Host, cfg *config.Config) error {
 	st, err := host.Status()
 	var faults plugin.ModuleError
@@ -95,10 +95,10 @@
 		for _, fault := range faults {
 			cmd.PrintErrln(fault)
 		}
-		return workError{&moduleFaultsError{file, len(faults)}}
+		return operationError{&moduleFaultsError{file, len(faults)}}
 	}
 	if err != nil {
-		return workError{err}
+		return operationError{err}
 	}
 	loaded, limits := st.Plugins[0], cfg.Plugins[0]
 	fmt.Fprintf(cmd.OutOrStdout(), "%s is good: ABI %d, phases %s, module %s; %d instances of %d MB at most, %v a call, %g of a core\n",
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// runCommand shows what a module does with one message.
+// runCommand prints a module's effects on one message.
 func runCommand(o *options) *cobra.Command {
 	tool := &pluginTool{o: o}
 	var keys []string
@@ -121,7 +121,7 @@
 	return cmd
 }
 
-// runMessage plays the message that keys set up, phase by phase up to the one that rejects it, and prints what comes of each.
+// runMessage calls the module for each phase of the message that keys describe, up to a phase that rejects it, and prints the effects.
 func runMessage(out io.Writer, host *trial.Host, keys []string) error {
 	message := trial.New("run")
 	if err := message.Set("status", "503"); err != nil {
@@ -135,7 +135,7 @@
 	}
 	st, err := host.Status()
 	if err != nil {
-		return workError{err}
+		return operationError{err}
 	}
 	for _, phase := range []plugin.Phase{plugin.Arrival, plugin.Answer, plugin.End} {
 		if !strings.Contains(st.Plugins[0].Phases, phase.String()) {
@@ -144,7 +144,7 @@
 		message.Call.Phase = phase
 		effects, outcome, err := host.Play(&message)
 		if err != nil {
-			return workError{err}
+			return operationError{err}
 		}
 		fmt.Fprintf(out, "%s (%v of processor time)\n", phase, outcome.CPU.Round(time.Microsecond))
 		for _, effect := range effects {
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// testCommand plays golden cases against a module.
+// testCommand runs test cases against a module.
 func testCommand(o *options) *cobra.Command {
 	tool := &pluginTool{o: o}
 	return tool.flags(&cobra.Command{Use: "test FILE CASES", Short: "play the golden cases of a text file against a module", Args: cobra.ExactArgs(2),
@@ -166,23 +166,23 @@
 		}})
 }
 
-// testCases plays the cases of a file, prints those that fail and how many pass. It returns errCasesFailed where one fails or there is none.
+// testCases runs the cases of a file, prints those that fail and the counts. It returns errCasesFailed if a case fails or there is none.
 func testCases(out io.Writer, host *trial.Host, file string) error {
 	f, err := os.Open(file)
 	if err != nil {
-		return workError{err}
+		return operationError{err}
 	}
 	defer f.Close()
 	cases, err := trial.Parse(f)
 	if err != nil {
-		return workError{fmt.Errorf("%s: %w", file, err)}
+		return operationError{fmt.Errorf("%s: %w", file, err)}
 	}
 	failed := 0
 	for i := range cases {
 		c := &cases[i]
 		got, _, err := host.Play(c)
 		if err != nil {
-			return workError{err}
+			return operationError{err}
 		}
 		if slices.Equal(got, c.Want) {
 			continue
@@ -192,15 +192,15 @@
 	}
 	fmt.Fprintf(out, "%d passed, %d failed\n", len(cases)-failed, failed)
 	if failed > 0 || len(cases) == 0 {
-		return workError{errCasesFailed}
+		return operationError{errCasesFailed}
 	}
 	return nil
 }
 
-// maxBenchCalls bounds a measurement.
+// maxBenchCalls is the maximum number of calls in a benchmark.
 const maxBenchCalls = 1_000_000
 
-// benchCommand measures a module's calls.
+// benchCommand measures the duration and CPU time of a module's calls.
 func benchCommand(o *options) *cobra.Command {
 	tool := &pluginTool{o: o}
 	var calls int
@@ -211,7 +211,7 @@
 				return &argumentError{"--calls", fmt.Sprintf("want 1 to %d", maxBenchCalls)}
 			}
 			return tool.withHost(args[0], func(host *trial.Host, cfg *config.Config) error {
-				cfg.Limits.PluginBurst = time.Hour // the share is not what is measured
+				cfg.Limits.PluginBurst = time.Hour // the limit on the plug-in's share of a core must not slow down the benchmark
 				measured, err := measureCalls(host, calls, body)
 				if err != nil {
 					return err
@@ -224,14 +224,14 @@
 	return cmd
 }
 
-// callTimes is what calls of a module took, in nanoseconds.
+// callTimes holds the durations of a module's calls, in nanoseconds.
 type callTimes struct {
 	calls, failed int
 	lastFailure   string
-	wall, cpu     *hdrhistogram.Histogram // of the calls that did not fail
+	wall, cpu     *hdrhistogram.Histogram // of the calls that succeeded
 }
 
-// measureCalls hands a module so many messages.
+// measureCalls calls a module for the given number of messages.
 func measureCalls(host *trial.Host, calls int, body string) (*callTimes, error) {
 	times := &callTimes{calls: calls, wall: hdrhistogram.New(1, 1e9, 3), cpu: hdrhistogram.New(1, 1e9, 3)}
 	for i := range calls {
@@ -241,7 +241,7 @@
 		began := time.Now()
 		effects, outcome, err := host.Play(&message)
 		if err != nil {
-			return nil, workError{err}
+			return nil, operationError{err}
 		}
 		if strings.HasPrefix(effects[0], "failed") {
 			times.failed++
@@ -254,7 +254,7 @@
 	return times, nil
 }
 
-// print prints quantiles and a histogram of processor times. Calls that failed are an error.
+// print prints quantiles of the times and a histogram of CPU times. It returns an error if any call failed.
 func (c *callTimes) print(out io.Writer) error {
 	fmt.Fprintf(out, "%d calls, %d failed\n%-10s %12s %12s\n", c.calls, c.failed, "", "as seen", "processor")
 	for _, percent := range []float64{50, 90, 99, 99.9, 100} {
@@ -266,12 +266,12 @@
 		}
 	}
 	if c.failed > 0 {
-		return workError{fmt.Errorf("%d calls failed, the last: %s", c.failed, c.lastFailure)}
+		return operationError{fmt.Errorf("%d calls failed, the last: %s", c.failed, c.lastFailure)}
 	}
 	return nil
 }
 
-// checkPlugins loads the plug-ins of a configuration, and lets them go again.
+// checkPlugins loads the plug-ins of a configuration and unloads them again.
 func checkPlugins(cfg *config.Config) error {
 	withoutStore := *cfg
 	withoutStore.PluginHost.Store = ""
@@ -283,7 +283,7 @@
 	return nil
 }
 
-// reloadPoll is how often reload looks for the relay's status.
+// reloadPoll is the interval at which reload polls the relay's status.
 const reloadPoll = 50 * time.Millisecond
 
 // reloadCommand has a running relay reload its plug-ins.
@@ -299,21 +299,21 @@
 	return cmd
 }
 
-// reload checks the plug-ins of a configuration, signals the relay, and prints the status that this leaves behind.
+// reload checks the plug-ins of a configuration, signals the relay, and prints the status after the reload.
 func reload(cmd *cobra.Command, file string, pid int, within time.Duration) error {
 	cfg, err := config.Load(file, os.Getenv)
 	if err != nil {
-		return workError{err}
+		return operationError{err}
 	}
 	if cfg.PluginHost.Store == "" {
-		return workError{config.NewKeyError("plugin_host.store", "missing: the relay's word is read there")}
+		return operationError{config.NewKeyError("plugin_host.store", "missing: the relay's word is read there")}
 	}
 	if err = checkPlugins(cfg); err != nil {
-		return workError{fmt.Errorf("the relay is not told: %w", err)}
+		return operationError{fmt.Errorf("the relay is not told: %w", err)}
 	}
 	before, err := plugin.ReadStatus(cfg)
 	if err != nil {
-		return workError{err}
+		return operationError{err}
 	}
 	if err := sendSignal(pid, syscall.SIGHUP); err != nil {
 		return err
@@ -324,24 +324,24 @@
 			continue
 		}
 		if now.Error != "" {
-			return workError{errors.New("the relay says: " + now.Error)}
+			return operationError{errors.New("the relay says: " + now.Error)}
 		}
 		return printStatus(cmd, now)
 	}
-	return workError{fmt.Errorf("the relay has said nothing within %v; its log may tell", within)}
+	return operationError{fmt.Errorf("the relay has said nothing within %v; its log may tell", within)}
 }
 
-// statusCommand prints which plug-ins a relay runs.
+// statusCommand prints the plug-ins that a relay runs.
 func statusCommand(o *options) *cobra.Command {
 	return &cobra.Command{Use: "status", Short: "print what plug-ins the relay of --config runs", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cfg, err := config.Load(o.file, os.Getenv)
 			if err != nil {
-				return workError{err}
+				return operationError{err}
 			}
 			st, err := plugin.ReadStatus(cfg)
 			if err != nil {
-				return workError{err}
+				return operationError{err}
 			}
 			return printStatus(cmd, st)
 		}}
--- a/cmd/mastusher/plugin_test.go
+++ b/cmd/mastusher/plugin_test.go
@@ -20,26 +20,25 @@
 	"mastusher/internal/relay/standin"
 )
 
-// exampleSettings are the JSON settings that an example needs to behave as its golden cases say.
+// exampleSettings are the JSON settings that an example plug-in needs for its test cases.
 var exampleSettings = map[string]string{"required-header": `{"desks": {"football": "fb-12"}, "otherwise": "sports"}`}
 
-// maxExampleCPU is how much processor time a call of an example may take: the default limit of a call, which the relay
-// measures by the clock.
+// maxExampleCPU is the maximum CPU time of one call of an example: the default limit of a call, which the relay measures in wall-clock
+// time.
 const maxExampleCPU = 10 * time.Millisecond
 
-// TestPluginExamples_GoldenCases builds the examples with the Go tool chain and plays their golden cases. The limit by the clock
-// is long, since a machine that runs many tests may well not schedule a thread for 10 ms; what a call costs is checked by
-// its processor time instead.
+// TestPluginExamples_GoldenCases builds the examples with the Go toolchain and runs their test cases. The wall-clock limit of a call is
+// long, because a busy machine may not schedule a thread for 10 ms. The test checks the CPU time of each call instead.
 func TestPluginExamples_GoldenCases(t *testing.T) {
 	examples, _ := filepath.Glob("../../examples/plugins/*")
 	if len(examples) < 3 {
-		t.Fatal("the examples are not there")
+		t.Fatal("examples/plugins has fewer than three examples")
 	}
 	program := buildProgram(t)
 	for _, dir := range examples {
 		name := filepath.Base(dir)
 		t.Run(name, func(t *testing.T) {
-			module, cache := buildPlugin(t, dir), t.TempDir() // compiled once
+			module, cache := buildPlugin(t, dir), t.TempDir() // the cache avoids compiling it more than once
 			wrong := filepath.Join(t.TempDir(), "wrong.txt")
 			if err := os.WriteFile(wrong, []byte("case wrong\n  phase arrival\nwant\n  body other\n"), 0o600); err != nil {
 				t.Fatal(err)
@@ -64,8 +63,7 @@
 	}
 }
 
-// buildProgram builds the relay as a program of its own, without the race detector, under which to compile a module takes
-// ten times as long.
+// buildProgram builds the relay without the race detector, under which compiling a module takes ten times as long.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "mastusher")
@@ -75,7 +73,7 @@
 	return program
 }
 
-// buildPlugin builds the plug-in of a folder and returns the module's file.
+// buildPlugin compiles the plug-in in a directory and returns the path of the module.
 func buildPlugin(t *testing.T, dir string) string {
 	t.Helper()
 	module := filepath.Join(t.TempDir(), filepath.Base(dir)+".wasm")
@@ -87,7 +85,7 @@
 	return module
 }
 
-// runPluginCommand runs a subcommand of `mastusher plugin` and returns its exit code and all that it printed.
+// runPluginCommand runs a subcommand of `mastusher plugin`, and returns its exit code and output.
 func runPluginCommand(t *testing.T, program string, args ...string) (int, string) {
 	t.Helper()
 	cmd := exec.Command(program, append([]string{"plugin"}, args...)...)
@@ -100,13 +98,13 @@
 
 var processorTime = regexp.MustCompile(`\((\S+) of processor time\)`)
 
-// checkExampleCPU checks the processor time of every call that `plugin run` has printed.
+// checkExampleCPU checks the CPU time of each call in the output of `plugin run`.
 func checkExampleCPU(t *testing.T, out string) {
 	t.Helper()
 	for _, found := range processorTime.FindAllStringSubmatch(out, -1) {
 		took, err := time.ParseDuration(found[1])
 		if err != nil || took <= 0 || took > maxExampleCPU {
-			t.Errorf("a call took %s of processor time (%v), want at most %v", found[1], err, maxExampleCPU)
+			t.Errorf("a call took %s of CPU time (%v), want at most %v", found[1], err, maxExampleCPU)
 		}
 	}
 }
@@ -147,10 +145,10 @@
 	}
 }
 
-// TestServe_ShapedMessage_SameBytesAfterKillAndReload: what a message was shaped to is sent again as it was, after SIGKILL and a restart with another version
-// of the plug-in, and after a reload; new messages meet the new version.
+// TestServe_ShapedMessage_SameBytesAfterKillAndReload checks that a message modified by a plug-in is resent unchanged after a SIGKILL, a
+// restart with another version of the plug-in, and a reload, while new messages go through the new version.
 func TestServe_ShapedMessage_SameBytesAfterKillAndReload(t *testing.T) {
-	relay := stageShaped(t)
+	relay := newPluginRelay(t)
 	writeFile(t, relay.module, wasmtest.Header("X-Desk", "one"))
 	relay.start(t, relay.file)
 	relay.submit(t, "m")
@@ -160,38 +158,38 @@
 	relay.start(t, relay.file)
 	second := <-relay.calls
 	if d := cmp.Diff(callContent(first), callContent(second)); d != "" || first.Header["X-Desk"][0] != "one" {
-		t.Errorf("after SIGKILL and another version (-first +second)\n%s", d)
+		t.Errorf("message resent after SIGKILL with another plug-in version (-first +second)\n%s", d)
 	}
 	relay.expectDesk(t, "n", "two", "after SIGKILL")
 	writeFile(t, relay.module, wasmtest.Header("X-Desk", "three"))
 	runCommandLine(t, 0, relay.reloadCommand()...)
 	relay.expectDesk(t, "o", "three", "after a reload")
 
-	// A faulty version: the relay is not even told.
+	// With a faulty version, the reload command does not signal the relay.
 	writeFile(t, relay.module, wasmtest.Later())
 	if out := runCommandLine(t, 1, relay.reloadCommand()...); !strings.Contains(out, "not told") {
-		t.Errorf("reload of a faulty version\n%s", out)
+		t.Errorf("reload of a faulty version did not fail before the signal:\n%s", out)
 	}
-	// Told all the same, it changes nothing and its status names the key.
+	// A relay that is signalled nevertheless keeps its plug-ins, and its status names the faulty key.
 	_ = relay.Process.Signal(syscall.SIGHUP)
 	relay.awaitStatus(t, regexp.MustCompile(`generation \d+.*\n.*plugins\.0`))
 	relay.expectDesk(t, "p", "three", "after a faulty reload")
 }
 
-// shapedRelay is a relay with a plug-in, whose module is written before it starts.
-type shapedRelay struct {
+// pluginRelay is a relay with one plug-in. The module must be written before the relay starts.
+type pluginRelay struct {
 	*daemon
 	file, module string
-	calls        chan standin.Arrival // to its endpoint
+	calls        chan standin.Arrival // calls that its endpoint received
 }
 
-// stageShaped sets up a relay with a plug-in, and an endpoint that never answers for message m. The relay is not started yet.
-func stageShaped(t *testing.T) *shapedRelay {
+// newPluginRelay sets up a relay with a plug-in, without starting it. Its endpoint never answers message m.
+func newPluginRelay(t *testing.T) *pluginRelay {
 	t.Helper()
 	dir := t.TempDir()
-	relay := &shapedRelay{module: filepath.Join(dir, "p.wasm"), calls: make(chan standin.Arrival)}
+	relay := &pluginRelay{module: filepath.Join(dir, "p.wasm"), calls: make(chan standin.Arrival)}
 	hang := make(chan struct{})
-	relay.daemon, relay.file, _ = stage(t, dir, 1, func(a standin.Arrival) httpwire.Answer {
+	relay.daemon, relay.file, _ = newTestRelay(t, dir, 1, func(a standin.Arrival) httpwire.Answer {
 		select {
 		case relay.calls <- a:
 		case <-hang:
@@ -205,8 +203,8 @@
 	return relay
 }
 
-// submit hands in a message, which must be accepted.
-func (r *shapedRelay) submit(t *testing.T, id string) {
+// submit sends a message, which must be accepted.
+func (r *pluginRelay) submit(t *testing.T, id string) {
 	t.Helper()
 	m := &standin.Message{ID: id, Key: "k" + id, Class: "match-event", Partner: 0, Timeout: time.Minute, Body: "goal"}
 	if status, body := standin.NewClient(r.address).Send(t.Context(), m); status != 202 {
@@ -214,22 +212,22 @@
 	}
 }
 
-// expectDesk hands in a message, which must be sent with a desk.
-func (r *shapedRelay) expectDesk(t *testing.T, id, desk, when string) {
+// expectDesk submits a message and checks the X-Desk header that it is delivered with.
+func (r *pluginRelay) expectDesk(t *testing.T, id, desk, when string) {
 	t.Helper()
 	r.submit(t, id)
 	if a := <-r.calls; a.Header["X-Desk"][0] != desk {
-		t.Errorf("%s a message is sent with %v, want %s", when, a.Header, desk)
+		t.Errorf("%s: message delivered with headers %v, want X-Desk %s", when, a.Header, desk)
 	}
 }
 
-// reloadCommand is the command line that has the relay reload its plug-ins.
-func (r *shapedRelay) reloadCommand() []string {
+// reloadCommand returns the command line that has the relay reload its plug-ins.
+func (r *pluginRelay) reloadCommand() []string {
 	return []string{"plugin", "reload", "--config", r.file, "--pid", fmt.Sprint(r.Process.Pid)}
 }
 
 // awaitStatus waits until the status of the plug-ins matches a pattern.
-func (r *shapedRelay) awaitStatus(t *testing.T, pattern *regexp.Regexp) {
+func (r *pluginRelay) awaitStatus(t *testing.T, pattern *regexp.Regexp) {
 	t.Helper()
 	for i := 0; ; i++ {
 		var out bytes.Buffer
@@ -237,13 +235,13 @@
 			return
 		}
 		if i > 400 {
-			t.Fatalf("the status says\n%s", out.String())
+			t.Fatalf("the status does not match the expected pattern:\n%s", out.String())
 		}
 		time.Sleep(25 * time.Millisecond)
 	}
 }
 
-// callContent is what a call carried that must be the same each time: all but the time that is left.
+// callContent returns the content of a call that must be the same each time: everything but the remaining time.
 func callContent(a standin.Arrival) string {
 	var headers []string
 	for name, values := range a.Header {
--- a/cmd/mastusher/policy.go
+++ b/cmd/mastusher/policy.go
@@ -11,7 +11,7 @@
 	"mastusher/internal/relay/fleet/policy"
 )
 
-// policyProposeCommand proposes a change of the policy and follows it to its end.
+// policyProposeCommand proposes a change of policy and waits until the change is over.
 func policyProposeCommand(t *fleetTool) *cobra.Command {
 	var base int64
 	var author string
@@ -22,13 +22,13 @@
 				_, err = policy.Parse(text)
 			}
 			if err != nil {
-				return workError{err}
+				return operationError{err}
 			}
-			st, err := t.once(cmd, "status")
+			st, err := t.query(cmd, "status")
 			if err != nil {
 				return err
 			}
-			request := node.AdminRequest{Op: "propose", Version: st.State.Version, Doc: text, By: author, Ticket: ticket()}
+			request := node.AdminRequest{Op: "propose", Version: st.State.Version, Doc: text, By: author, Ticket: newTicket()}
 			if base >= 0 {
 				request.Version = uint64(base)
 			}
@@ -54,7 +54,7 @@
 	return propose
 }
 
-// policyWaitCommand waits until a version of the policy is in force.
+// policyWaitCommand waits until a version of the policy is in force or dropped.
 func policyWaitCommand(t *fleetTool) *cobra.Command {
 	return &cobra.Command{Use: "wait VERSION", Short: "wait until a version is in force, or dropped", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -91,7 +91,7 @@
 				err = rules.Check(text)
 			}
 			if err != nil {
-				return workError{err}
+				return operationError{err}
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), "this relay can apply it")
 			return nil
@@ -104,15 +104,15 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
-				return workError{err}
+				return operationError{err}
 			}
-			st, err := t.once(cmd, "status")
+			st, err := t.query(cmd, "status")
 			if err != nil {
 				return err
 			}
 			changes, err := policy.Diff(st.State.Doc, text)
 			if err != nil {
-				return workError{err}
+				return operationError{err}
 			}
 			for _, change := range changes {
 				fmt.Fprintln(cmd.OutOrStdout(), change)
--- a/cmd/mastusher/shape.go
+++ b/cmd/mastusher/policy_applier.go
@@ -13,44 +13,44 @@
 	"mastusher/internal/relay/plugin"
 )
 
-// shaper has the plug-ins run as the relay's file and the fleet's policy say together, whichever of them changes.
-type shaper struct {
-	plugins *plugin.Host // nil: none run
+// policyApplier runs the plug-ins with the settings of the relay's configuration and the fleet's policy, and applies changes to both.
+type policyApplier struct {
+	plugins *plugin.Host // nil: no plug-in host runs
 	rules   *peer.Rules  // nil: the relay belongs to no fleet
 	core    *engine.Core
 	log     *slog.Logger
 
-	mu       sync.Mutex
-	document []byte // of the policy in force
-	version  uint64 // its number
+	mu            sync.Mutex
+	policyDoc     []byte // the policy in force
+	policyVersion uint64 // version of the policy in force
 }
 
-// prepare loads plug-ins as a policy would have them, for when it is in force.
-func (s *shaper) prepare(cfg *config.Config) error {
+// prepare loads the plug-ins that a policy requires, before the policy is in force.
+func (s *policyApplier) prepare(cfg *config.Config) error {
 	if s.plugins == nil {
 		return errNoPlugins
 	}
 	return s.plugins.Prepare(cfg)
 }
 
-// apply takes over what the fleet lets this relay do: plug-ins first, while nothing is taken on.
-func (s *shaper) apply(mandate node.Mandate, at peer.Times, done func()) {
+// apply applies the fleet's mandate. Plug-ins are updated first, while the relay accepts no messages.
+func (s *policyApplier) apply(mandate node.Mandate, at peer.Times, done func()) {
 	forCore, err := s.rules.Mandate(mandate)
 	if err == nil {
-		err = s.adopt(mandate)
+		err = s.applyPluginSettings(mandate)
 	}
-	if err != nil { // it has been checked; until the next mandate nothing is taken on
+	if err != nil { // unexpected for a policy that was checked; no messages are accepted until the next mandate
 		s.log.Error("policy in force not applied, nothing is accepted", "version", mandate.Version, "err", err)
 		return
 	}
 	s.core.Govern(engine.Mandate{Mandate: forCore, Until: at.At(mandate.Until)}, done)
 }
 
-// adopt has the plug-ins run with the settings of a policy.
-func (s *shaper) adopt(mandate node.Mandate) error {
+// applyPluginSettings reloads the plug-ins with the settings of a mandate's policy, unless that version is already applied.
+func (s *policyApplier) applyPluginSettings(mandate node.Mandate) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.version == mandate.Version {
+	if s.policyVersion == mandate.Version {
 		return nil
 	}
 	if s.plugins != nil {
@@ -62,12 +62,12 @@
 			return err
 		}
 	}
-	s.document, s.version = mandate.Doc, mandate.Version
+	s.policyDoc, s.policyVersion = mandate.Doc, mandate.Version
 	return nil
 }
 
-// reload takes over a configuration that was read again. A faulty one changes nothing: the relay goes on with what it has.
-func (s *shaper) reload(front *platform.Front, load func() (*config.Config, error)) {
+// reload applies a configuration that was read again. An invalid one is rejected, and the current one stays active.
+func (s *policyApplier) reload(front *platform.Front, load func() (*config.Config, error)) {
 	cfg, err := load()
 	if err != nil {
 		s.log.Error("configuration reload rejected, previous one stays active", "err", err)
@@ -88,12 +88,12 @@
 	}
 }
 
-// replacePlugins puts a configuration's plug-ins in the place of those that run, with the settings of the policy in force.
-func (s *shaper) replacePlugins(cfg *config.Config) error {
+// replacePlugins replaces the running plug-ins by those of a configuration, with the settings of the policy in force.
+func (s *policyApplier) replacePlugins(cfg *config.Config) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.rules == nil {
 		return s.plugins.Reload(cfg)
 	}
-	return s.rules.Reload(cfg, s.document, s.plugins.Reload)
+	return s.rules.Reload(cfg, s.policyDoc, s.plugins.Reload)
 }
--- a/cmd/mastusher/shape_test.go
+++ b/cmd/mastusher/policy_applier_test.go
@@ -13,10 +13,11 @@
 	"mastusher/internal/relay/standin"
 )
 
-// TestServe_PolicyChangesPluginSettings: a policy changes what a plug-in is handed, at one point between messages; that outlasts a reload and
-// SIGKILL, a reload that the policy forbids is not taken, and settings that a plug-in can't run with end the change.
+// TestServe_PolicyChangesPluginSettings checks that a policy changes a plug-in's settings between two messages. The settings must survive
+// a reload and a SIGKILL. A reload that the policy forbids must be rejected, and settings that a plug-in fails to start with must cause
+// the change to be dropped.
 func TestServe_PolicyChangesPluginSettings(t *testing.T) {
-	relay := stageGoverned(t)
+	relay := newFleetPluginRelay(t)
 	writeFile(t, relay.module, wasmtest.Settings("X-Desk"))
 	relay.launch(t, relay.file)
 	relay.command(t, 0, "fleet", "found")
@@ -33,7 +34,7 @@
 		t.Error(out)
 	}
 
-	writeFile(t, relay.module, wasmtest.Later()) // the module on disk can't run any more: no relay could take other settings over
+	writeFile(t, relay.module, wasmtest.Later()) // this version cannot run, so the relay cannot apply other settings
 	out := relay.propose(t, 1, `{"format":1,"plugins":{"p":{"settings":"three"}}}`)
 	if !strings.Contains(out, "dropped: t: config: key plugins.0: plug-in p") {
 		t.Error(out)
@@ -44,20 +45,20 @@
 	relay.expectSettings(t, `"one"`, "by the file again")
 }
 
-// governedRelay is a relay that is a fleet of its own, with a plug-in that sets the header X-Desk to its settings.
-type governedRelay struct {
+// fleetPluginRelay is a relay that is the only member of its fleet, with a plug-in that sets the header X-Desk to its settings.
+type fleetPluginRelay struct {
 	*daemon
 	file, module, policy string
-	calls                chan standin.Arrival // to its endpoint
-	messages             int                  // handed in so far
+	calls                chan standin.Arrival // calls that its endpoint received
+	messages             int                  // number of messages sent so far
 }
 
-// stageGoverned sets up a relay that is to found a fleet. It is not started yet.
-func stageGoverned(t *testing.T) *governedRelay {
+// newFleetPluginRelay sets up a relay that can found a fleet, without starting it.
+func newFleetPluginRelay(t *testing.T) *fleetPluginRelay {
 	t.Helper()
 	dir := t.TempDir()
-	relay := &governedRelay{module: filepath.Join(dir, "p.wasm"), policy: filepath.Join(dir, "policy.json"), calls: make(chan standin.Arrival, 100)}
-	relay.daemon, relay.file, _ = stage(t, dir, 1, func(a standin.Arrival) httpwire.Answer {
+	relay := &fleetPluginRelay{module: filepath.Join(dir, "p.wasm"), policy: filepath.Join(dir, "policy.json"), calls: make(chan standin.Arrival, 100)}
+	relay.daemon, relay.file, _ = newTestRelay(t, dir, 1, func(a standin.Arrival) httpwire.Answer {
 		relay.calls <- a
 		return httpwire.Answer{Status: 200}
 	}, fmt.Sprintf(`"plugin_host": {"store": %q}, "plugins": [{"name": "p", "file": %q, "timeout": "60ms", "memory_mb": 1, "config": "one"}],
@@ -65,29 +66,29 @@
 	return relay
 }
 
-// command runs a command line with the relay's configuration, and returns what it prints.
-func (r *governedRelay) command(t *testing.T, want int, args ...string) string {
+// command runs a command line with the relay's configuration, and returns its output.
+func (r *fleetPluginRelay) command(t *testing.T, want int, args ...string) string {
 	t.Helper()
 	return runCommandLine(t, want, append(args, "--config", r.file)...)
 }
 
-// propose proposes a policy and waits for its end.
-func (r *governedRelay) propose(t *testing.T, want int, document string) string {
+// propose proposes a policy and waits until the change is over.
+func (r *fleetPluginRelay) propose(t *testing.T, want int, document string) string {
 	t.Helper()
 	writeFile(t, r.policy, []byte(document))
 	return r.command(t, want, "policy", "propose", r.policy)
 }
 
-// expectSettings hands in messages until one is accepted, which must be sent with settings in its header.
-func (r *governedRelay) expectSettings(t *testing.T, want, when string) {
+// expectSettings submits a message and checks that it is delivered with the settings in its header.
+func (r *fleetPluginRelay) expectSettings(t *testing.T, want, when string) {
 	t.Helper()
 	if got := strings.Join(r.awaitCall(t, r.submit(t)).Header["X-Desk"], ", "); got != want {
-		t.Errorf("%s: %s, want %s", when, got, want)
+		t.Errorf("settings %s: got %s, want %s", when, got, want)
 	}
 }
 
-// submit hands in messages until one is accepted, and returns its id.
-func (r *governedRelay) submit(t *testing.T) (id string) {
+// submit sends messages until one is accepted, and returns its ID.
+func (r *fleetPluginRelay) submit(t *testing.T) (id string) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		r.messages++
@@ -97,13 +98,13 @@
 			return m.ID
 		}
 		if time.Now().After(end) {
-			t.Fatalf("status %d", status)
+			t.Fatalf("no message was accepted; last status %d", status)
 		}
 	}
 }
 
-// awaitCall waits for the call that carries a message. After SIGKILL others may come once more before it.
-func (r *governedRelay) awaitCall(t *testing.T, id string) standin.Arrival {
+// awaitCall waits for the call with a message. After a SIGKILL, other messages may be delivered again before it.
+func (r *fleetPluginRelay) awaitCall(t *testing.T, id string) standin.Arrival {
 	t.Helper()
 	for {
 		if a := <-r.calls; a.ID == id {
--- a/cmd/mastusher/replay.go
+++ b/cmd/mastusher/replay.go
@@ -20,13 +20,13 @@
 	"mastusher/internal/relay/engine"
 )
 
-// replayFlags are the flags of replay.
+// replayFlags holds the flags of the replay command.
 type replayFlags struct {
-	until, from, length        time.Duration
-	explain, against, toFolder string
+	until, from, length         time.Duration
+	explain, against, windowDir string
 }
 
-// replayCommand replays captures, traces a message in them, or cuts windows out of them.
+// replayCommand replays captures, traces a message in them, or extracts a time window from them.
 func replayCommand() *cobra.Command {
 	o := &replayFlags{}
 	cmd := &cobra.Command{Use: "replay FILE...", Short: "reproduce the decisions of captures, or say where they differ", Args: cobra.MinimumNArgs(1),
@@ -39,13 +39,13 @@
 	f.DurationVar(&o.until, "until", 0, "stop so long after the start")
 	f.StringVar(&o.explain, "explain", "", "tell the way of the message with this id, attempt by attempt")
 	f.StringVar(&o.against, "against", "", "replay under the settings of this configuration, and tell what changes")
-	f.StringVar(&o.toFolder, "to-test", "", "write a window (--from, --for) to this folder, as a capture that tests can replay")
+	f.StringVar(&o.windowDir, "to-test", "", "write a window (--from, --for) to this folder, as a capture that tests can replay")
 	f.DurationVar(&o.from, "from", 0, "where the window begins, after the start")
 	f.DurationVar(&o.length, "for", 10*time.Second, "how long it is")
 	return cmd
 }
 
-// run does with each capture what the flags ask for. The message to be explained must be in one of them.
+// run replays, traces or extracts from each capture, as the flags say. A message to trace must be in at least one of them.
 func (o *replayFlags) run(cmd *cobra.Command, args []string) error {
 	out, found := cmd.OutOrStdout(), false
 	for _, file := range args {
@@ -55,26 +55,26 @@
 				traced, err := printTrace(out, reader, file, o.explain)
 				found = found || traced
 				return err
-			case o.toFolder != "":
-				return writeTest(out, reader, file, o.toFolder, o.from, o.length)
+			case o.windowDir != "":
+				return writeWindow(out, reader, file, o.windowDir, o.from, o.length)
 			}
 			return replay(out, cmd.ErrOrStderr(), reader, file, o.until, o.against)
 		})
 		if err != nil {
-			return workError{fmt.Errorf("%s: %w", file, err)}
+			return operationError{fmt.Errorf("%s: %w", file, err)}
 		}
 	}
 	if o.explain != "" && !found {
-		return workError{fmt.Errorf("%w: %q", capture.ErrNoMessage, o.explain)}
+		return operationError{fmt.Errorf("%w: %q", capture.ErrNoMessage, o.explain)}
 	}
 	return nil
 }
 
-// printTrace prints a message's way through a capture; false: the capture knows nothing of it.
+// printTrace prints the trace of a message in a capture, and reports whether the capture has the message.
 func printTrace(out io.Writer, reader *capture.Reader, file, id string) (found bool, err error) {
 	trace, err := capture.Trace(reader, id)
 	if errors.Is(err, capture.ErrNoMessage) {
-		return false, nil // it may stand in another
+		return false, nil // another capture may have it
 	}
 	fmt.Fprintln(out, file)
 	for _, line := range trace {
@@ -83,7 +83,7 @@
 	return true, err
 }
 
-// replay replays one capture and prints what came of it; its error is the first difference.
+// replay replays one capture and prints the result. It returns an error for the first difference.
 func replay(out, progress io.Writer, reader *capture.Reader, file string, until time.Duration, against string) error {
 	var core engine.CoreReplay
 	options, err := replayOptions(progress, file, until, against)
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// replayOptions are those of a replay of so much of a file, under the settings of another configuration if against is not empty.
+// replayOptions returns the options of a replay up to a time limit, under the settings of another configuration if against is not empty.
 func replayOptions(progress io.Writer, file string, until time.Duration, against string) (o capture.Options, err error) {
 	shown := time.Now()
 	o.Progress = func(share float64) {
@@ -147,7 +147,7 @@
 	return o, nil
 }
 
-// printOutcomes prints how messages ended, what happened to the relay, and why reading ended early.
+// printOutcomes prints the number of messages by outcome, the events of the relay, and why reading ended early if it did.
 func printOutcomes(w io.Writer, res *capture.Result) {
 	for _, outcome := range slices.Sorted(maps.Keys(res.Outcomes)) {
 		fmt.Fprintf(w, "  %-12s %d\n", outcome, res.Outcomes[outcome])
@@ -160,7 +160,7 @@
 	}
 }
 
-// printDifference prints the first turn in which the module decides otherwise.
+// printDifference prints the first turn in which the decision module decides differently.
 func printDifference(w io.Writer, res *capture.Result, d *capture.DifferenceError) {
 	fmt.Fprintf(w, "turn %d, %v after the start, differs after %d turns that are the same\n", d.Turn.No, d.Turn.Now-res.First, res.Turns-1)
 	printList(w, "events", d.Turn.Events, res.Event)
@@ -169,7 +169,7 @@
 	printList(w, "state", d.State, func(s string) string { return s })
 }
 
-// printList prints a list under its title, an item a line.
+// printList prints a title, and each element of a list on its own line.
 func printList[T any](w io.Writer, title string, all []T, words func(T) string) {
 	fmt.Fprintln(w, title)
 	for _, v := range all {
@@ -177,7 +177,7 @@
 	}
 }
 
-// printCoreDifference prints the first turn in which the core does otherwise.
+// printCoreDifference prints the first turn in which the core acts differently.
 func printCoreDifference(w io.Writer, res *capture.Result, d *engine.CoreDifferenceError) {
 	if d.Turn != nil && d.ModuleActions != nil && reflect.DeepEqual(d.Turn.Events, d.ModuleEvents) {
 		printDifference(w, res, &capture.DifferenceError{Turn: d.Turn, Got: d.ModuleActions, State: capture.Explain(d.State, res, capture.Concerned(d.Turn, d.ModuleActions))})
@@ -193,7 +193,7 @@
 	printList(w, "and now", d.ModuleEvents, res.Event)
 }
 
-// firstTurn is when a capture's first turn was, on the module's clock.
+// firstTurn returns the time of a capture's first turn, on the decision module's clock.
 func firstTurn(file string) (at time.Duration, err error) {
 	err = readCapture(file, func(reader *capture.Reader) error {
 		for {
@@ -210,8 +210,8 @@
 	return at, err
 }
 
-// writeTest writes a window of a capture to a folder, as a capture of its own.
-func writeTest(w io.Writer, reader *capture.Reader, file, dir string, from, length time.Duration) error {
+// writeWindow writes a time window of a capture to a directory, as a new capture.
+func writeWindow(w io.Writer, reader *capture.Reader, file, dir string, from, length time.Duration) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
--- a/cmd/mastusher/restart_test.go
+++ b/cmd/mastusher/restart_test.go
@@ -20,8 +20,8 @@
 	"mastusher/internal/relay/wiretest"
 )
 
-// silentEndpoint is an endpoint whose connections never come up: nobody takes them out of its queue, which is full.
-func silentEndpoint(t *testing.T) (address string, end func()) {
+// unresponsiveEndpoint listens on an address where connections are never established: its backlog is full, and nothing accepts from it.
+func unresponsiveEndpoint(t *testing.T) (address string, end func()) {
 	t.Helper()
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err == nil {
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	address = fmt.Sprint("127.0.0.1:", name.(*syscall.SockaddrInet4).Port)
-	queued := fillQueue(address)
+	queued := fillBacklog(address)
 	end = sync.OnceFunc(func() {
 		_ = syscall.Close(socket)
 		for _, conn := range queued {
@@ -49,8 +49,8 @@
 	return address, end
 }
 
-// fillQueue connects to an address until no connection comes up any more.
-func fillQueue(address string) (queued []net.Conn) {
+// fillBacklog connects to an address until a connection is no longer established.
+func fillBacklog(address string) (queued []net.Conn) {
 	for {
 		conn, err := net.DialTimeout("tcp", address, 300*time.Millisecond)
 		if err != nil {
@@ -88,7 +88,7 @@
 	return len(text), nil
 }
 
-// await waits until attempts were decided for as many messages as are wanted.
+// await waits until attempts were decided for want messages.
 func (l *attemptLog) await(t *testing.T) {
 	t.Helper()
 	select {
@@ -96,29 +96,31 @@
 	case <-time.After(20 * time.Second):
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		t.Fatalf("attempts were decided for %v only", l.ids)
+		t.Fatalf("attempts were decided only for messages %v", l.ids)
 	}
 }
 
-// orders are settings with a class of messages that must not run twice, a keyed one and one that may run any number of times.
-const orders = `"limits": {"disk_mb": 3}, "settings": {"peers_total": 1, "round": 5000, "machine_types": ["club-sites"], "localities": ["a"],
+// orderSettings are settings with three classes of messages: one that must not run twice, one that is deduplicated by key, and one that
+// may run any number of times.
+const orderSettings = `"limits": {"disk_mb": 3}, "settings": {"peers_total": 1, "round": 5000, "machine_types": ["club-sites"], "localities": ["a"],
   "allowed": {"max_attempts": 6, "cancel": true, "max_open": 100, "connect_timeout": 60000000}, "family_info": {"workers": 8}, "lanes": [
   {"name": "order", "effect": "side_effect", "aim": 60000000, "deadline": 90000000, "worth": 1},
   {"name": "call", "effect": "token", "group": "all", "memory_span": 300000, "aim": 60000000, "deadline": 90000000, "worth": 1},
   {"name": "board", "effect": "pure", "aim": 60000000, "deadline": 90000000, "worth": 1}]}`
 
-// TestServe_Restarted_PendingMessagesAreAttempted: what a restart finds accepted and not attempted yet is still attempted, whatever its class. The relay ends
-// while its calls' connections are coming up and more messages wait for a slot, and discovery is down when it returns. A call whose first byte was never
-// written is no attempt: a message that must not run twice was given up for it, and so was a keyed one past its window.
+// TestServe_Restarted_PendingMessagesAreAttempted checks that a restarted relay attempts all messages that were accepted and not yet
+// attempted, whatever their class. The relay ends while the connections of its calls are being established and more messages wait for
+// a slot, and discovery is down when it restarts. A call whose first byte was never written is not an attempt: counting it as one made
+// the relay give up messages that must not run twice, and keyed ones after their deduplication window.
 func TestServe_Restarted_PendingMessagesAreAttempted(t *testing.T) {
 	for _, signal := range []os.Signal{syscall.SIGKILL, syscall.SIGTERM} {
 		t.Run(signal.String(), func(t *testing.T) {
 			t.Parallel()
-			endpoint, end := silentEndpoint(t)
-			relay := &daemon{address: freeAddress(t), discovery: freeAddress(t), known: fmt.Sprintf(`{"index": 1, "snapshot": true, "endpoints": [
+			endpoint, end := unresponsiveEndpoint(t)
+			relay := &daemon{address: freeAddress(t), discovery: freeAddress(t), endpointList: fmt.Sprintf(`{"index": 1, "snapshot": true, "endpoints": [
 				{"name": "s-0", "address": %q, "zone": "a", "type": "club-sites", "group": 0, "status": "ready"}]}`, endpoint)}
-			file, _ := relay.writeConfig(t, t.TempDir(), orders)
-			attempts := newAttemptLog(6) // as many as one partner has slots
+			file, _ := relay.writeConfig(t, t.TempDir(), orderSettings)
+			attempts := newAttemptLog(6) // one partner has as many slots
 			relay.prepare(file, "--log-level", "debug")
 			relay.Stderr = attempts
 			relay.run(t)
@@ -141,7 +143,7 @@
 	}
 }
 
-// submitOrders hands in ten messages of each class, which must be accepted, and returns their ids.
+// submitOrders sends ten messages of each class, which must be accepted, and returns their IDs.
 func submitOrders(t *testing.T, address string) (ids []string) {
 	t.Helper()
 	client := standin.NewClient(address)
@@ -158,7 +160,7 @@
 	return ids
 }
 
-// serveCalls has an endpoint answer at an address, and returns the ids of the messages that come; it has room for so many.
+// serveCalls runs an endpoint at an address, and returns a channel of the given capacity with the IDs of the messages that arrive.
 func serveCalls(t *testing.T, address string, room int) <-chan string {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
@@ -175,7 +177,7 @@
 	return calls
 }
 
-// awaitCalls waits for so many calls and returns the ids of their messages.
+// awaitCalls waits for n calls and returns the IDs of their messages.
 func awaitCalls(t *testing.T, calls <-chan string, n int) (ids []string) {
 	t.Helper()
 	for late := time.After(30 * time.Second); len(ids) < n; {
@@ -183,14 +185,14 @@
 		case id := <-calls:
 			ids = append(ids, id)
 		case <-late:
-			t.Fatalf("only %d of %d were attempted: %v", len(ids), n, ids)
+			t.Fatalf("%d of %d messages were attempted: %v", len(ids), n, ids)
 		}
 	}
 	return ids
 }
 
-// TestServe_SignalWhileStarting: SIGHUP that comes while the relay starts is no reason to die, and SIGTERM ends it as at any other time. Its
-// configuration is a pipe: it starts for as long as the test likes.
+// TestServe_SignalWhileStarting checks that SIGHUP during the start does not end the relay, and that SIGTERM ends it as at any other
+// time. Its configuration is a pipe, so that the test controls how long the start takes.
 func TestServe_SignalWhileStarting(t *testing.T) {
 	for _, signal := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
 		t.Run(signal.String(), func(t *testing.T) {
@@ -203,7 +205,7 @@
 			if err := os.Remove(file); err != nil {
 				t.Fatal(err)
 			}
-			makePipe(t, file) // what it reads after this is another pipe
+			makePipe(t, file) // the next time the relay reads its configuration, it opens this second pipe
 			if err := relay.Process.Signal(signal); err != nil {
 				t.Fatal(err)
 			}
@@ -214,17 +216,17 @@
 			_ = pipe.Close()
 			if signal == syscall.SIGTERM {
 				if err := relay.Wait(); err != nil {
-					t.Errorf("it ends with %v", err)
+					t.Errorf("the relay ended with %v", err)
 				}
 				return
 			}
 			relay.awaitServing(t)
-			_ = awaitPipeReader(t, file).Close() // it reads its configuration once more
+			_ = awaitPipeReader(t, file).Close() // the relay has read its configuration again
 		})
 	}
 }
 
-// makePipe makes a named pipe.
+// makePipe creates a named pipe.
 func makePipe(t *testing.T, file string) {
 	t.Helper()
 	if err := syscall.Mkfifo(file, 0o600); err != nil {
@@ -232,7 +234,7 @@
 	}
 }
 
-// awaitPipeReader waits until a named pipe is opened by a reader, and opens it to be written.
+// awaitPipeReader waits until a reader opens a named pipe, and returns the pipe opened for writing.
 func awaitPipeReader(t *testing.T, file string) *os.File {
 	t.Helper()
 	pipe, err := os.OpenFile(file, os.O_WRONLY, 0)
@@ -242,8 +244,9 @@
 	return pipe
 }
 
-// TestServe_TerminatedAmidRequests_OneAnswerEach: requests that come in every order with SIGTERM. Each gets one answer, or an end without any part of one, and no
-// end is a reset: not that of a connection which rests until the relay ends it, nor of one whose client goes on sending.
+// TestServe_TerminatedAmidRequests_OneAnswerEach sends requests before, during and after SIGTERM. Each must get either one complete
+// answer or a closed connection without any part of an answer. No connection may be reset, neither an idle one that the relay closes
+// nor one whose client goes on sending.
 func TestServe_TerminatedAmidRequests_OneAnswerEach(t *testing.T) {
 	relay := &daemon{address: freeAddress(t)}
 	dir := t.TempDir()
@@ -261,17 +264,17 @@
 	wiretest.Run(t, half, "testdata/half-begun.txt")
 	_ = relay.Process.Signal(syscall.SIGTERM)
 	<-logged                                  // "relay draining"
-	_ = relay.Process.Signal(syscall.SIGTERM) // a second one changes nothing
+	_ = relay.Process.Signal(syscall.SIGTERM) // a second signal has no effect
 	wiretest.Run(t, half, "testdata/half-ended.txt")
 	wiretest.Run(t, sending, "testdata/draining.txt")
 	wiretest.Run(t, wiretest.Dial(t, relay.address), "testdata/draining.txt")
 	wiretest.Run(t, resting, "testdata/ended.txt")
 	if err := relay.Wait(); err != nil {
-		t.Errorf("the relay ends with %v", err)
+		t.Errorf("the relay ended with %v", err)
 	}
 	var dialer net.Dialer
 	if conn, err := dialer.DialContext(context.Background(), "tcp", relay.address); err == nil {
 		_ = conn.Close()
-		t.Error("somebody still listens")
+		t.Error("the relay's address still accepts connections")
 	}
 }
--- a/cmd/mastusher/serve.go
+++ b/cmd/mastusher/serve.go
@@ -24,21 +24,20 @@
 	"mastusher/internal/relay/vrrp"
 )
 
-// signals are those that the process has got. What ends it has a channel of its own, in which no other can take its place.
+// signals holds the channels of received signals. The shutdown signals have a channel of their own, which others cannot fill.
 type signals struct{ end, other <-chan os.Signal }
 
-// catch has signals kept from now on. It comes before all else: one that arrives while the relay starts waits for it to serve, and
-// SIGHUP, which ends a process that does not ask for it, is read as what it means.
-func catch() signals {
+// receiveSignals starts to receive signals. It must be called first: a signal that arrives while the relay starts is then queued until it serves,
+// and SIGHUP does not kill the process, as it does by default.
+func receiveSignals() signals {
 	end, other := make(chan os.Signal, 1), make(chan os.Signal, 16)
 	signal.Notify(end, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(other, syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGUSR2)
 	return signals{end, other}
 }
 
-// serve runs the relay until a signal says to end it and what it holds is finished or safe in the journal.
-// Upon SIGHUP it reads its configuration again (by load) and moves to the discovery that is named there, also while it drains. A second
-// signal to end it changes nothing.
+// serve runs the relay until a shutdown signal has arrived and all messages are finished or safe in the journal. On SIGHUP, also while
+// draining, it reloads its configuration with load and moves to the discovery address there. A second shutdown signal has no effect.
 func serve(cfg *config.Config, log *slog.Logger, got signals, load func() (*config.Config, error)) error {
 	limitRuntime(cfg)
 	entries, err := journal.Open(cfg.State, cfg.Limits.DiskBytes)
@@ -57,41 +56,41 @@
 	go r.drain(got.end)
 	log.Info("relay serving", "name", cfg.Name, "listen", cfg.Listen)
 	r.core.Run()
-	return entries.Close() // nothing begins from here on
+	return entries.Close() // no new work can begin after Run has returned
 }
 
-// limitRuntime has the Go runtime keep to what the configuration grants.
+// limitRuntime applies the configured limits to the Go runtime.
 func limitRuntime(cfg *config.Config) {
 	runtime.GOMAXPROCS(cfg.Limits.Cores)
 	debug.SetMemoryLimit(cfg.Limits.MemoryBytes * 3 / 4)
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(50) // what lives is small: the heap need not grow to 4 MB before it is looked through
+		debug.SetGCPercent(50) // the live heap is small and need not grow to 4 MB before a collection
 	}
 }
 
-// relay is a relay in service with all that stands around its core.
+// relay is a running relay: its core and the components around it.
 type relay struct {
-	cfg       *config.Config
-	log       *slog.Logger
-	core      *engine.Core
-	front     *platform.Front // nil: off
-	router    *vrrp.Instance  // nil: off
-	servers   []*httpwire.Server
-	listeners []net.Listener
-	captures  *recorder
-	shape     *shaper
-	closers   []func() // called the last first
+	cfg          *config.Config
+	log          *slog.Logger
+	core         *engine.Core
+	front        *platform.Front // nil: disabled
+	router       *vrrp.Instance  // nil: disabled
+	servers      []*httpwire.Server
+	listeners    []net.Listener
+	captures     *recorder
+	pluginPolicy *policyApplier
+	closers      []func() // called in reverse order
 }
 
-// close closes what start has opened, but for the servers: drain ends those.
+// close closes what start has opened, except for the servers, which drain closes.
 func (r *relay) close() {
 	for _, closer := range slices.Backward(r.closers) {
 		closer()
 	}
 }
 
-// start sets up plug-ins, fronts, captures and the fleet, and restores the journal: in this order, since a message may come as soon as a
-// front listens, and the core's first turn is to be in the capture.
+// start sets up plug-ins, fronts, captures and the fleet, and restores the journal. The order matters: a message may arrive as soon as a
+// front listens, and a capture must include the core's first turn.
 func (r *relay) start() error {
 	plugins, err := loadPlugins(r.cfg, r.log)
 	if err != nil {
@@ -112,11 +111,11 @@
 	if r.cfg.Capture.On {
 		r.captures.start()
 	}
-	r.shape = &shaper{plugins: plugins, core: r.core, log: r.log}
+	r.pluginPolicy = &policyApplier{plugins: plugins, core: r.core, log: r.log}
 	return r.joinFleet()
 }
 
-// listen serves a front.
+// listen starts the HTTP server of a front.
 func (r *relay) listen(name, address string, handle httpwire.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -156,21 +155,21 @@
 	return r.listen(activitypub.Name, r.cfg.ActivityPub.Listen, front.Handle)
 }
 
-// joinFleet restores the journal and, where the relay belongs to a fleet, takes part in that: until the fleet says more, nothing is taken
-// on and nothing sent.
+// joinFleet restores the journal and, if the relay belongs to a fleet, joins it. Until the fleet grants a lease, the relay accepts and
+// sends nothing.
 func (r *relay) joinFleet() error {
 	if r.cfg.Peers == nil {
 		r.core.Restore(time.Now())
 		return nil
 	}
 	var err error
-	if r.shape.rules, err = peer.NewRules(r.cfg); err != nil {
+	if r.pluginPolicy.rules, err = peer.NewRules(r.cfg); err != nil {
 		return err
 	}
-	r.shape.rules.LoadPlugins = r.shape.prepare
+	r.pluginPolicy.rules.LoadPlugins = r.pluginPolicy.prepare
 	r.core.Govern(engine.Mandate{}, nil)
 	r.core.Restore(time.Now())
-	fleet, err := peer.Open(r.cfg, r.shape.rules, r.log, r.core, r.shape.apply)
+	fleet, err := peer.Open(r.cfg, r.pluginPolicy.rules, r.log, r.core, r.pluginPolicy.apply)
 	if err != nil {
 		return err
 	}
@@ -178,17 +177,17 @@
 	return nil
 }
 
-// handleSignals does what SIGHUP, SIGUSR1 and SIGUSR2 ask for, until the process ends.
+// handleSignals handles SIGHUP, SIGUSR1 and SIGUSR2 until the process ends.
 func (r *relay) handleSignals(got <-chan os.Signal, load func() (*config.Config, error)) {
-	reloads := make(chan struct{}, 1) // one more is enough for any number that come while one is under way
+	reloads := make(chan struct{}, 1) // one queued reload covers all signals that arrive during a reload
 	go func() {
 		for range reloads {
-			r.shape.reload(r.front, load)
+			r.pluginPolicy.reload(r.front, load)
 		}
 	}()
 	for s := range got {
 		switch s {
-		case syscall.SIGHUP: // not here: to compile plug-ins takes time, and others must not wait
+		case syscall.SIGHUP: // reload in another goroutine: compiling plug-ins takes time, and other signals must not wait for it
 			select {
 			case reloads <- struct{}{}:
 			default:
@@ -201,14 +200,14 @@
 	}
 }
 
-// drain waits for the signal that ends the process, and then has the core end once all is finished or safe. Clients still come for a
-// moment after the signal: they are refused, not cut off. The core answers until the last of them is gone; then its last turn writes down
-// what calls have come to meanwhile.
+// drain waits for the shutdown signal, and then stops the core once all messages are finished or safe in the journal. Clients still
+// connect for a moment after the signal: their messages are rejected, and their connections are not cut off. The core answers until the
+// last server is closed. Its last turn then records the results of calls that have ended in the meantime.
 func (r *relay) drain(end <-chan os.Signal) {
 	s := <-end
 	r.log.Info("relay draining", "signal", s.String())
 	if r.router != nil {
-		r.router.Shutdown() // the others need not wait for this process to end
+		r.router.Shutdown() // lets the other routers take over before this process ends
 	}
 	for _, server := range r.servers {
 		server.DisableKeepAlives()
@@ -226,8 +225,8 @@
 	r.core.Stop()
 }
 
-// loadPlugins starts the plug-ins, or returns nil where the configuration sets up no host for them: then nothing of
-// theirs costs anything. With a plugin_host, plug-ins may also come with a reload.
+// loadPlugins starts the plug-in host. It returns nil if the configuration has no plugin_host, so that plug-ins then cost nothing. With a
+// plugin_host, plug-ins may also be added by a reload.
 func loadPlugins(cfg *config.Config, log *slog.Logger) (*plugin.Host, error) {
 	if !cfg.PluginHost.On {
 		return nil, nil
@@ -236,8 +235,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// A thread that runs a plug-in holds one of the runtime's processors: those are to be in excess. Which threads
-	// get the machine's is the scheduler's to say, and plug-ins have the lowest class there.
+	// A thread that runs a plug-in occupies one of the runtime's processors, so there must be more of them than cores. The operating system
+	// schedules the threads, with the lowest priority for those of plug-ins.
 	runtime.GOMAXPROCS(cfg.Limits.Cores + max(host.Procs(), 2))
 	return host, nil
 }
--- a/cmd/mastusher/stored_format_test.go
+++ b/cmd/mastusher/stored_format_test.go
@@ -17,20 +17,20 @@
 	"mastusher/internal/relay/standin"
 )
 
-// storedLanes are settings in which the messages of the journal's testdata, which are of the third class, may run more than once.
-const storedLanes = `"limits": {"disk_mb": 3}, "settings": {"peers_total": 1, "round": 5000, "machine_types": ["club-sites"], "localities": ["a"],
+// storedSettings are settings in which the messages of the journal's testdata, which belong to the third class, may run more than once.
+const storedSettings = `"limits": {"disk_mb": 3}, "settings": {"peers_total": 1, "round": 5000, "machine_types": ["club-sites"], "localities": ["a"],
   "allowed": {"max_attempts": 6, "max_open": 100}, "family_info": {"workers": 8}, "lanes": [
   {"name": "order", "effect": "side_effect", "aim": 30000000, "deadline": 60000000, "worth": 1},
   {"name": "match-event", "effect": "token", "group": "all", "memory_span": 60000000, "aim": 30000000, "deadline": 60000000, "worth": 1},
   {"name": "score-state", "effect": "pure", "aim": 30000000, "deadline": 60000000, "worth": 1}]}`
 
-// TestStoredFormat_StartsOnJournalOfEarlierVersion: a relay started on the journal that an earlier version left, as it was appended to,
-// with a torn end or compacted, delivers all that was not finished, passes on all outstanding notices, and keeps what it can't send.
+// TestStoredFormat_StartsOnJournalOfEarlierVersion starts a relay on the journal of an earlier version: as appended, with a truncated
+// end, and compacted. The relay must deliver all unfinished messages, send all pending notices, and keep what it cannot send.
 func TestStoredFormat_StartsOnJournalOfEarlierVersion(t *testing.T) {
 	for _, name := range []string{"appended.log", "torn.log", "compacted.log"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			relay := stageStored(t, filepath.Join("../../internal/relay/journal/testdata", name))
+			relay := newStoredRelay(t, filepath.Join("../../internal/relay/journal/testdata", name))
 			relay.start(t, relay.file)
 			if d := cmp.Diff(storedDeliveries(), relay.awaitDeliveries(len(storedDeliveries()))); d != "" {
 				t.Errorf("delivered (-want +got)\n%s", d)
@@ -41,7 +41,7 @@
 			}
 			_ = relay.Process.Signal(syscall.SIGTERM)
 			if err := relay.Wait(); err != nil {
-				t.Errorf("the relay ends with %v", err)
+				t.Errorf("the relay ended with %v", err)
 			}
 			want := []*journal.Entry{{Seq: 9, ID: "plain", Front: "activitypub", Tenant: -1, Deadline: time.UnixMicro(1_700_000_000_000_000), Body: []byte{}}}
 			if d := cmp.Diff(want, relay.journalEntries(t), cmpopts.IgnoreUnexported(journal.Entry{})); d != "" {
@@ -51,7 +51,7 @@
 	}
 }
 
-// storedDeliveries are the messages of the journal's testdata that are to be delivered, as storedRelay prints them.
+// storedDeliveries returns the messages of the journal's testdata that must be delivered, as formatted by awaitDeliveries.
 func storedDeliveries() (deliveries []string) {
 	for _, id := range []string{"accepted", "in-flight", "never-ran", "ran", "retried"} {
 		deliveries = append(deliveries, fmt.Sprintf(`%s key=key-%s body=body of %s desk=["sports"] empty=[""]`, id, id, id))
@@ -59,7 +59,7 @@
 	return deliveries
 }
 
-// storedRelay is a relay on a journal of an earlier version, with what it sends to.
+// storedRelay is a relay with the journal of an earlier version, and the endpoints and the platform that it talks to.
 type storedRelay struct {
 	*daemon
 	dir, file string
@@ -67,8 +67,8 @@
 	platform  *standin.Discovery
 }
 
-// stageStored sets up a relay on a copy of a journal. It is not started yet.
-func stageStored(t *testing.T, journalFile string) *storedRelay {
+// newStoredRelay sets up a relay with a copy of a journal, without starting it.
+func newStoredRelay(t *testing.T, journalFile string) *storedRelay {
 	t.Helper()
 	stored, err := os.ReadFile(journalFile)
 	if err != nil {
@@ -85,16 +85,16 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(platform.Close)
-	relay := &storedRelay{daemon: &daemon{address: freeAddress(t), discovery: platform.Address, known: known}, dir: t.TempDir(),
+	relay := &storedRelay{daemon: &daemon{address: freeAddress(t), discovery: platform.Address, endpointList: known}, dir: t.TempDir(),
 		endpoints: endpoints, platform: platform}
-	relay.file, _ = relay.writeConfig(t, relay.dir, storedLanes)
+	relay.file, _ = relay.writeConfig(t, relay.dir, storedSettings)
 	writeFile(t, filepath.Join(relay.stateDir(), "journal.log"), stored)
 	return relay
 }
 
 func (r *storedRelay) stateDir() string { return filepath.Join(r.dir, "state") }
 
-// awaitDeliveries waits until so many messages have arrived, and returns them sorted.
+// awaitDeliveries waits until n messages have arrived, and returns them sorted.
 func (r *storedRelay) awaitDeliveries(n int) (deliveries []string) {
 	for _, a := range r.endpoints.AwaitArrivals(n, 20*time.Second) {
 		deliveries = append(deliveries, fmt.Sprintf("%s key=%s body=%s desk=%q empty=%q", a.ID, a.Key, a.Body, a.Header["X-Desk"], a.Header["X-Empty"]))
@@ -103,7 +103,7 @@
 	return deliveries
 }
 
-// awaitNotices waits until so many notices have come, or for 20 s, and returns them by message.
+// awaitNotices waits for up to 20 s until n notices have arrived, and returns them by message ID.
 func (r *storedRelay) awaitNotices(n int) (notices map[string]string) {
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if notices, _ = r.platform.Notices(); len(notices) >= n {
@@ -113,7 +113,7 @@
 	return notices
 }
 
-// journalEntries are the messages in the journal of a relay that has ended.
+// journalEntries returns the messages in the journal of a relay that has ended.
 func (r *storedRelay) journalEntries(t *testing.T) []*journal.Entry {
 	t.Helper()
 	log, err := journal.Open(r.stateDir(), 3<<20)
