--- a/cmd/mastusher-tier/main.go
+++ b/cmd/mastusher-tier/main.go
@@ -1,5 +1,5 @@
-// Command mastusher-tier runs the roles of the serving tier (proxy, agent, controller and store) and checks the files
-// that they and the operator use.
+// Command mastusher-tier runs the roles of the serving tier (proxy, agent, controller and store) and checks settings files and
+// configurations.
 package main
 
 import (
--- a/cmd/plugin-benchmark/benchmark.go
+++ b/cmd/plugin-benchmark/benchmark.go
@@ -9,14 +9,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// pair is one run without the plug-ins and one with them, under the same load.
+// pair is a run without the plug-ins and a run with them, under the same load.
 type pair struct{ without, with *result }
 
-// comparison gathers what pairs have shown.
+// comparison collects the results of all pairs.
 type comparison struct {
-	p50, p99 []float64 // with/without, of the others' delivery latency
-	cpu      []float64 // µs of processor time a message, with less without
-	bad      int       // messages without their one end, or delivered twice
+	p50, p99 []float64 // with/without, of the delivery latency of the partners without hostile plug-ins
+	cpu      []float64 // µs of CPU time per message, with minus without
+	invalid  int       // messages lost, delivered though rejected, or delivered or reported more than once
 }
 
 func (c *comparison) add(p *pair) {
@@ -24,7 +24,7 @@
 	c.p99 = append(c.p99, p.with.latency(99)/p.without.latency(99))
 	c.cpu = append(c.cpu, p.with.cpu-p.without.cpu)
 	for _, r := range []*result{p.without, p.with} {
-		c.bad += r.missing + r.duplicates
+		c.invalid += r.missing + r.duplicates
 	}
 }
 
@@ -38,7 +38,7 @@
 	return (sorted[(len(sorted)-1)/2] + sorted[len(sorted)/2]) / 2
 }
 
-// benchmark makes all runs and prints what they have shown.
+// benchmark runs all pairs and prints the results.
 func (o *options) benchmark() error {
 	dir, err := os.MkdirTemp("", "plugin-benchmark")
 	if err != nil {
@@ -53,7 +53,7 @@
 		return err
 	}
 	if err := avoidLastCPU(); err != nil {
-		return fmt.Errorf("keeping off the relay's processor: %w", err)
+		return fmt.Errorf("keeping this process off the relay's CPU: %w", err)
 	}
 	o.printHeader()
 	var c comparison
@@ -65,8 +65,8 @@
 		c.add(p)
 	}
 	c.print()
-	if c.bad > 0 {
-		return &lostError{c.bad}
+	if c.invalid > 0 {
+		return &deliveryError{c.invalid}
 	}
 	return nil
 }
@@ -77,7 +77,7 @@
 	fmt.Printf("%-14s %9s %9s %9s %9s %9s %8s %8s %s\n", "run", "p50 ms", "p99 ms", "victims", "cpu µs", "peak MB", "ends", "missing", "")
 }
 
-// runPair makes both runs of a pair and prints a line for each; which comes first alternates from pair to pair.
+// runPair runs both runs of a pair and prints a line for each. The order of the two alternates from pair to pair.
 func (o *options) runPair(dir, keys string, number int) (*pair, error) {
 	p := &pair{}
 	for k := range 2 {
--- a/cmd/plugin-benchmark/errors.go
+++ b/cmd/plugin-benchmark/errors.go
@@ -5,30 +5,30 @@
 	"fmt"
 )
 
-var errOneProcessor = errors.New("one processor is too few")
+var errOneProcessor = errors.New("the benchmark needs at least two CPUs")
 
-// boundError says that a flag is out of its bounds.
+// boundError reports a flag whose value is out of bounds.
 type boundError struct{ bound }
 
 func (e *boundError) Error() string {
 	return fmt.Sprintf("--%s: want %d to %d", e.flag, e.min, e.limit)
 }
 
-// modeError says that there is no such mode.
+// modeError reports an unknown mode.
 type modeError struct{ mode string }
 
 func (e *modeError) Error() string { return fmt.Sprintf("--mode: there is no %q", e.mode) }
 
-// startError says that the relay takes no messages, and why.
+// startError reports that the relay did not start, with its log.
 type startError struct{ log []byte }
 
 func (e *startError) Error() string {
-	return fmt.Sprintf("the relay does not come up; its log: %s", e.log)
+	return fmt.Sprintf("the relay does not accept messages; its log: %s", e.log)
 }
 
-// lostError says that messages had no end or two.
-type lostError struct{ messages int }
+// deliveryError reports messages that were lost, delivered though rejected, or delivered or reported more than once.
+type deliveryError struct{ messages int }
 
-func (e *lostError) Error() string {
-	return fmt.Sprintf("%d messages without their one end, or delivered twice", e.messages)
+func (e *deliveryError) Error() string {
+	return fmt.Sprintf("%d messages were lost, delivered though rejected, or delivered or reported more than once", e.messages)
 }
--- a/cmd/plugin-benchmark/load.go
+++ b/cmd/plugin-benchmark/load.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// startDelay is the time before the first message may be due.
+	// startDelay is the time from the start of a run to its first possible message.
 	startDelay = 50 * time.Millisecond
 	// requestTimeout is how long a client waits for the relay's answer.
 	requestTimeout = 5 * time.Second
-	// deliveryTimeout is how long the relay has for a message.
+	// deliveryTimeout is how long the relay may take to deliver a message.
 	deliveryTimeout = 10 * time.Second
 )
 
-// load is the messages of a run, by their ids.
+// load holds the messages of a run by ID.
 type load struct {
 	mu       sync.Mutex
-	due      map[string]time.Time // when the message was to be handed in
-	statuses map[string]int       // of the relay's answer; 0: none came
+	due      map[string]time.Time // when the message should have been sent
+	statuses map[string]int       // status of the relay's answer; 0: no answer
 }
 
-// sendLoad hands in messages at times drawn beforehand, whatever the relay does: what it delays counts in full. It
-// returns when each has its answer.
+// sendLoad sends messages at times drawn in advance, independent of the relay (open loop), so that all of the relay's delays are measured.
+// It returns once every message has been answered or timed out.
 func (o *options) sendLoad(client *standin.Client, seed uint64) *load {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	l := &load{due: map[string]time.Time{}, statuses: map[string]int{}}
@@ -48,7 +48,7 @@
 	return l
 }
 
-// send hands in one message and notes the answer.
+// send sends one message and records the answer.
 func (l *load) send(client *standin.Client, m *standin.Message) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
--- a/cmd/plugin-benchmark/main.go
+++ b/cmd/plugin-benchmark/main.go
@@ -1,10 +1,10 @@
-// Command plugin-benchmark measures what plug-ins cost, and whether a hostile set of them costs the other partners anything.
-// It starts the relay on one processor, endpoints and clients on the others, and plays the same load with and without
-// the plug-ins in turn. It is bounded in time and count, and uses loopback only.
+// Command plugin-benchmark measures the cost of plug-ins, and whether a hostile set of plug-ins slows down partners that they do not apply
+// to. It starts the relay on one CPU, and endpoints and clients on the others, and runs the same load with and without the plug-ins in
+// turn. Time and number of runs are bounded, and it uses loopback only.
 //
-// main.go has the flags, benchmark.go the pairs of runs and their report, run.go one run, load.go its clients,
-// result.go what came of it, modules.go the plug-ins and process.go the relay's process. It exits with 2 for a flag that can't
-// be, and with 1 where a run fails or a message is lost.
+// main.go has the flags, benchmark.go the pairs of runs and their report, run.go one run, load.go its clients, result.go its evaluation,
+// modules.go the plug-ins and process.go the relay's process. The exit code is 2 for an invalid flag, and 1 if a run fails or a message is
+// lost.
 package main
 
 import (
@@ -15,19 +15,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// options are the flags, and the processors to use.
+// options holds the flags, and the CPUs to use.
 type options struct {
-	relay    string // the relay's program
-	pairs    int    // of runs
+	relay    string // path of the relay's program
+	pairs    int    // number of pairs of runs
 	seconds  int    // length of a run
-	rate     int    // messages a second
-	partners int    // that the plug-ins are not for; numbered from 0
-	victims  int    // partners that the hostile plug-ins are for; numbered from there
+	rate     int    // messages per second
+	partners int    // partners without hostile plug-ins; numbered from 0
+	victims  int    // partners with hostile plug-ins; numbered after the others
 	mode     string
-	cpus     unix.CPUSet // that there are
+	cpus     unix.CPUSet // CPUs that this process may run on
 }
 
-// bound is a flag's least and greatest value.
+// bound is the value of a flag and the range of its values.
 type bound struct {
 	flag       string
 	value      int
@@ -69,7 +69,7 @@
 	return o
 }
 
-// check tells which flag is out of its bounds.
+// check returns an error for the first flag that is out of bounds.
 func (o *options) check() error {
 	for _, b := range []bound{
 		{"pairs", o.pairs, 1, 50},
--- a/cmd/plugin-benchmark/main_test.go
+++ b/cmd/plugin-benchmark/main_test.go
@@ -17,11 +17,11 @@
 
 func TestOptions_OutOfBounds_AreNamed(t *testing.T) {
 	if err := validOptions().check(); err != nil {
-		t.Fatalf("the least that there may be: %v", err)
+		t.Fatalf("valid options: %v", err)
 	}
 	for name, c := range map[string]struct {
-		spoil func(*options)
-		want  string
+		change func(*options)
+		want   string
 	}{
 		"no pair":           {func(o *options) { o.pairs = 0 }, "--pairs: want 1 to 50"},
 		"run too short":     {func(o *options) { o.seconds = 1 }, "--seconds: want 2 to 300"},
@@ -31,7 +31,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := validOptions()
-			c.spoil(o)
+			c.change(o)
 			if err := o.check(); err == nil || err.Error() != c.want {
 				t.Errorf("error %v, want %s", err, c.want)
 			}
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestModeKeys_Hostile_AreForVictimsAndFloodsLast: hostile plug-ins are for the victims only, their modules are written, and the one that
-// rejects comes last, or the others would never be asked.
+// TestModeKeys_Hostile_AreForVictimsAndFloodsLast checks that hostile plug-ins apply to the victims only, that their modules are written,
+// and that the one that rejects messages comes last. Otherwise, the plug-ins after it would never be called.
 func TestModeKeys_Hostile_AreForVictimsAndFloodsLast(t *testing.T) {
 	dir := t.TempDir()
 	keys, err := validOptions().modeKeys(dir)
@@ -51,10 +51,10 @@
 	gjson.Get("{"+strings.TrimSuffix(keys, ", ")+"}", "plugins").ForEach(func(_, p gjson.Result) bool {
 		names = append(names, p.Get("name").String())
 		if got := p.Get("partners").Raw; got != "[3,4]" {
-			t.Errorf("%s is for partners %s, want 3 and 4", p.Get("name"), got)
+			t.Errorf("plug-in %s applies to partners %s, want 3 and 4", p.Get("name"), got)
 		}
 		if want := filepath.Join(dir, p.Get("name").String()+".wasm"); p.Get("file").String() != want {
-			t.Errorf("module in %s, want %s", p.Get("file"), want)
+			t.Errorf("module file %s, want %s", p.Get("file"), want)
 		}
 		if _, err := os.Stat(p.Get("file").String()); err != nil {
 			t.Error(err)
@@ -72,7 +72,7 @@
 	_, err := o.modeKeys(t.TempDir())
 	var unknown *modeError
 	if !errors.As(err, &unknown) || err.Error() != `--mode: there is no "dance"` {
-		t.Errorf("error %v, want one that names the mode", err)
+		t.Errorf("error %v, want a modeError that names the mode", err)
 	}
 }
 
--- a/cmd/plugin-benchmark/modules.go
+++ b/cmd/plugin-benchmark/modules.go
@@ -12,7 +12,7 @@
 	"mastusher/internal/relay/plugin/wasmtest"
 )
 
-// Modes beside the names of the hostile plug-ins.
+// Modes other than the names of hostile plug-ins.
 const (
 	modeHostile = "hostile"
 	modePassing = "passing"
@@ -20,13 +20,13 @@
 	modeNone    = "none"
 )
 
-// capturesPlaceholder stands for a run's folder of captures in the keys of its configuration.
+// capturesPlaceholder stands for a run's capture directory in the configuration keys of a mode.
 const capturesPlaceholder = "CAPTURES"
 
-// floods is the name of the hostile plug-in that rejects.
+// floods is the name of the hostile plug-in that rejects messages.
 const floods = "floods"
 
-// hostileModules are the hostile plug-ins by their names.
+// hostileModules returns the hostile plug-ins by name.
 func hostileModules() map[string][]byte {
 	return map[string][]byte{
 		"loops":    wasmtest.Loops(3),
@@ -38,7 +38,7 @@
 	}
 }
 
-// modeKeys are the keys that the configuration of a run has for the mode. The modules that they name are written to dir.
+// modeKeys returns the keys that a mode adds to a run's configuration. It writes the modules of the plug-ins to dir.
 func (o *options) modeKeys(dir string) (string, error) {
 	switch o.mode {
 	case modeCapture:
@@ -57,7 +57,7 @@
 	return pluginKeys(dir, map[string][]byte{o.mode: module}, o.victimScope())
 }
 
-// victimScope is the key that gives a plug-in the victims only.
+// victimScope returns the key that restricts a plug-in to the victims.
 func (o *options) victimScope() string {
 	var victims []string
 	for i := range o.victims {
@@ -66,7 +66,7 @@
 	return `"partners": [` + strings.Join(victims, ",") + `], `
 }
 
-// pluginKeys writes modules to a folder and returns the key that has them as plug-ins.
+// pluginKeys writes modules to a directory and returns the key that configures them as plug-ins.
 func pluginKeys(dir string, modules map[string][]byte, scope string) (string, error) {
 	var entries []string
 	for name, module := range modules {
@@ -76,7 +76,7 @@
 		}
 		entries = append(entries, fmt.Sprintf(`{"name": %q, "file": %q, %s"memory_mb": 4}`, name, file, scope))
 	}
-	// Those that reject come last, or the others would never be asked.
+	// A plug-in that rejects messages comes last: the ones after it would never be called.
 	slices.SortFunc(entries, func(a, b string) int {
 		return cmp.Or(cmp.Compare(strings.Count(a, floods), strings.Count(b, floods)), strings.Compare(a, b))
 	})
--- a/cmd/plugin-benchmark/process.go
+++ b/cmd/plugin-benchmark/process.go
@@ -11,10 +11,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxCPUs is how many processors a unix.CPUSet has room for.
+// maxCPUs is the number of CPUs that a unix.CPUSet holds.
 const maxCPUs = 1024
 
-// avoidLastCPU keeps all threads of this process off the last processor, which is the relay's.
+// avoidLastCPU moves all threads of this process off the last CPU, which is for the relay.
 func avoidLastCPU() error {
 	var cpus unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &cpus); err != nil {
@@ -27,7 +27,7 @@
 	tasks, err := os.ReadDir("/proc/self/task")
 	for _, task := range tasks {
 		if id, parseErr := strconv.Atoi(task.Name()); parseErr == nil {
-			_ = unix.SchedSetaffinity(id, &cpus) // a thread may have ended meanwhile
+			_ = unix.SchedSetaffinity(id, &cpus) // the thread may have ended in the meantime
 		}
 	}
 	return err
@@ -42,8 +42,7 @@
 	return last
 }
 
-// startRelay runs the relay on a processor, with its output in a file; its threads inherit that from the one that starts
-// it.
+// startRelay starts the relay on one CPU, with its output in a file. Its threads inherit the CPU affinity of the thread that starts it.
 func startRelay(program, configFile, logFile string, cpu int) (*exec.Cmd, error) {
 	output, err := os.Create(logFile)
 	if err != nil {
@@ -54,7 +53,7 @@
 	cmd.Stdout, cmd.Stderr = output, output
 	done := make(chan error)
 	go func() {
-		runtime.LockOSThread() // and never unlocked: the thread ends with its affinity
+		runtime.LockOSThread() // never unlocked, so that the thread ends together with its CPU affinity
 		var cpus unix.CPUSet
 		cpus.Set(cpu)
 		err := unix.SchedSetaffinity(0, &cpus)
@@ -66,7 +65,7 @@
 	return cmd, <-done
 }
 
-// peakMemoryMB is the most memory that a process has had; 0: it can't be read.
+// peakMemoryMB returns the peak memory of a process, or 0 if it cannot be read.
 func peakMemoryMB(pid int) float64 {
 	status, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for line := range strings.Lines(string(status)) {
--- a/cmd/plugin-benchmark/run.go
+++ b/cmd/plugin-benchmark/run.go
@@ -14,16 +14,16 @@
 	"mastusher/internal/relay/standin"
 )
 
-// Of the endpoints of a run.
+// Machine type and locality of a run's endpoints.
 const (
 	machineType = "club-sites"
 	locality    = "a"
 )
 
-// settleTime is how long the relay has after the load for what it still holds: it is delivered or told of.
+// settleTime is how long after the load the relay may take to deliver pending messages or to report them undeliverable.
 const settleTime = time.Second
 
-// settings are the keys that the configurations of all runs have in common.
+// settings are the configuration keys that all runs share.
 const settings = `"limits": {"cores": 1, "memory_mb": 192, "sockets": 1024, "disk_mb": 3}, "settings": {"peers_total": 1, "round": 5000,
   "localities": ["a"], "machine_types": ["club-sites"], "allowed": {"cancel": true, "max_attempts": 6, "max_open": 2000,
   "max_retry_after": 3000000, "retry_after": true, "conn_idle": 15000000, "connect_timeout": 1500000},
@@ -32,8 +32,7 @@
   {"name": "score-state", "effect": "pure", "aim": 2000000, "deadline": 24000000, "worth": 3}],
   "rules": {"cold": 14000000, "drain_grace": 250000, "fall": 2000000, "overload_factor": 2, "start_capacity": 0.21}}`
 
-// run starts the relay with further keys in its configuration, plays a load and judges what came of it. All its files
-// stand in dir.
+// run starts the relay with additional configuration keys, runs a load and evaluates the result. All files of the run are in dir.
 func (o *options) run(dir, keys string, seed uint64) (*result, error) {
 	if err := os.MkdirAll(filepath.Join(dir, "state"), 0o700); err != nil {
 		return nil, err
@@ -66,20 +65,20 @@
 	time.Sleep(settleTime)
 	r := &result{others: newHistogram(), peak: peakMemoryMB(relay.Process.Pid)}
 	r.cpu = float64(stop(relay).Microseconds()) / float64(len(l.due))
-	o.judge(r, l, endpoints, discovery)
+	o.evaluate(r, l, endpoints, discovery)
 	return r, o.replay(r, capturesDir(dir), len(l.due))
 }
 
 func capturesDir(dir string) string { return filepath.Join(dir, "captures") }
 
-// configText is the configuration of a run.
+// configText returns the configuration of a run.
 func configText(dir, address, discovery string, seed uint64, known, keys string) string {
 	return fmt.Sprintf(`{"name": "b", "listen": %q, "state": %q, "discovery": %q, "seed": "%016x", "known": %s, %s%s}`,
 		address, filepath.Join(dir, "state"), discovery, seed, known,
 		strings.ReplaceAll(keys, capturesPlaceholder, capturesDir(dir)), settings)
 }
 
-// serve starts the relay and waits until it takes messages.
+// serve starts the relay and waits until it accepts messages.
 func (o *options) serve(dir, address, text string) (*exec.Cmd, error) {
 	configFile, logFile := filepath.Join(dir, "config.json"), filepath.Join(dir, "log")
 	if err := os.WriteFile(configFile, []byte(text), 0o600); err != nil {
@@ -97,7 +96,7 @@
 	return relay, nil
 }
 
-// stop has the relay end, and returns the processor time that it has taken; 0: it can't be told.
+// stop stops the relay and returns the CPU time that it used, or 0 if that is unknown.
 func stop(relay *exec.Cmd) time.Duration {
 	_ = relay.Process.Signal(syscall.SIGTERM)
 	_ = relay.Wait()
@@ -107,7 +106,8 @@
 	return 0
 }
 
-// replay remarks what a capture takes, and demands that it replays the same. Without captures there is nothing to do.
+// replay replays the captures of the run, if there are any, and notes their size and the replay speed. It returns an error if a replay
+// differs.
 func (o *options) replay(r *result, dir string, messages int) error {
 	files, _ := filepath.Glob(filepath.Join(dir, "*.mcap"))
 	if len(files) == 0 {
@@ -118,12 +118,12 @@
 	if err != nil || !strings.Contains(string(output), "every decision is the same") {
 		return fmt.Errorf("the capture does not replay: %w; %s", err, output)
 	}
-	r.remark = fmt.Sprintf("%d bytes a message; replayed at %.0f times its pace, with the program's start", sizeOf(files)/int64(messages),
+	r.note = fmt.Sprintf("%d bytes a message; replayed at %.0f times its pace, with the program's start", sizeOf(files)/int64(messages),
 		float64(o.seconds)/time.Since(from).Seconds())
 	return nil
 }
 
-// sizeOf is how many bytes files have together, as far as they can be read.
+// sizeOf returns the total size of the files that can be read.
 func sizeOf(files []string) (size int64) {
 	for _, file := range files {
 		if info, err := os.Stat(file); err == nil {
--- a/cmd/relay-simulator/errors.go
+++ b/cmd/relay-simulator/errors.go
@@ -6,25 +6,25 @@
 )
 
 var (
-	// errRulesViolated is returned where a policy violated a rule.
+	// errRulesViolated is returned if a policy violated a rule.
 	errRulesViolated = errors.New("rules were broken")
-	// errFleetViolation is returned where a fleet broke a rule, or what had to come about did not.
+	// errFleetViolation is returned if a fleet violated a rule, or a scenario's expected outcome did not occur.
 	errFleetViolation = errors.New("a rule was broken, or something did not come about")
-	// errNoViolation is returned where a world that is to be shrunk breaks no rule.
+	// errNoViolation is returned if the world to shrink violates no rule.
 	errNoViolation = errors.New("no such rule is broken in this world")
 )
 
-// argumentError is a fault of the command line in one argument.
+// argumentError reports an invalid argument of the command line.
 type argumentError struct {
-	argument string // a flag, or a command
+	argument string // flag or command
 	reason   string
 }
 
 // Error returns the argument and the reason, as in "--rate: want above 0, up to 5,000".
 func (e *argumentError) Error() string { return e.argument + ": " + e.reason }
 
-// outcomeError is returned for a message that a relay under load lost, or delivered twice.
+// outcomeError reports a message that a relay under load lost or delivered twice.
 type outcomeError struct{ id, outcome string }
 
-// Error returns the message and what became of it.
+// Error returns the message's ID and its outcome.
 func (e *outcomeError) Error() string { return fmt.Sprintf("message %s: %s", e.id, e.outcome) }
--- a/cmd/relay-simulator/fleet.go
+++ b/cmd/relay-simulator/fleet.go
@@ -127,10 +127,10 @@
 	return cmd
 }
 
-// fleetCost configures a measurement of what relays take.
+// fleetCost configures a measurement of the resources that relays use.
 type fleetCost struct {
 	relays, changes int
-	rate            float64 // messages/s at each relay, of the runs that are not idle
+	rate            float64 // messages/s to each relay, in the runs that are not idle
 	length          time.Duration
 	idleOnly        bool
 }
@@ -149,7 +149,7 @@
 	return cmd
 }
 
-// run measures one run after the other, and prints a line for each.
+// run measures one run after the other and prints a line for each.
 func (c *fleetCost) run(w io.Writer, relay string) error {
 	program, err := filepath.Abs(relay)
 	if err != nil {
@@ -185,7 +185,7 @@
 	return nil
 }
 
-// runFleet plays one scenario; history, logs and page stay where out names a folder or something went wrong.
+// runFleet runs one scenario. History, logs and page are kept if out names a directory or if the scenario fails.
 func runFleet(cmd *cobra.Command, plan testcluster.Scenario, relay, out string) error {
 	keep := out != ""
 	if !keep {
@@ -226,30 +226,30 @@
 	return nil
 }
 
-// fleetSoak configures a soak: count scenarios of successive seeds, several at once.
+// fleetSoak configures a soak test: count scenarios with consecutive seeds, some of them in parallel.
 type fleetSoak struct {
 	count, parallel, maxRelays int
 	firstSeed                  uint64
 }
 
-// soakResult sums up the scenarios of a soak. Its lock guards all of it.
+// soakResult sums up the scenarios of a soak test. The mutex guards all fields.
 type soakResult struct {
 	sync.Mutex
-	faults                     map[string]int // by kind, that were injected during a change
+	faults                     map[string]int // faults injected during a change of policy, by kind
 	changes, inForce, accepted int
-	bad                        []string
+	failures                   []string
 }
 
-// add adds a scenario's result; the folder of one that is all right is removed.
+// add adds the result of a scenario, and removes its directory unless the scenario failed.
 func (s *soakResult) add(seed uint64, r *testcluster.Result, err error, dir string) {
 	s.Lock()
 	defer s.Unlock()
 	switch {
 	case err != nil:
-		s.bad = append(s.bad, fmt.Sprintf("seed %d: %v", seed, err))
+		s.failures = append(s.failures, fmt.Sprintf("seed %d: %v", seed, err))
 		return
 	case r.Bad():
-		s.bad = append(s.bad, r.String()+"; see "+dir)
+		s.failures = append(s.failures, r.String()+"; see "+dir)
 		_ = r.Save(dir)
 	default:
 		_ = os.RemoveAll(dir)
@@ -260,7 +260,7 @@
 	s.changes, s.inForce, s.accepted = s.changes+r.Changes, s.inForce+r.InForce, s.accepted+r.Accepted
 }
 
-// run plays the scenarios and prints those that went wrong.
+// run runs the scenarios and prints those that failed.
 func (c *fleetSoak) run(cmd *cobra.Command, relay string) error {
 	relay, err := filepath.Abs(relay)
 	if err != nil {
@@ -290,13 +290,13 @@
 	}
 	close(seeds)
 	workers.Wait()
-	slices.Sort(sum.bad)
-	for _, b := range sum.bad {
+	slices.Sort(sum.failures)
+	for _, b := range sum.failures {
 		fmt.Fprintln(cmd.OutOrStdout(), b)
 	}
 	fmt.Fprintf(cmd.OutOrStdout(), "%d scenarios in %v, %d bad; %d of %d changes in force, %d messages taken on; faults during a change: %v\n", c.count,
-		time.Since(started).Round(time.Second), len(sum.bad), sum.inForce, sum.changes, sum.accepted, sum.faults)
-	if len(sum.bad) > 0 {
+		time.Since(started).Round(time.Second), len(sum.failures), sum.inForce, sum.changes, sum.accepted, sum.faults)
+	if len(sum.failures) > 0 {
 		return errFleetViolation
 	}
 	return nil
--- a/cmd/relay-simulator/loadtest.go
+++ b/cmd/relay-simulator/loadtest.go
@@ -12,7 +12,7 @@
 	"mastusher/internal/relay/simulator/report"
 )
 
-// demoScript returns the steps of the demo, quick times as fast.
+// demoScript returns the steps of the demo, at the given multiple of the normal speed.
 func demoScript(quick float64) []loadtest.Step {
 	after := func(seconds float64) time.Duration { return time.Duration(seconds / quick * float64(time.Second)) }
 	set := func(partner int, change func(*loadtest.Behavior)) func(*loadtest.LoadTest) {
@@ -94,8 +94,8 @@
 	return cmd
 }
 
-// runLoadTest runs a load test on a relay, prints what happened and writes the page, if one is named. A message that is lost or
-// delivered twice is an error.
+// runLoadTest runs a load test on a relay, prints the result, and writes the page if one is named. It returns an error if a message is lost
+// or delivered twice.
 func runLoadTest(out, progress io.Writer, plan loadtest.Plan, relay, page, title string) error {
 	dir, err := os.MkdirTemp("", "relay-simulator")
 	if err != nil {
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// printLoadTest prints the timeline, how many messages had each outcome, and how soon they were accepted.
+// printLoadTest prints the timeline, the number of messages by outcome, and the latency of their acceptance.
 func printLoadTest(out io.Writer, test *loadtest.LoadTest, traces []*loadtest.MessageTrace) {
 	for _, e := range test.Timeline {
 		fmt.Fprintf(out, "%8.3f s  %s\n", e.At.Seconds(), e.What)
@@ -140,14 +140,14 @@
 		fmt.Fprintf(out, " %d %s,", counts[outcome], outcome)
 		delete(counts, outcome)
 	}
-	for outcome, n := range counts { // there should be none
+	for outcome, n := range counts { // outcomes that loadtest.Outcomes does not list; there should be none
 		fmt.Fprintf(out, " %d %s,", n, outcome)
 	}
 	fmt.Fprintf(out, " taken on within p50 %.1f ms, p99 %.1f ms of when they were due\n", float64(test.AcceptLatency.ValueAtPercentile(50))/1e6,
 		float64(test.AcceptLatency.ValueAtPercentile(99))/1e6)
 }
 
-// writeLoadTestPage writes a page with what happened to each message.
+// writeLoadTestPage writes an HTML page with the trace of each message.
 func writeLoadTestPage(page, title string, length time.Duration, test *loadtest.LoadTest, traces []*loadtest.MessageTrace) error {
 	f, err := os.Create(page)
 	if err != nil {
--- a/cmd/relay-simulator/main.go
+++ b/cmd/relay-simulator/main.go
@@ -1,5 +1,5 @@
-// Command relay-simulator runs worlds of package simulator in virtual time, load tests on a real relay process, and fleets of relays
-// with faults injected. The daemon links none of it.
+// Command relay-simulator runs simulated worlds of package simulator in virtual time, load tests on a real relay process, and fleets of
+// relays with injected faults. The relay's program links none of it.
 package main
 
 import (
@@ -27,7 +27,7 @@
 	}
 }
 
-// command is the program's command line.
+// command returns the root command.
 func command(out, progress io.Writer) *cobra.Command {
 	root := &cobra.Command{Use: "relay-simulator", Short: "try routing, limits and retries in an emulator, in virtual time", SilenceUsage: true}
 	root.SetOut(out)
@@ -36,7 +36,7 @@
 	return root
 }
 
-// loadWorld reads a world's file; a seed other than 0 takes the place of its own.
+// loadWorld reads the file of a world. A seed other than 0 replaces the seed in the file.
 func loadWorld(file string, seed uint64) (*simulator.World, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return w, nil
 }
 
-// runCommand plays a world once.
+// runCommand runs a world once.
 func runCommand() *cobra.Command {
 	var name, page string
 	var seed uint64
@@ -89,7 +89,7 @@
 	return b.String()
 }
 
-// printResult prints what came of a run, with samples of broken rules.
+// printResult prints the result of a run, with examples of violated rules.
 func printResult(w io.Writer, r *simulator.Result) {
 	fmt.Fprintf(w, "%s, seed %d, under %s: worth %.3f; %d messages, %d delivered, %d given up, %d late\n", r.World, r.Seed, r.Policy, r.Value, r.Messages,
 		r.Delivered, r.Abandoned, r.Expired)
@@ -110,7 +110,7 @@
 	}
 }
 
-// fleetText formats what the relays did together.
+// fleetText formats the statistics about all relays together.
 func fleetText(r *simulator.Result) string {
 	f := r.Fleet
 	s := fmt.Sprintf("in step %.3f, over %.2f, wasted %.3f, regain %.0f s, unequal %.3f", f.PeakSenderShare, f.PeakOverload, f.ThrottledPerMessage, f.RecoverySeconds, f.Unfairness)
@@ -123,7 +123,7 @@
 	return s
 }
 
-// sweepCommand plays an experiment.
+// sweepCommand runs an experiment.
 func sweepCommand(progress io.Writer) *cobra.Command {
 	var file, page string
 	cores := runtime.GOMAXPROCS(0)
@@ -144,7 +144,8 @@
 	return cmd
 }
 
-// runExperiment plays an experiment, prints its runs, and writes results and page where they are named. A broken rule is errRulesViolated.
+// runExperiment runs an experiment, prints its runs, and writes results and page if their files are named. It returns errRulesViolated if a
+// rule was violated.
 func runExperiment(out, progress io.Writer, x *experiment.Experiment, cores int, file, page string) error {
 	from := time.Now()
 	res, err := x.Run(cores, func(done, of int) {
@@ -168,7 +169,7 @@
 	return err
 }
 
-// printCells prints a line for each run, and returns whether a rule was broken in any.
+// printCells prints a line for each run, and reports whether any run violated a rule.
 func printCells(out io.Writer, res *experiment.Results) (broken bool) {
 	fmt.Fprintf(out, "%12s %-12s %6s %7s %9s %9s %9s %9s %10s %s\n", res.SweepKey, "policy", "seed", "worth", "messages", "refused", "calls", "µs/msg", "turns", "decisions")
 	for _, c := range res.Cells {
@@ -190,7 +191,7 @@
 	return broken
 }
 
-// compareCommand plays a world under several policies.
+// compareCommand runs a world under several policies.
 func compareCommand(progress io.Writer) *cobra.Command {
 	var policies []string
 	var seeds int
@@ -217,7 +218,7 @@
 	return cmd
 }
 
-// plotCommand draws results that sweep has written.
+// plotCommand plots results that sweep has written.
 func plotCommand() *cobra.Command {
 	return &cobra.Command{Use: "plot RESULTS PAGE", Short: "draw the results of a sweep as a page", Args: cobra.ExactArgs(2), RunE: func(_ *cobra.Command, args []string) error {
 		res, err := experiment.Load(args[0])
@@ -236,13 +237,13 @@
 	return errors.Join(report.Write(f, res), f.Close())
 }
 
-// violatesRule reports whether a policy violates a rule in a world; "": any rule.
+// violatesRule reports whether a policy violates a rule in a world; an empty rule stands for any.
 func violatesRule(w *simulator.World, name, rule string) bool {
 	res, err := experiment.RunWorld(w, name)
 	return err == nil && (rule == "" && len(res.ViolationCounts) > 0 || res.ViolationCounts[rule] > 0)
 }
 
-// shrinkCommand looks for the smallest world that still breaks a rule.
+// shrinkCommand searches for the smallest world in which a policy still violates a rule.
 func shrinkCommand() *cobra.Command {
 	var name, rule string
 	var runs int
@@ -269,14 +270,14 @@
 	return cmd
 }
 
-// worldSoak plays worlds of successive seeds for a time, and shrinks the first in which the policy breaks the rule ("": any).
+// worldSoak runs worlds with consecutive seeds for a time, and shrinks the first in which the policy violates the rule (empty: any rule).
 type worldSoak struct {
 	policy, rule string
 	length       time.Duration
 	firstSeed    uint64
 }
 
-// soakCommand looks for broken rules in random worlds.
+// soakCommand searches random worlds for violated rules.
 func soakCommand(progress io.Writer) *cobra.Command {
 	var soak worldSoak
 	cmd := &cobra.Command{Use: "soak", Short: "play worlds that seeds draw, and look for broken rules", Args: cobra.NoArgs,
@@ -288,7 +289,7 @@
 	return cmd
 }
 
-// run plays the worlds. A broken rule ends it with errRulesViolated.
+// run runs the worlds. It returns errRulesViolated at the first violation.
 func (s *worldSoak) run(out, progress io.Writer) error {
 	until, shown := time.Now().Add(s.length), time.Now()
 	worlds := 0
@@ -307,7 +308,7 @@
 	return nil
 }
 
-// printSmallest shrinks a world in which a rule is broken, and prints it with what happens in it.
+// printSmallest shrinks a world in which a rule is violated, and prints the result of the smaller one.
 func (s *worldSoak) printSmallest(out io.Writer, world *simulator.World, seed uint64) error {
 	small := simulator.Shrink(world, 300, func(w *simulator.World) bool { return violatesRule(w, s.policy, s.rule) })
 	fmt.Fprintf(out, "# seed %d breaks a rule; the smallest world that still does:\n%s", seed, encodeWorld(small))
--- a/cmd/relay-simulator/main_test.go
+++ b/cmd/relay-simulator/main_test.go
@@ -38,7 +38,7 @@
 name = "a"
 `
 
-// Plays each command, and has each refuse what is wrong by naming it.
+// TestCommand_EachSubcommand_RunsOrNamesWhatIsWrong runs each subcommand, with invalid arguments too: the error must name what is wrong.
 func TestCommand_EachSubcommand_RunsOrNamesWhatIsWrong(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, text string) string {
@@ -92,7 +92,8 @@
 	}
 }
 
-// Plays the demonstration: over an outage, a drain and two kills each message has one end, and the page tells it.
+// TestDemo_OutageDrainAndKills_EachMessageEndsOnce runs the demo. Despite an outage, a drain and two kills, each message must have exactly
+// one outcome, and the page must show the events.
 func TestDemo_OutageDrainAndKills_EachMessageEndsOnce(t *testing.T) {
 	dir := t.TempDir()
 	relay, page := filepath.Join(dir, "mastusher"), filepath.Join(dir, "demo.html")
@@ -111,7 +112,7 @@
 	}
 	for _, want := range []string{"is killed", "which hangs", "drains", "refused for", "<svg"} {
 		if !strings.Contains(string(text), want) {
-			t.Errorf("the page says nothing of %q", want)
+			t.Errorf("the page does not contain %q", want)
 		}
 	}
 }
--- a/cmd/tier-demo/main.go
+++ b/cmd/tier-demo/main.go
@@ -1,5 +1,5 @@
 // Command tier-demo starts a complete serving tier on loopback, runs programs against it, kills two of its processes and
-// reports whether a guarantee was violated. Its status is 1 if one was, or if the demo could not run.
+// reports whether a guarantee was violated. The exit status is 1 if one was, or if the demo failed to run.
 package main
 
 import (
@@ -25,7 +25,7 @@
 	}
 }
 
-// run runs the demo in a folder; an empty one stands for a temporary folder that is removed after a success.
+// run runs the demo in a folder. If none is given, it uses a temporary folder, which it removes after a successful run.
 func run(ctx context.Context, binary, folder string) error {
 	temporary := folder == ""
 	if temporary {
--- a/cmd/tier-soak/main.go
+++ b/cmd/tier-soak/main.go
@@ -1,5 +1,5 @@
 // Command tier-soak injects random faults, drawn from seeds, into tiers of real processes on loopback, and counts violations of
-// their guarantees. Its status is 1 if there are any.
+// their guarantees. The exit status is 1 if there are any.
 package main
 
 import (
@@ -83,7 +83,7 @@
 	return subcommands.ExitSuccess
 }
 
-// runSeed runs a seed's plan in a folder of its own, and keeps that if there are violations.
+// runSeed runs the plan of a seed in a folder of its own, and keeps the folder if there are violations.
 func (p *playCommand) runSeed(ctx context.Context, seed uint64) (violated bool, err error) {
 	self, err := os.Executable()
 	if err != nil {
