--- a/internal/tier/apierror/apierror_test.go
+++ b/internal/tier/apierror/apierror_test.go
@@ -19,27 +19,27 @@
 	"pgregory.net/rapid"
 )
 
-// notExecutedStatuses are the statuses from which clients conclude that the request was not executed.
+// notExecutedStatuses are the statuses that tell clients that a request was not executed.
 var notExecutedStatuses = []int{
 	http.StatusPaymentRequired, http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests,
 	http.StatusServiceUnavailable,
 }
 
-// unsureStatuses are the statuses from which they conclude nothing.
+// unsureStatuses are the statuses that do not tell clients whether a request was executed.
 var unsureStatuses = []int{http.StatusBadGateway, http.StatusGatewayTimeout}
 
 func TestResponse_AllKinds_MatchTheTable(t *testing.T) {
 	var table strings.Builder
 	fmt.Fprintf(&table, "%-22s %6s %-9s %-11s %s\n", "kind", "status", "never ran", "retry after", "close")
 	for _, kind := range Kinds() {
-		answer := kind.Response()
+		response := kind.Response()
 		fmt.Fprintf(&table, "%-22s %6d %-9t %-11t %t\n",
-			kind, answer.Status, answer.NotExecuted, answer.RetryAfter, answer.Close)
+			kind, response.Status, response.NotExecuted, response.RetryAfter, response.Close)
 	}
 	goldie.New(t).Assert(t, "answers", []byte(table.String()))
 }
 
-// docRow matches a row of the tables of kinds on the operators' page: kind, status, not executed, Retry-After, closes.
+// docRow matches a row of the tables of kinds in docs/operations/errors.md: kind, status, not executed, Retry-After, closes.
 var docRow = regexp.MustCompile("(?m)^\\| `([a-z ]+)` \\| (\\d+|none) \\| (yes|no) \\| (yes|no) \\| (yes|no) \\|")
 
 func TestOperatorsPage_EachKind_StandsThereOnceAsInTheTable(t *testing.T) {
@@ -50,15 +50,15 @@
 	described := make(map[string]Response)
 	for _, row := range docRow.FindAllStringSubmatch(string(page), -1) {
 		if _, twice := described[row[1]]; twice {
-			t.Errorf("%q stands there twice", row[1])
+			t.Errorf("the page lists %q twice", row[1])
 		}
-		status, _ := strconv.Atoi(row[2]) // none: 0
+		status, _ := strconv.Atoi(row[2]) // "none" becomes 0
 		described[row[1]] = Response{Status: status, NotExecuted: row[3] == "yes", RetryAfter: row[4] == "yes", Close: row[5] == "yes"}
 	}
 	for _, kind := range Kinds() {
 		got, ok := described[kind.String()]
 		if want := kind.Response(); !ok || got != want {
-			t.Errorf("%q: the page has %+v (there: %t), want %+v", kind, got, ok, want)
+			t.Errorf("%q: the page has %+v (listed: %t), want %+v", kind, got, ok, want)
 		}
 	}
 	if len(described) != len(Kinds()) {
@@ -75,35 +75,35 @@
 		}
 		seen[name] = kind
 		if kind.Response() == (Response{}) {
-			t.Errorf("%v has no answer", kind)
+			t.Errorf("%v has no response", kind)
 		}
 	}
 }
 
 func TestResponse_RetryableStatus_OnlyIfNotExecuted(t *testing.T) {
 	for _, kind := range Kinds() {
-		answer := kind.Response()
-		if slices.Contains(notExecutedStatuses, answer.Status) && !answer.NotExecuted {
-			t.Errorf("%v is answered by %d and may have run", kind, answer.Status)
+		response := kind.Response()
+		if slices.Contains(notExecutedStatuses, response.Status) && !response.NotExecuted {
+			t.Errorf("%v: status %d says that the request was not executed, but it may have been", kind, response.Status)
 		}
-		if !answer.NotExecuted && !slices.Contains(unsureStatuses, answer.Status) && !answer.Close {
-			t.Errorf("%v may have run, and is answered by %d on a connection that stays", kind, answer.Status)
+		if !response.NotExecuted && !slices.Contains(unsureStatuses, response.Status) && !response.Close {
+			t.Errorf("%v may have been executed, but status %d does not say so and the connection stays open", kind, response.Status)
 		}
-		if answer.NotExecuted && slices.Contains(unsureStatuses, answer.Status) {
-			t.Errorf("%v never ran, and %d doesn't say so", kind, answer.Status)
+		if response.NotExecuted && slices.Contains(unsureStatuses, response.Status) {
+			t.Errorf("%v was not executed, but status %d leaves that open", kind, response.Status)
 		}
-		if answer.RetryAfter != (answer.Status == http.StatusServiceUnavailable) {
-			t.Errorf("%v: %d and a time to come back go together", kind, answer.Status)
+		if response.RetryAfter != (response.Status == http.StatusServiceUnavailable) {
+			t.Errorf("%v: status %d, but Retry-After must go with status 503 and with no other", kind, response.Status)
 		}
-		if kind != ResponseTruncated && answer.Status < http.StatusTemporaryRedirect {
-			t.Errorf("%v: %d is no failure", kind, answer.Status)
+		if kind != ResponseTruncated && response.Status < http.StatusTemporaryRedirect {
+			t.Errorf("%v: status %d is not an error", kind, response.Status)
 		}
 	}
 }
 
 func TestResponse_TurnNotFound_IsNotExecuted(t *testing.T) {
-	if answer := TurnNotFound.Response(); answer.Status != http.StatusNotFound || !answer.NotExecuted {
-		t.Errorf("got %+v", answer)
+	if response := TurnNotFound.Response(); response.Status != http.StatusNotFound || !response.NotExecuted {
+		t.Errorf("got %+v, want 404 and not executed", response)
 	}
 }
 
@@ -114,23 +114,23 @@
 		err  error
 		want Kind
 	}{
-		"no error":                        {nil, None},
-		"an error of no kind":             {io.EOF, Internal},
-		"a kind by itself":                {NoRoute, NoRoute},
-		"an error of a kind":              {refused, EndpointRefused},
-		"wrapped":                         {fmt.Errorf("call: %w", refused), EndpointRefused},
-		"wrapped with a trace":            {trace.Wrap(trace.Wrap(refused), "call %d", 1), EndpointRefused},
-		"a wrapped kind":                  {trace.Wrap(Overloaded), Overloaded},
-		"judged anew":                     {New(NoEndpoint, "all asked: %w", refused), NoEndpoint},
-		"joined, the unsure one last":     {errors.Join(refused, unsure), MayHaveExecuted},
-		"joined, the unsure one first":    {errors.Join(unsure, refused), MayHaveExecuted},
-		"joined, both not executed":       {errors.Join(io.EOF, refused, NoRoute), EndpointRefused},
-		"joined by multierr":              {multierr.Append(refused, unsure), MayHaveExecuted},
-		"joined by trace":                 {trace.NewAggregate(refused, unsure), MayHaveExecuted},
-		"joined errors of no kind":        {errors.Join(io.EOF, io.ErrNoProgress), Internal},
-		"a kind that isn't on the list":   {Kind(250), Kind(250)},
-		"an error with a nil cause":       {trace.Wrap(New(Internal, "x")), Internal},
-		"wrapped twice by the same verbs": {fmt.Errorf("%w and %w", refused, unsure), MayHaveExecuted},
+		"no error":                      {nil, None},
+		"an error of no kind":           {io.EOF, Internal},
+		"a kind by itself":              {NoRoute, NoRoute},
+		"an error of a kind":            {refused, EndpointRefused},
+		"wrapped":                       {fmt.Errorf("call: %w", refused), EndpointRefused},
+		"wrapped with a trace":          {trace.Wrap(trace.Wrap(refused), "call %d", 1), EndpointRefused},
+		"a wrapped kind":                {trace.Wrap(Overloaded), Overloaded},
+		"another kind around it":        {New(NoEndpoint, "all endpoints: %w", refused), NoEndpoint},
+		"joined, may have run is last":  {errors.Join(refused, unsure), MayHaveExecuted},
+		"joined, may have run is first": {errors.Join(unsure, refused), MayHaveExecuted},
+		"joined, both not executed":     {errors.Join(io.EOF, refused, NoRoute), EndpointRefused},
+		"joined by multierr":            {multierr.Append(refused, unsure), MayHaveExecuted},
+		"joined by trace":               {trace.NewAggregate(refused, unsure), MayHaveExecuted},
+		"joined errors of no kind":      {errors.Join(io.EOF, io.ErrNoProgress), Internal},
+		"an undefined kind":             {Kind(250), Kind(250)},
+		"an error without a cause":      {trace.Wrap(New(Internal, "x")), Internal},
+		"two causes wrapped by Errorf":  {fmt.Errorf("%w and %w", refused, unsure), MayHaveExecuted},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -138,7 +138,7 @@
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 			if got := ResponseOf(c.err); got != c.want.Response() {
-				t.Errorf("got %+v", got)
+				t.Errorf("got %+v, want the response of the kind", got)
 			}
 		})
 	}
@@ -155,10 +155,10 @@
 	}
 	var typed *Error
 	if !errors.As(one, &typed) || typed.Kind() != MayHaveExecuted {
-		t.Errorf("got %v", typed)
+		t.Errorf("got %v, want an *Error of kind MayHaveExecuted", typed)
 	}
 	if none := New(NoRoute, "no cause"); errors.Unwrap(none) != nil {
-		t.Errorf("got %v", errors.Unwrap(none))
+		t.Errorf("got cause %v, want none", errors.Unwrap(none))
 	}
 }
 
@@ -188,11 +188,11 @@
 		return nil
 	}
 	if got := testing.AllocsPerRun(100, func() { ResponseOf(refuse(true)) }); got != 0 {
-		t.Errorf("%v allocations", got)
+		t.Errorf("got %v allocations, want none", got)
 	}
 }
 
-// However errors are joined, the response is NotExecuted only if those of all kinds in them are.
+// TestResponseOf_JoinedErrors_NotExecutedOnlyIfAllAre checks that the response to joined errors is NotExecuted only if all kinds are.
 func TestResponseOf_JoinedErrors_NotExecutedOnlyIfAllAre(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kinds := rapid.SliceOfN(rapid.SampledFrom(Kinds()), 1, 6).Draw(t, "kinds")
--- a/internal/tier/apierror/error.go
+++ b/internal/tier/apierror/error.go
@@ -5,20 +5,20 @@
 	"fmt"
 )
 
-// Error is an error of one kind, with a message and possibly a cause.
+// Error is an error with a kind, a message and possibly a cause.
 type Error struct {
 	kind    Kind
 	message string
 	cause   error
 }
 
-// New returns an *Error. The verb %w wraps a cause, as with fmt.Errorf.
+// New returns an *Error. As with fmt.Errorf, the verb %w wraps a cause.
 func New(kind Kind, format string, args ...any) error {
 	formatted := fmt.Errorf(format, args...)
 	return &Error{kind: kind, message: formatted.Error(), cause: causeOf(formatted)}
 }
 
-// causeOf returns what a formatted error wraps: one error, several joined, or nil.
+// causeOf returns the cause that a formatted error wraps: one error, several joined errors, or nil.
 func causeOf(formatted error) error {
 	if several, ok := formatted.(interface{ Unwrap() []error }); ok {
 		return errors.Join(several.Unwrap()...)
@@ -41,14 +41,14 @@
 	return e.cause
 }
 
-// Is reports whether the target is the kind of the error, so that errors.Is(err, apierror.NoRoute) holds.
+// Is reports whether target is the error's kind, so that errors.Is(err, apierror.NoRoute) works.
 func (e *Error) Is(target error) bool {
 	kind, ok := target.(Kind)
 	return ok && kind == e.kind
 }
 
-// KindOf returns the kind of an error: that of the outermost error that has one. Where several errors are joined, a kind that
-// doesn't rule out execution takes precedence. An error without a kind is Internal; nil is None.
+// KindOf returns the kind of an error: the outermost one in its chain. Among joined errors, the first kind that doesn't rule out execution
+// is used. An error without a kind is Internal; nil is None.
 func KindOf(err error) Kind {
 	if err == nil {
 		return None
@@ -59,7 +59,7 @@
 	return Internal
 }
 
-// kindIn returns the kind in an error, or None.
+// kindIn returns the outermost kind in an error, or None.
 func kindIn(err error) Kind {
 	switch err := err.(type) { //nolint:errorlint // it walks the tree of wrapped errors itself, as joined ones need judgement
 	case Kind:
@@ -74,7 +74,7 @@
 	return None
 }
 
-// mostCautious returns the first kind that does not rule out execution, otherwise the first kind.
+// mostCautious returns the first kind that does not rule out execution, or else the first kind.
 func mostCautious(joined []error) Kind {
 	first := None
 	for _, err := range joined {
--- a/internal/tier/apierror/kind.go
+++ b/internal/tier/apierror/kind.go
@@ -1,58 +1,58 @@
-// Package apierror holds the closed list of the serving tier's error kinds and the table from kind to HTTP response. What a client
-// gets follows from the kind alone, so that a status from which clients conclude that a request was not executed, and that they
-// may retry it, is never chosen by hand. All parts of the tier that answer clients or operators use it. Its values are immutable.
+// Package apierror holds the closed list of the serving tier's error kinds and the table from kind to HTTP response. The response that a
+// client gets depends on the kind alone. So no code chooses by hand a status that tells clients that a request was not executed and may
+// be retried. All parts of the tier that answer clients or operators use it. Its values are immutable.
 package apierror
 
 import "fmt"
 
-// Kind is one kind of error. A Kind is itself an error, so that a frequent one can be returned without an allocation.
+// Kind is a kind of error. A Kind is itself an error, so that frequent errors can be returned without an allocation.
 type Kind uint8
 
-// The kinds. None stands for no error.
+// Kinds of errors. None stands for no error.
 const (
 	None Kind = iota
 
-	// Of requests that were not sent to any endpoint.
+	// Requests that were not sent to any endpoint.
 
-	BadRequest       // the request can't be read
-	RequestTimeout   // the client was too slow to send the request
-	HeadersTooLarge  // the header section is over the limit
-	BodyTooLarge     // the body is over the limit
-	NoRoute          // no route has this host and path
-	NotReady         // the process lacks a configuration, endpoints or the route to a leader
-	NoEndpoint       // the service has no endpoint that could take the request
-	Overloaded       // load shedding
+	BadRequest       // the request can't be parsed
+	RequestTimeout   // the client sent the request too slowly
+	HeadersTooLarge  // the header section exceeds the limit
+	BodyTooLarge     // the body exceeds the limit
+	NoRoute          // no route matches host and path
+	NotReady         // the process has no configuration, no endpoints, or no route to a leader
+	NoEndpoint       // the service has no endpoint that can take the request
+	Overloaded       // the request was shed because of overload
 	DeadlineTooShort // the client's deadline is too short for any endpoint
 	ShuttingDown     // the process is ending
-	BudgetExhausted  // what is left of the program's budget is too little for the turn
-	TurnNotFound     // a leader has confirmed that there is no such earlier turn
-	StateUnavailable // the program's state can't be read or written at present
-	StorageFull      // the stores are short of memory or disk, and begin no new programs
+	BudgetExhausted  // the rest of the program's budget is too small for the turn
+	TurnNotFound     // a leader has confirmed that the earlier turn does not exist
+	StateUnavailable // the program's state can't be read or written now
+	StorageFull      // the stores are short of memory or disk, and reject new programs
 
-	// Of requests that were sent to an endpoint.
+	// Requests that were sent to an endpoint.
 
-	EndpointRefused   // every endpoint that was tried has rejected the request without executing it
-	MayHaveExecuted   // the request was sent, and nothing rules out that it was executed
-	EndpointTimeout   // the request was sent, and no response came in time
-	ResponseTruncated // a response that the client has begun to receive can't be completed
+	EndpointRefused   // every attempted endpoint rejected the request without executing it
+	MayHaveExecuted   // the request was sent, and may have been executed
+	EndpointTimeout   // the request was sent, and no response arrived in time
+	ResponseTruncated // the response has begun, but can't be completed
 
-	// Of the operator's orders.
+	// Orders of the operator.
 
-	InvalidConfiguration // the configuration can't be accepted whatever the current one is
+	InvalidConfiguration // the configuration is invalid, whatever the current one is
 	VersionConflict      // another version is current
-	NotLeader            // another process is the leader of what the order is about
+	NotLeader            // another process is the leader of the group that the order concerns
 	Unconfirmed          // the order may or may not take effect
 	TooFewStores         // too few storage machines would remain
-	UnknownNode          // there is no machine of this name
-	UnknownService       // there is no service of this name
-	OperationInProgress  // the order, or another on the same object, is in progress
+	UnknownNode          // no machine has this name
+	UnknownService       // no service has this name
+	OperationInProgress  // this order, or another one on the same object, is in progress
 
-	Internal // anything else
+	Internal // any other error
 
 	kindCount
 )
 
-// kindNames are the kinds' texts in messages, and labels of metrics: operators' dashboards depend on them.
+// kindNames are the texts of the kinds in messages and metric labels. Operators' dashboards depend on them.
 var kindNames = [kindCount]string{
 	None:                 "none",
 	BadRequest:           "bad request",
--- a/internal/tier/apierror/response.go
+++ b/internal/tier/apierror/response.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Response is how a kind of error is answered over HTTP.
+// Response is the HTTP response to a kind of error.
 type Response struct {
-	Status      int  // 0: the response has already begun, no status can be sent
+	Status      int  // 0: the response has already begun, so that no status can be sent
 	NotExecuted bool // the request was not and will not be executed; an order takes no effect through this call
-	RetryAfter  bool // a Retry-After header is sent
-	Close       bool // the connection is closed after it
+	RetryAfter  bool // the response has a Retry-After header
+	Close       bool // the connection is closed after the response
 }
 
-// responses is the table. A status from which clients conclude that the request was not executed must have NotExecuted.
+// responses is the table of responses. A status that tells clients that the request was not executed must have NotExecuted.
 var responses = [kindCount]Response{
 	None:                 {Status: http.StatusOK},
 	BadRequest:           {Status: http.StatusBadRequest, NotExecuted: true, Close: true},
@@ -46,7 +46,7 @@
 	Internal:             {Status: http.StatusInternalServerError, Close: true},
 }
 
-// Response returns the kind's row of the table; that of Internal for a kind that isn't on the list.
+// Response returns the response to the kind; an unknown kind has that of Internal.
 func (k Kind) Response() Response {
 	if k >= kindCount {
 		return responses[Internal]
@@ -54,20 +54,20 @@
 	return responses[k]
 }
 
-// ResponseOf returns the response to an error, by its KindOf.
+// ResponseOf returns the response to an error, according to KindOf.
 func ResponseOf(err error) Response {
 	return KindOf(err).Response()
 }
 
-// FormatRetryAfter formats a wait as the value of a Retry-After header: seconds, rounded up to a thousandth. A negative wait is 0. The
-// fraction goes beyond RFC 9110 section 10.2.3, which has whole seconds.
+// FormatRetryAfter formats a duration as the value of a Retry-After header: in seconds, rounded up to milliseconds. A negative duration
+// is formatted as 0. The fraction goes beyond RFC 9110 section 10.2.3, which allows whole seconds only.
 func FormatRetryAfter(wait time.Duration) string {
 	const digits = 3
 	rounded := (max(wait, 0) + time.Millisecond - 1).Truncate(time.Millisecond)
 	return trimFraction(strconv.FormatFloat(rounded.Seconds(), 'f', digits, 64))
 }
 
-// trimFraction removes the trailing zeros of a fraction.
+// trimFraction removes trailing zeros of a fraction.
 func trimFraction(text string) string {
 	end := len(text)
 	for text[end-1] == '0' {
--- a/internal/tier/command/agent.go
+++ b/internal/tier/command/agent.go
@@ -14,7 +14,7 @@
 // agentFeedShare is the share of the grace time for which an agent continues to feed its proxy after SIGTERM.
 const agentFeedShare = 0.8
 
-// runAgent runs the role until stopping ends, and then for as long as its proxy may need it.
+// runAgent runs the role until stopping ends, and then for agentFeedShare of the grace time, because its proxy may still need it.
 func (p *process) runAgent(stopping context.Context) error {
 	address := p.address(wire.AgentPort)
 	id := strconv.FormatUint(p.seed, 16)
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// countProxies returns the number of proxies: one beside each agent that is neither dead nor has left.
+// countProxies returns the number of running proxies: one for each agent that is neither dead nor has left.
 func countProxies(members []membership.Member) int {
 	count := 0
 	for _, m := range members {
@@ -45,11 +45,11 @@
 	return count
 }
 
-// forwardVersionStats passes a proxy's report on to every controller, as any may lead the configuration's group and judge.
+// forwardVersionStats forwards a proxy's report to every controller, since any of them may be the leader that evaluates roll-outs.
 func (p *process) forwardVersionStats(member *node.Node, report wire.VersionStatsReport) {
 	for _, m := range member.Members() {
 		if m.Role == membership.Controller && !m.DeadOrLeft() {
-			// A report that is lost is replaced by the next one.
+			// A lost report is replaced by the next one.
 			_ = transport.Notify(p.pool, m.Address, wire.MethodVersionStats, report)
 		}
 	}
--- a/internal/tier/command/agent_test.go
+++ b/internal/tier/command/agent_test.go
@@ -16,6 +16,6 @@
 		{Name: "f", Role: membership.Agent, State: membership.StateSuspect},
 	}
 	if got := countProxies(members); got != 2 {
-		t.Errorf("%d proxies, want 2", got)
+		t.Errorf("%d proxies counted, want 2", got)
 	}
 }
--- a/internal/tier/command/check.go
+++ b/internal/tier/command/check.go
@@ -14,7 +14,7 @@
 	"mastusher/internal/tier/validation"
 )
 
-// CheckSettings is the subcommand that checks a settings file and names each key that is missing or invalid.
+// CheckSettings is the subcommand that checks a settings file and prints each key that is missing or invalid.
 type CheckSettings struct {
 	Output io.Writer // nil: standard output
 }
@@ -41,7 +41,7 @@
 	})
 }
 
-// CheckConfig is the subcommand that checks a configuration as the operator sends it and names each fault by its path.
+// CheckConfig is the subcommand that checks a configuration, as the operator sends it, and prints the path of each invalid field.
 type CheckConfig struct {
 	Output io.Writer // nil: standard output
 }
@@ -65,7 +65,7 @@
 	return checkFile(c.Output, flags, schema.Check)
 }
 
-// checkFile checks the one file that the arguments name and prints its faults, one a line.
+// checkFile checks the file that the arguments name, of which there must be one, and prints each fault on a line of its own.
 func checkFile(output io.Writer, flags *flag.FlagSet, check func(raw []byte) error) subcommands.ExitStatus {
 	if output == nil {
 		output = os.Stdout
@@ -90,7 +90,7 @@
 	return subcommands.ExitFailure
 }
 
-// listFaults lists the faults that an error wraps, or the error itself if it wraps none.
+// listFaults returns the field errors in an error, or the error itself if it holds none.
 func listFaults(err error) []error {
 	faults := validation.FieldErrors(err)
 	if err != nil && len(faults) == 0 {
--- a/internal/tier/command/check_test.go
+++ b/internal/tier/command/check_test.go
@@ -27,14 +27,14 @@
 "rank":0,"service":"s","tries":2}],"services":[{"name":"s","healthPath":"/health","maxConnections":9,"protocol":"h1","tls":false}],
 "limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerWaitMs":3000,"idleCloseMs":15000}}`
 
-// executed is the outcome of a command.
-type executed struct {
+// commandResult is the exit status and the output of a command.
+type commandResult struct {
 	status subcommands.ExitStatus
 	output string
 }
 
-// execute runs a command on arguments.
-func execute(t *testing.T, command subcommands.Command, output *bytes.Buffer, arguments ...string) executed {
+// execute runs a command with arguments.
+func execute(t *testing.T, command subcommands.Command, output *bytes.Buffer, arguments ...string) commandResult {
 	t.Helper()
 	flags := flag.NewFlagSet(command.Name(), flag.ContinueOnError)
 	command.SetFlags(flags)
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	status := command.Execute(context.Background(), flags)
-	return executed{status: status, output: output.String()}
+	return commandResult{status: status, output: output.String()}
 }
 
 func writeFile(t *testing.T, content string) string {
@@ -64,7 +64,7 @@
 		{name: "good", content: goodSettings, keys: []string{"no faults"}},
 		{name: "a key is missing", content: strings.Replace(goodSettings, "nodeName: core-1", "", 1), status: 1, keys: []string{"nodeName: missing"}},
 		{
-			name:    "several are wrong",
+			name:    "several invalid values",
 			content: strings.NewReplacer("10.1.0.30\n", "here\n", "[7380, 7395]", "[9, 2]").Replace(goodSettings) + "limits: {memoryMb: -1}\n",
 			status:  1,
 			keys:    []string{"ip:", "portRange:", "limits.memoryMb:"},
@@ -89,7 +89,7 @@
 	}{
 		{name: "good", content: goodConfiguration, places: []string{"no faults"}},
 		{
-			name:    "a service that isn't known",
+			name:    "an unknown service",
 			content: strings.Replace(goodConfiguration, `"service":"s"`, `"service":"t"`, 1),
 			status:  1,
 			places:  []string{"routes[0].service:"},
@@ -111,16 +111,16 @@
 	}
 }
 
-// expectLines compares the status, and checks what each line contains.
-func expectLines(t *testing.T, got executed, status subcommands.ExitStatus, contents []string) {
+// expectLines checks the status, and that each line of the output contains the text at the same position.
+func expectLines(t *testing.T, got commandResult, status subcommands.ExitStatus, contents []string) {
 	t.Helper()
 	lines := strings.Split(strings.TrimSpace(got.output), "\n")
 	if got.status != status || len(lines) != len(contents) {
-		t.Fatalf("status %d, output:\n%s", got.status, got.output)
+		t.Fatalf("got status %d and output:\n%s", got.status, got.output)
 	}
 	for i, text := range contents {
 		if !strings.Contains(lines[i], text) {
-			t.Errorf("line %d is %q without %q", i, lines[i], text)
+			t.Errorf("line %d is %q, want it to contain %q", i, lines[i], text)
 		}
 	}
 }
@@ -133,7 +133,7 @@
 	}{
 		{name: "none", status: subcommands.ExitUsageError},
 		{name: "two", arguments: []string{"a", "b"}, status: subcommands.ExitUsageError},
-		{name: "one that isn't there", arguments: []string{"/nowhere/at/all"}, status: subcommands.ExitFailure},
+		{name: "a file that does not exist", arguments: []string{"/nowhere/at/all"}, status: subcommands.ExitFailure},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -141,7 +141,7 @@
 			for _, command := range []subcommands.Command{&CheckSettings{Output: &output}, &CheckConfig{Output: &output}} {
 				got := execute(t, command, &output, c.arguments...)
 				if got.status != c.status || got.output == "" {
-					t.Errorf("%s: status %d, output %q", command.Name(), got.status, got.output)
+					t.Errorf("%s: got status %d and output %q", command.Name(), got.status, got.output)
 				}
 			}
 		})
--- a/internal/tier/command/controller.go
+++ b/internal/tier/command/controller.go
@@ -14,7 +14,7 @@
 	"mastusher/internal/tier/wire"
 )
 
-// runController runs the role until ctx ends or one of its two goroutines does, and then until both have.
+// runController runs the role until ctx ends or one of its two goroutines ends, and returns once both have ended.
 func (p *process) runController(ctx context.Context) error {
 	address := p.address(wire.ControllerPort)
 	disk, id, err := p.openDisk(ctx, address)
@@ -56,8 +56,8 @@
 	return errors.Join(first, <-ended)
 }
 
-// initialMembers returns the configuration group's members at the first start of the system: the seeds, if this controller is
-// one of them; nil otherwise.
+// initialMembers returns the initial members of the configuration group at the first start of the system: the seeds, if this controller
+// is one of them, and nil otherwise. It is nil at all later starts.
 func (p *process) initialMembers(id string) []replica.Member {
 	if !p.settings.Bootstrap {
 		return nil
--- a/internal/tier/command/disk.go
+++ b/internal/tier/command/disk.go
@@ -7,7 +7,7 @@
 	"mastusher/internal/tier/storage"
 )
 
-// openDisk opens the machine's disk and loads the identity on it, or creates one. A disk that fails is retried.
+// openDisk opens the machine's disk, and loads or creates the identity on it. Reading the identity is retried while the disk fails.
 func (p *process) openDisk(ctx context.Context, address string) (disk storage.Disk, id string, err error) {
 	disk, err = p.env.OpenDisk(p.settings.DataDir)
 	if err != nil {
--- a/internal/tier/command/environment.go
+++ b/internal/tier/command/environment.go
@@ -14,10 +14,10 @@
 	"mastusher/internal/tier/storage"
 )
 
-// Environment is what a role depends on: that of the system in a process of its own, or a test's, which runs many roles in
-// one process.
+// Environment holds the external dependencies of a role: those of the operating system for a role in a process of its own, or a test's
+// for several roles in one process.
 type Environment struct {
-	SettingsPath  string // of the YAML settings file
+	SettingsPath  string // path of the YAML settings file
 	Logger        log.Logger
 	Network       network.Network
 	OpenDisk      func(directory string) (storage.Disk, error)
@@ -25,8 +25,8 @@
 	Now           func() time.Time // time of day, which may be set back
 }
 
-// systemEnvironment is that of a process of its own. SIGHUP is handled from here on: it must not end a process that is still
-// starting.
+// systemEnvironment returns the environment of a role in a process of its own. It handles SIGHUP from here on, which must not end a
+// process that is still starting.
 func systemEnvironment() Environment {
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
@@ -41,7 +41,7 @@
 	}
 }
 
-// openDirectory opens a directory of the machine's file system as a disk.
+// openDirectory opens a directory of the file system as a disk.
 func openDirectory(directory string) (storage.Disk, error) {
 	disk, err := storage.OpenOSDisk(directory)
 	if err != nil {
@@ -50,30 +50,29 @@
 	return disk, nil
 }
 
-// RunController runs a controller until ctx ends. For all roles the end of ctx stands for SIGTERM; an error means that the role
-// ended by itself or didn't end properly.
+// RunController runs a controller until ctx ends. For all roles the end of ctx has the effect of SIGTERM. An error means that the role
+// ended on its own or did not shut down properly.
 func RunController(ctx context.Context, env Environment) error {
-	return runIn(ctx, env, "controller", func(p *process) error { return p.runController(ctx) })
+	return runShared(ctx, env, "controller", func(p *process) error { return p.runController(ctx) })
 }
 
 // RunStore runs a store until ctx ends, and then until its groups have other leaders.
 func RunStore(ctx context.Context, env Environment) error {
-	return runIn(ctx, env, "store", func(p *process) error { return p.runStore(ctx) })
+	return runShared(ctx, env, "store", func(p *process) error { return p.runStore(ctx) })
 }
 
-// RunAgent runs an agent until ctx ends, and then for as long as its proxy may need it.
+// RunAgent runs an agent until ctx ends, and then for a part of the grace time, because its proxy may still need it.
 func RunAgent(ctx context.Context, env Environment) error {
-	return runIn(ctx, env, "agent", func(p *process) error { return p.runAgent(ctx) })
+	return runShared(ctx, env, "agent", func(p *process) error { return p.runAgent(ctx) })
 }
 
 // RunProxy runs a proxy until ctx ends, and then until the requests in flight have ended or the grace time is over.
 func RunProxy(ctx context.Context, env Environment) error {
-	return runIn(ctx, env, "proxy", func(p *process) error { return p.runProxy(ctx) })
+	return runShared(ctx, env, "proxy", func(p *process) error { return p.runProxy(ctx) })
 }
 
-// runIn runs a role that shares its process with others: it doesn't set the runtime's limits, and closes its connections at its
-// end.
-func runIn(ctx context.Context, env Environment, role string, run func(p *process) error) error {
+// runShared runs a role that shares its process with others. It doesn't set the runtime's limits, and it closes its connections at the end.
+func runShared(ctx context.Context, env Environment, role string, run func(p *process) error) error {
 	p, err := newProcessWith(env, role)
 	if err != nil {
 		return err
--- a/internal/tier/command/limit_monitor.go
+++ b/internal/tier/command/limit_monitor.go
@@ -13,16 +13,16 @@
 	"mastusher/internal/tier/wait"
 )
 
-// A store counts as near a limit from nearLimitShare of its memory or disk on, until it is below farFromLimitShare of both. Larger
-// shares use more of the machine, and leave less for what is under way: queued messages, a snapshot that is being received, the
-// garbage between two collections.
+// A store is near a limit once it uses nearLimitShare of its memory or disk, until it uses less than farFromLimitShare of both. Larger
+// shares use more of the machine, but leave less for work in progress: queued messages, a snapshot that is being received, and garbage
+// between two collections.
 const (
 	nearLimitShare    = 0.85
 	farFromLimitShare = 0.78
 	limitInterval     = 200 * time.Millisecond
 )
 
-// limitMonitor observes a store's use of memory and disk against the limits of its settings; a limit of 0 is none.
+// limitMonitor compares a store's use of memory and disk with the limits of its settings. A limit of 0 means no limit.
 type limitMonitor struct {
 	memoryLimit int64 // bytes
 	diskLimit   int64 // bytes
@@ -34,10 +34,10 @@
 	return &limitMonitor{memoryLimit: limits.MemoryMb << 20, diskLimit: limits.DiskMb << 20, logger: logger}
 }
 
-// isNear reports whether the store should begin no new programs.
+// isNear reports whether the store should reject new programs.
 func (m *limitMonitor) isNear() bool { return m.near.Load() }
 
-// run observes a store until ctx ends.
+// run checks a store periodically until ctx ends.
 func (m *limitMonitor) run(ctx context.Context, shards *store.Store) {
 	wait.Every(ctx, limitInterval, func() {
 		_, stats := shards.Stats()
@@ -46,7 +46,7 @@
 	})
 }
 
-// observe takes in the bytes of memory and disk that are used.
+// observe updates the state from the bytes of memory and disk in use.
 func (m *limitMonitor) observe(memory, disk int64) {
 	share := nearLimitShare
 	if m.isNear() {
--- a/internal/tier/command/limit_monitor_test.go
+++ b/internal/tier/command/limit_monitor_test.go
@@ -13,7 +13,7 @@
 	for _, tc := range []struct {
 		name         string
 		limits       settings.Limits
-		memory, disk []int64 // MiB, one after the other
+		memory, disk []int64 // MiB, in the order of the observations
 		want         bool
 	}{
 		{"far from both", settings.Limits{MemoryMb: 100, DiskMb: 1000}, []int64{84}, []int64{840}, false},
@@ -29,7 +29,7 @@
 				m.observe(tc.memory[i]*mb, tc.disk[i]*mb)
 			}
 			if m.isNear() != tc.want {
-				t.Errorf("near: %t", m.isNear())
+				t.Errorf("near a limit: %t, want the opposite", m.isNear())
 			}
 		})
 	}
@@ -42,7 +42,7 @@
 		held[i] = 1
 	}
 	if grown := usedMemory() - before; grown < 32<<20 {
-		t.Errorf("64 MiB more are counted as %d bytes", grown)
+		t.Errorf("after allocating 64 MiB, usedMemory grew by %d bytes", grown)
 	}
 	_ = held[0]
 }
--- a/internal/tier/command/membership.go
+++ b/internal/tier/command/membership.go
@@ -14,8 +14,8 @@
 	"mastusher/internal/tier/view"
 )
 
-// member returns what the others learn of the process. The incarnation exceeds that of its earlier starts as long as the
-// machine's clock isn't set back.
+// member returns the entry of this process in the membership. Its incarnation exceeds those of earlier starts as long as the machine's
+// clock isn't set back.
 func (p *process) member(role membership.Role, id, address string) membership.Member {
 	return membership.Member{
 		Name:        p.settings.NodeName + "/" + string(role),
@@ -28,23 +28,22 @@
 	}
 }
 
-// newNode returns the process's node in the membership, which doesn't run yet.
+// newNode creates the membership node of this process. join runs it.
 func (p *process) newNode(self membership.Member, onUpdate func(view.Update)) *node.Node {
 	return node.New(node.Options{Self: self, Seeds: p.membershipSeeds(p.settings), Pool: p.pool, Logger: p.logger, Seed: p.seed, OnUpdate: onUpdate})
 }
 
-// maxDiskSeeds bounds the machines named by its disk that a process tries beside the seeds of its settings. More find a running
-// one sooner where most have been replaced, and each that is gone costs a datagram at each interval of the seeds.
+// maxDiskSeeds limits how many addresses from the disk a process uses as seeds in addition to those of its settings. A larger value finds a
+// running machine sooner after most have been replaced, but each dead address costs a datagram per seed interval.
 const maxDiskSeeds = 8
 
-// useDiskSeeds has the node try machines that the disk names beside the seeds of the settings, which may all be gone. It must be
-// called before join.
+// useDiskSeeds adds addresses from the disk to the seeds of the settings, whose machines may all be gone. It must be called before join.
 func (p *process) useDiskSeeds(member *node.Node, addresses []string) {
 	p.diskSeeds = addresses[:min(len(addresses), maxDiskSeeds)]
 	member.SetSeeds(p.membershipSeeds(p.settings))
 }
 
-// membershipSeeds are the seeds of the settings, and the machines that the disk names.
+// membershipSeeds returns the seeds of the settings, followed by the addresses from the disk.
 func (p *process) membershipSeeds(loaded *settings.Settings) []string {
 	seeds := p.seedsOf(loaded)
 	for _, address := range p.diskSeeds {
@@ -55,8 +54,8 @@
 	return seeds
 }
 
-// join runs the node, which follows the seeds of the settings. The function that it returns announces that the process leaves, and
-// waits for the end of both. ctx gives values alone.
+// join runs the node and follows changes of the seeds in the settings. leave announces that the process leaves, and waits until both have
+// stopped. Only the values of ctx are used.
 func (p *process) join(ctx context.Context, member *node.Node, server *transport.Server) (leave func()) {
 	p.metrics.SetZoneLookup(func(host string) metrics.ZoneClass { return p.zoneOf(member, host) })
 	watched := newWatchedFile(p.env.SettingsPath, p.logger, func(loaded *settings.Settings) { member.SetSeeds(p.membershipSeeds(loaded)) })
@@ -70,7 +69,7 @@
 	}
 }
 
-// zoneOf reports whether a host is in the process's own zone, as far as the members say.
+// zoneOf returns the zone class of a host, as far as the membership knows its zone.
 func (p *process) zoneOf(member *node.Node, host string) metrics.ZoneClass {
 	for _, m := range member.Members() {
 		if known, _, err := net.SplitHostPort(m.Address); err == nil && known == host {
@@ -80,7 +79,7 @@
 	return metrics.UnknownZone
 }
 
-// classOf compares a zone with the process's own.
+// classOf compares a zone with that of this process.
 func (p *process) classOf(zone string) metrics.ZoneClass {
 	if zone == p.settings.Zone {
 		return metrics.OwnZone
--- a/internal/tier/command/process.go
+++ b/internal/tier/command/process.go
@@ -23,13 +23,13 @@
 // settingsVariable names the environment variable that holds the path of the settings file.
 const settingsVariable = "MASTUSHER_NODE_FILE"
 
-// Memory: the garbage collector keeps the heap below this share of the limit, and runs when it has grown by so many percent.
+// The garbage collector runs when the heap has grown by gcPercent, and more often when memory comes close to memoryLimitShare of the limit.
 const (
-	memoryShare   = 0.75
-	growthPercent = 25
+	memoryLimitShare = 0.75
+	gcPercent        = 25
 )
 
-// process is what all roles share.
+// process holds what all roles need.
 type process struct {
 	settings   *settings.Settings
 	logger     log.Logger
@@ -38,23 +38,23 @@
 	env        Environment
 	invariants *invariant.Counter
 	metrics    *metrics.Metrics
-	diskSeeds  []string // other machines that this one's disk names at its start
+	diskSeeds  []string // addresses of other machines that this machine's disk held at the start
 }
 
-// newProcess loads the settings and sets the runtime's limits.
+// newProcess loads the settings from the system's environment, and sets the runtime's limits.
 func newProcess(role string) (*process, error) {
 	p, err := newProcessWith(systemEnvironment(), role)
 	if err != nil {
 		return nil, err
 	}
 	if limits := p.settings.Limits; limits.MemoryMb > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(limits.MemoryMb<<20)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(limits.MemoryMb<<20)))
 	}
-	debug.SetGCPercent(growthPercent)
+	debug.SetGCPercent(gcPercent)
 	return p, nil
 }
 
-// newProcessWith loads the settings.
+// newProcessWith loads the settings from an environment. It doesn't set the runtime's limits.
 func newProcessWith(env Environment, role string) (*process, error) {
 	loaded, err := settings.Load(env.SettingsPath)
 	if err != nil {
@@ -67,25 +67,25 @@
 	return p, nil
 }
 
-// seedOf returns a seed that differs from process to process and from start to start.
+// seedOf returns a seed that differs between processes and between starts.
 func seedOf(node, role string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(node + "/" + role))
 	return hash.Sum64() ^ uint64(time.Now().UnixNano())
 }
 
-// address is where the process listens for other processes of the tier.
+// address returns the address at which the process listens for other processes of the tier.
 func (p *process) address(offset wire.PortOffset) string {
 	return net.JoinHostPort(p.settings.IP, strconv.Itoa(p.port(offset)))
 }
 
-// port returns the port for a kind of connections within the range of the settings.
+// port returns the port at an offset into the port range of the settings.
 func (p *process) port(offset wire.PortOffset) int { return p.settings.PortRange.First + offset }
 
-// seeds are the addresses of the controllers that the settings name, for other processes.
+// seeds returns the addresses of the controllers that the settings name, for calls from other processes.
 func (p *process) seeds() []string { return p.seedsOf(p.settings) }
 
-// seedsOf returns the seeds of reloaded settings. The ports of all machines stay the same.
+// seedsOf returns the seeds of reloaded settings. All machines use the same ports, which a reload doesn't change.
 func (p *process) seedsOf(loaded *settings.Settings) []string {
 	var seeds []string
 	for _, control := range loaded.SeedNodes {
@@ -98,13 +98,13 @@
 	return seeds
 }
 
-// logFailure logs an error that ends the process.
+// logFailure logs the error that ends the process.
 func logFailure(logger log.Logger, err error) subcommands.ExitStatus {
 	level.Error(logger).Log("msg", "process ends", "err", err)
 	return subcommands.ExitFailure
 }
 
-// fallbackLogger is used until the settings are loaded.
+// fallbackLogger returns the logger to use until the settings are loaded.
 func fallbackLogger(role string) log.Logger {
 	return log.With(log.NewLogfmtLogger(os.Stderr), "role", role)
 }
--- a/internal/tier/command/proxy.go
+++ b/internal/tier/command/proxy.go
@@ -14,18 +14,18 @@
 	"mastusher/internal/tier/wire"
 )
 
-// File descriptors of a proxy. Those that clients can't use are for endpoints and stores.
+// File descriptors of a proxy. Those not available to clients are for endpoints and stores.
 const (
-	reservedFiles = 200 // for files
-	clientsShare  = 0.6 // of the rest, for clients' connections
+	reservedFiles = 200 // reserved for files
+	clientsShare  = 0.6 // share of the rest, for connections of clients
 	minClients    = 64
 )
 
-// prefixCacheDivisor bounds the cache of programs' chains: the memory limit divided by it.
+// prefixCacheDivisor is the divisor by which the size of the cache for programs' chains follows from the memory limit.
 const prefixCacheDivisor = 64
 
 // runProxy runs the role until stopping ends, and then until the requests in flight have ended or the grace time is over. The feed of
-// the view and the two loops of reports run until then, and have ended when it returns.
+// views and both report loops run until then, and have ended when runProxy returns.
 func (p *process) runProxy(stopping context.Context) error {
 	running, end := context.WithCancel(context.Background())
 	var background sync.WaitGroup
@@ -76,7 +76,7 @@
 	}
 }
 
-// maxClients returns the maximum of client connections for a limit of open files; 0: no limit.
+// maxClients returns the maximum number of client connections for a limit of open files; 0: no limit.
 func maxClients(openFiles int64) int {
 	if openFiles <= 0 {
 		return 0
--- a/internal/tier/command/proxy_reports.go
+++ b/internal/tier/command/proxy_reports.go
@@ -11,13 +11,13 @@
 	"mastusher/internal/tier/wire"
 )
 
-// Intervals of what a proxy exchanges with its agent.
+// Intervals of the exchanges of a proxy with its agent.
 const (
-	reportInterval  = 200 * time.Millisecond // of reports on versions that are being rolled out
-	proxiesInterval = 2 * time.Second        // of queries for the number of proxies
+	reportInterval  = 200 * time.Millisecond // between reports on versions that are being rolled out
+	proxiesInterval = 2 * time.Second        // between queries for the number of proxies
 )
 
-// pollProxyCount keeps the balancer informed of how many proxies share the connections that an endpoint accepts, until ctx ends.
+// pollProxyCount tells the load balancer, until ctx ends, how many proxies there are: they share the connections that an endpoint accepts.
 func (p *process) pollProxyCount(ctx context.Context, balancer *proxy.LoadBalancer) {
 	wait.Every(ctx, proxiesInterval, func() {
 		bounded, cancel := context.WithTimeout(ctx, proxiesInterval)
@@ -30,11 +30,11 @@
 	})
 }
 
-// reportVersionStats sends the agent the counts of versions that are being rolled out, until ctx ends.
+// reportVersionStats sends the agent the counts for versions that are being rolled out, until ctx ends.
 func (p *process) reportVersionStats(ctx context.Context, counter *versionstats.Counter) {
 	wait.Every(ctx, reportInterval, func() {
 		if report, due := counter.Report(); due {
-			// A report that is lost is replaced by the next one: each has the counts since the start.
+			// A lost report is replaced by the next one, since each has the counts since the start.
 			_ = transport.Notify(p.pool, p.address(wire.AgentPort), wire.MethodVersionStats, report)
 		}
 	})
--- a/internal/tier/command/proxy_shutdown.go
+++ b/internal/tier/command/proxy_shutdown.go
@@ -7,8 +7,8 @@
 	"mastusher/internal/tier/proxy"
 )
 
-// The shutdown of a proxy. After SIGTERM it reports that it isn't ready and still accepts requests until the platform, which
-// checks each second, has noticed twice; then it waits for the requests in flight, and abandons those that are left.
+// Shutdown of a proxy. After SIGTERM it reports that it is not ready, but still accepts requests until the platform, which checks readiness
+// every second, has noticed twice. Then it waits for the requests in flight, and abandons those that remain.
 const (
 	drainTime       = 2400 * time.Millisecond
 	drainShare      = 0.4                    // upper bound of drainTime, as a share of the grace time
@@ -16,7 +16,7 @@
 	processExitTime = 100 * time.Millisecond // until the process has exited, also on a busy machine
 )
 
-// dataPath is a proxy that can be shut down.
+// dataPath is the part of a proxy that shutdownProxy shuts down.
 type dataPath interface {
 	Drain()
 	Shutdown(ctx context.Context) error
@@ -36,8 +36,8 @@
 	return min(drainTime, shareOf(grace, drainShare))
 }
 
-// shutdownTimeout returns how long after SIGTERM a proxy stops waiting for requests. The responses to those that it abandons,
-// and the exit of its process, must be within the grace time, too.
+// shutdownTimeout returns how long after SIGTERM a proxy stops waiting for requests. Answering the requests that it abandons, and the exit
+// of its process, must fit in the rest of the grace time.
 func shutdownTimeout(grace time.Duration) time.Duration {
 	return min(shareOf(grace, stopShare), grace-proxy.ShutdownGracePeriod-processExitTime)
 }
--- a/internal/tier/command/proxy_shutdown_test.go
+++ b/internal/tier/command/proxy_shutdown_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// fakeDataPath records when it is drained and shut down, and takes all the time that it is given.
+// fakeDataPath records when it is drained and shut down. Its shutdown takes all the time that it is given.
 type fakeDataPath struct {
 	drained, shut, ended time.Time
 }
@@ -21,33 +21,34 @@
 	return ctx.Err()
 }
 
-// abandonTime is for the responses to abandoned requests, and for committing their turns.
+// abandonTime is the time for answering abandoned requests and committing their turns.
 const abandonTime = 300 * time.Millisecond
 
-// minRest is the share of the grace time that must be left over.
+// minRest is the share of the grace time that must remain.
 const minRest = 0.02
 
-// shutDownBusy shuts down a proxy whose requests don't end, and checks that it isn't ready at once. It returns when that began.
+// shutDownBusy shuts down a proxy whose requests don't end, and checks that it stops being ready immediately. It also returns the time at
+// which the shutdown began.
 func shutDownBusy(t *testing.T, grace time.Duration) (path *fakeDataPath, began time.Time) {
 	t.Helper()
 	path, began = &fakeDataPath{}, time.Now()
 	if err := shutdownProxy(t.Context(), path, grace); err == nil {
-		t.Error("all requests have ended")
+		t.Error("the shutdown succeeded though no request ended")
 	}
 	if !path.drained.Equal(began) {
-		t.Errorf("grace %v: not ready after %v", grace, path.drained.Sub(began))
+		t.Errorf("grace %v: stopped being ready only after %v", grace, path.drained.Sub(began))
 	}
 	return path, began
 }
 
 func TestShutdownProxy_EndsWithinGraceTime(t *testing.T) {
 	const (
-		noticed     = 2 * time.Second // the platform checks each second, and twice
-		countsReady = 4 * time.Second // by when it must not count as ready
+		noticed     = 2 * time.Second // the platform checks every second and must notice twice
+		countsReady = 4 * time.Second // by when the platform must not take it for ready
 	)
 	for _, grace := range []time.Duration{5 * time.Second, 8 * time.Second, 20 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			// when a proxy with requests that don't end is shut down
+			// given a proxy with requests that don't end, when it is shut down,
 			c, began := shutDownBusy(t, grace)
 			// then it accepts requests until the platform has noticed, and has ended before it is killed
 			if accepting := c.shut.Sub(began); accepting < noticed || accepting >= countsReady {
@@ -61,15 +62,15 @@
 }
 
 func TestShutdownProxy_ShortGraceTime_EndsWithinIt(t *testing.T) {
-	const exit = 50 * time.Millisecond // until the process has gone
+	const exit = 50 * time.Millisecond // until the process has exited
 	for _, grace := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 4 * time.Second} {
 		t.Run(grace.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				// when a proxy with requests that don't end is shut down, whose grace time is too short for the platform to notice
+				// when a proxy with requests that don't end is shut down, and the grace time is too short for the platform to notice,
 				c, began := shutDownBusy(t, grace)
-				// then it waits for the requests for half of that time at least, and has ended before it is killed
+				// then it waits for the requests for at least half of that time, and has exited before it is killed
 				if took := c.ended.Sub(began); took < grace/2 || took+abandonTime+exit > grace {
-					t.Errorf("stops waiting after %v, and has exited after %v", took, took+abandonTime+exit)
+					t.Errorf("stopped waiting after %v and exited after %v", took, took+abandonTime+exit)
 				}
 			})
 		})
--- a/internal/tier/command/reload.go
+++ b/internal/tier/command/reload.go
@@ -14,8 +14,7 @@
 // settingsInterval is the interval at which a process checks whether its settings file has changed.
 const settingsInterval = 3 * time.Second
 
-// followSettings calls reload with the reloaded settings at each SIGHUP and whenever their file has changed, until ctx ends. watched is
-// the file as the process has loaded it.
+// followSettings reloads the settings at each SIGHUP and whenever the watched file has changed, until ctx ends.
 func (p *process) followSettings(ctx context.Context, watched *watchedFile) {
 	ticker := time.NewTicker(settingsInterval)
 	defer ticker.Stop()
@@ -31,17 +30,17 @@
 	}
 }
 
-// watchedFile is a settings file as it was when it was last loaded. It belongs to one goroutine.
+// watchedFile reloads a settings file that has changed since it was last loaded. It must be used by one goroutine only.
 type watchedFile struct {
 	path   string
 	logger log.Logger
 	reload func(*settings.Settings)
-	last   os.FileInfo // nil: load it at the next check
+	last   os.FileInfo // when last loaded; nil: load it at the next check
 }
 
-// newWatchedFile returns the file as it is now, without loading it.
+// newWatchedFile returns a watchedFile for the current state of the file, which it doesn't load.
 func newWatchedFile(path string, logger log.Logger, reload func(*settings.Settings)) *watchedFile {
-	last, _ := os.Stat(path) // a file that can't be looked at counts as changed once it can
+	last, _ := os.Stat(path) // a file that cannot be read now counts as changed once it can
 	return &watchedFile{path: path, logger: logger, reload: reload, last: last}
 }
 
@@ -54,8 +53,8 @@
 	w.load()
 }
 
-// load loads the file and passes the settings on. One that is invalid, perhaps since it is being written, is retried at the next
-// check.
+// load loads the file and passes the settings to reload. If the file is invalid, perhaps because it is being written, the next check
+// retries.
 func (w *watchedFile) load() {
 	now, _ := os.Stat(w.path)
 	loaded, err := settings.Load(w.path)
--- a/internal/tier/command/reload_test.go
+++ b/internal/tier/command/reload_test.go
@@ -25,7 +25,7 @@
 			t.Fatal(err)
 		}
 	}
-	// when the file stays, changes, is half written, and is complete again,
+	// when the file is unchanged, changed, half written, and complete again,
 	watched.check()
 	write(strings.ReplaceAll(goodSettings, "zone: north", "zone: south"), time.Unix(1000, 0))
 	watched.check()
@@ -35,13 +35,13 @@
 	write(goodSettings, time.Unix(3000, 0))
 	watched.check()
 	watched.check()
-	// then each complete one is loaded once,
+	// then each complete version is loaded once,
 	if got := strings.Join(zones, " "); got != "south north" {
-		t.Errorf("zones loaded: %s", got)
+		t.Errorf("zones loaded: %s, want south north", got)
 	}
-	// and a signal has it loaded in any case.
+	// and a signal loads the file even if it is unchanged.
 	watched.load()
 	if got := strings.Join(zones, " "); got != "south north north" {
-		t.Errorf("zones loaded after a signal: %s", got)
+		t.Errorf("zones loaded after a signal: %s, want south north north", got)
 	}
 }
--- a/internal/tier/command/role.go
+++ b/internal/tier/command/role.go
@@ -7,11 +7,11 @@
 	"github.com/google/subcommands"
 )
 
-// Role is the subcommand that runs one role of the tier until the process is asked to end.
+// Role is the subcommand that runs one role of the tier until the process is told to end.
 type Role struct {
 	name     string
 	synopsis string
-	place    string // where it runs, as its usage says
+	place    string // where it runs, for the usage text
 	run      func(p *process, ctx context.Context) error
 }
 
--- a/internal/tier/command/role_test.go
+++ b/internal/tier/command/role_test.go
@@ -14,10 +14,10 @@
 	"github.com/google/subcommands"
 )
 
-// roleVariable makes the test binary run the role that it names, in place of the tests.
+// roleVariable names the environment variable that makes the test binary run a role instead of the tests.
 const roleVariable = "MASTUSHER_TEST_ROLE"
 
-// testTimeout bounds the start of a process.
+// testTimeout is how long a process may take to start, or a client waits for a response.
 const testTimeout = 10 * time.Second
 
 func TestMain(m *testing.M) {
@@ -36,15 +36,15 @@
 		key     string
 	}{
 		{name: "a key is missing", content: strings.Replace(goodSettings, "zone: north", "", 1), key: "zone: missing"},
-		{name: "an impossible value", content: strings.Replace(goodSettings, "[7380, 7395]", "[7395, 7380]", 1), key: "portRange:"},
-		{name: "an address that is none", content: goodSettings + "seedNodes: [here]\n", key: "seedNodes[0]:"},
+		{name: "ports in descending order", content: strings.Replace(goodSettings, "[7380, 7395]", "[7395, 7380]", 1), key: "portRange:"},
+		{name: "an invalid address", content: goodSettings + "seedNodes: [here]\n", key: "seedNodes[0]:"},
 	}
 	for _, role := range Roles() {
 		for _, c := range cases {
 			t.Run(role.Name()+"/"+c.name, func(t *testing.T) {
 				got := startRole(t, role.Name(), writeFile(t, c.content))
 				if got.status != subcommands.ExitFailure || !strings.Contains(got.output, c.key) {
-					t.Errorf("status %d, output %q without %q", got.status, got.output, c.key)
+					t.Errorf("got status %d and output %q, want a failure that contains %q", got.status, got.output, c.key)
 				}
 			})
 		}
@@ -58,8 +58,8 @@
 	}
 }
 
-// startRole runs a role as a process of its own that is to end by itself.
-func startRole(t *testing.T, role, settingsPath string) executed {
+// startRole runs a role as a separate process, and waits until it ends on its own.
+func startRole(t *testing.T, role, settingsPath string) commandResult {
 	t.Helper()
 	var output bytes.Buffer
 	process := exec.CommandContext(t.Context(), os.Args[0])
@@ -75,5 +75,5 @@
 	if err != nil && !errors.As(err, &ended) {
 		t.Fatal(err)
 	}
-	return executed{status: subcommands.ExitStatus(process.ProcessState.ExitCode()), output: output.String()}
+	return commandResult{status: subcommands.ExitStatus(process.ProcessState.ExitCode()), output: output.String()}
 }
--- a/internal/tier/command/runtimestats.go
+++ b/internal/tier/command/runtimestats.go
@@ -11,10 +11,10 @@
 	"mastusher/internal/tier/wait"
 )
 
-// runtimeStatsInterval is the interval at which a process logs its use of resources.
+// runtimeStatsInterval is the interval at which a process logs its resource use.
 const runtimeStatsInterval = 5 * time.Second
 
-// Names of the runtime's metrics.
+// Names of the metrics in runtime/metrics.
 const (
 	heapLive       = "/gc/heap/live:bytes"
 	heapObjects    = "/memory/classes/heap/objects:bytes"
@@ -25,22 +25,21 @@
 	idleTime       = "/cpu/classes/idle:cpu-seconds"
 )
 
-// logRuntimeStats logs the process's memory and CPU time at each interval, with the fields that the role adds, until ctx ends. Nothing
-// waits for it.
+// logRuntimeStats logs the process's memory and CPU time, and the fields that add returns, at each interval until ctx ends.
 func logRuntimeStats(ctx context.Context, logger log.Logger, add func() []any) {
 	wait.Every(ctx, runtimeStatsInterval, func() {
 		level.Info(logger).Log(append(append([]any{"msg", "vitals"}, runtimeStats()...), add()...)...)
 	})
 }
 
-// usedMemory returns the bytes that the runtime has from the system, without those that it has returned.
+// usedMemory returns the bytes that the runtime has obtained from the system and not returned.
 func usedMemory() int64 {
 	samples := []metrics.Sample{{Name: mappedMemory}, {Name: releasedMemory}}
 	metrics.Read(samples)
 	return int64(samples[0].Value.Uint64() - samples[1].Value.Uint64())
 }
 
-// runtimeStats returns fields for memory in KiB, and for the collector's and all CPU time since the start in s.
+// runtimeStats returns log fields: memory in KiB, and the CPU seconds of the garbage collector and of the whole process since the start.
 func runtimeStats() []any {
 	samples := []metrics.Sample{{Name: heapLive}, {Name: heapObjects}, {Name: mappedMemory}, {Name: releasedMemory}, {Name: collectorTime},
 		{Name: allTime}, {Name: idleTime}}
--- a/internal/tier/command/shutdown.go
+++ b/internal/tier/command/shutdown.go
@@ -9,16 +9,15 @@
 	"github.com/go-kit/log/level"
 )
 
-// EndMessage is the msg of the last log line of a process that was asked to end; the key "after" has the time since.
+// EndMessage is the msg of the last log line of a process that was told to end. Its key "after" has the time since then.
 const EndMessage = "process has ended"
 
-// notifyTermination returns a context that ends with SIGTERM or SIGINT.
+// notifyTermination returns a context that ends on SIGTERM or SIGINT.
 func notifyTermination(ctx context.Context) (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 }
 
-// logShutdown runs a role, and logs the request to end and the time that the end took. It logs neither if the role ends by
-// itself.
+// logShutdown runs a role, and logs the request to end and how long the end took. It logs neither if the role ends on its own.
 func (p *process) logShutdown(stopping context.Context, run func() error) error {
 	requested := make(chan time.Time, 1)
 	context.AfterFunc(stopping, func() {
@@ -26,7 +25,7 @@
 		level.Info(p.logger).Log("msg", "shutdown requested", "grace", p.settings.Bounds.GracePeriod())
 	})
 	err := run()
-	if stopping.Err() != nil { // else it ended by itself
+	if stopping.Err() != nil { // otherwise it ended on its own
 		level.Info(p.logger).Log("msg", EndMessage, "after", time.Since(<-requested))
 	}
 	return err
--- a/internal/tier/command/signals_test.go
+++ b/internal/tier/command/signals_test.go
@@ -25,7 +25,7 @@
 	"mastusher/internal/tier/wire"
 )
 
-// proxySettings are the settings of an edge machine, with its address left open.
+// proxySettings are the settings of an edge machine. IP stands for its address.
 const proxySettings = `
 nodeName: edge-1
 role: proxy
@@ -38,7 +38,7 @@
 bounds: {graceS: 6}
 `
 
-// machine is an edge machine on a loopback address of its own, whose proxy runs as a process.
+// machine is an edge machine on a loopback address of its own, whose proxy runs as a separate process.
 type machine struct {
 	t       *testing.T
 	ip      string
@@ -47,7 +47,7 @@
 	output  bytes.Buffer
 }
 
-// newMachine starts a proxy beside an agent that feeds it a view.
+// newMachine starts a proxy, and an agent that feeds it a view.
 func newMachine(t *testing.T, updates ...view.Update) *machine {
 	t.Helper()
 	return newMachineWith(t, proxySettings, updates...)
@@ -83,7 +83,7 @@
 	return m
 }
 
-// awaitReady returns once the proxy says that it is ready.
+// awaitReady waits until the proxy reports that it is ready.
 func (m *machine) awaitReady() {
 	m.t.Helper()
 	for began := time.Now(); m.readiness() != http.StatusOK; time.Sleep(10 * time.Millisecond) {
@@ -103,7 +103,7 @@
 	return response.StatusCode
 }
 
-// clientResponse is what a client got.
+// clientResponse is the response that a client received.
 type clientResponse struct {
 	status int
 	body   string
@@ -111,13 +111,13 @@
 	err    error
 }
 
-// ask sends a request on a connection of its own; its response comes later.
-func (m *machine) ask(id string) <-chan clientResponse {
+// get sends a GET request on a new connection, and returns a channel for its response.
+func (m *machine) get(id string) <-chan clientResponse {
 	m.t.Helper()
 	return m.send("GET", "/a/x", id)
 }
 
-// send sends a request of any kind on a connection of its own; its response comes later.
+// send sends a request on a new connection, and returns a channel for its response.
 func (m *machine) send(method, path, id string) <-chan clientResponse {
 	m.t.Helper()
 	request, err := http.NewRequest(method, "http://"+m.ip+":8149"+path, nil)
@@ -168,29 +168,29 @@
 		case <-started:
 		case <-time.After(testTimeout):
 			close(release)
-			t.Fatal("a request didn't come to the endpoint")
+			t.Fatal("a request did not reach the endpoint")
 		}
 	}
-	first := edge.ask("first")
+	first := edge.get("first")
 	awaitStarted()
-	// when it is signalled that its settings have changed, then it goes on, and accepts another request
+	// when its settings may have changed (SIGHUP), then it goes on, and accepts another request
 	edge.signal(syscall.SIGHUP)
-	second := edge.ask("second")
+	second := edge.get("second")
 	awaitStarted()
 	if got := edge.readiness(); got != http.StatusOK {
-		t.Errorf("readiness %d after SIGHUP", got)
+		t.Errorf("readiness status %d after SIGHUP, want 200", got)
 	}
-	// when it is asked to end, then it isn't ready any more, and still accepts a request
+	// when it is told to end, then it isn't ready any more, and still accepts a request
 	edge.signal(syscall.SIGTERM)
 	for began := time.Now(); edge.readiness() == http.StatusOK; {
 		if time.Since(began) > testTimeout {
-			t.Fatal("still ready")
+			t.Fatal("still ready after SIGTERM")
 		}
 	}
-	third := edge.ask("third")
+	third := edge.get("third")
 	awaitStarted()
 	close(release)
-	// then all three get complete responses, on connections that close, and the process ends
+	// then all three requests get complete responses, on connections that close, and the process ends
 	for i, answer := range []<-chan clientResponse{first, second, third} {
 		if got := <-answer; got != (clientResponse{status: http.StatusOK, body: "whole", close: true}) {
 			t.Errorf("request %d: %+v", i+1, got)
@@ -215,16 +215,16 @@
 	edge := newMachineWith(t, strings.Replace(proxySettings, "graceS: 6", "graceS: 2", 1),
 		turnsConfigurationUpdate(), endpointsUpdate(endpoint.Listener.Addr()), unresponsiveStoreUpdate(t))
 	edge.awaitReady()
-	hangs := edge.ask("hangs")
+	hanging := edge.get("hangs")
 	<-started
 	if got := <-edge.turn("turn"); got.status != http.StatusServiceUnavailable {
-		t.Fatalf("a turn without stores: %+v", got)
+		t.Fatalf("a turn without a responsive store: got %+v, want status 503", got)
 	}
-	// when it is asked to end
+	// when it is told to end
 	edge.signal(syscall.SIGTERM)
-	// then the client learns that its request was abandoned, and the process ends, by its own log in time
-	if got := <-hangs; got.status != http.StatusGatewayTimeout {
-		t.Errorf("the abandoned request: %+v", got)
+	// then the client learns that its request was abandoned, and by its own log the process ends in time
+	if got := <-hanging; got.status != http.StatusGatewayTimeout {
+		t.Errorf("the abandoned request: got %+v, want status 504", got)
 	}
 	t.Logf("the process ended with %v", <-edge.ended)
 	logged := edge.output.String()
@@ -245,19 +245,20 @@
 	}
 	account := regexp.MustCompile(`msg="process has ended" after=(\S+)`).FindStringSubmatch(logged)
 	if account == nil {
-		t.Fatalf("no account of the end: %s", logged)
+		t.Fatalf("the log has no line about the end: %s", logged)
 	}
 	if took, err := time.ParseDuration(account[1]); err != nil || took < grace/2 || took > grace {
-		t.Errorf("ended after %s: %s", account[1], logged)
+		t.Errorf("ended after %s, want between half and all of the grace time: %s", account[1], logged)
 	}
 }
 
-// turn sends the turn of a program.
+// turn sends a turn of a program.
 func (m *machine) turn(id string) <-chan clientResponse {
 	return m.send("POST", "/turns/x", id)
 }
 
-// unresponsiveStoreUpdate is the section of a view that has all programs at a store that accepts connections and never responds.
+// unresponsiveStoreUpdate returns the placement section of a view, with all programs on a store that accepts connections and never
+// responds.
 func unresponsiveStoreUpdate(t *testing.T) view.Update {
 	t.Helper()
 	store, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -270,25 +271,25 @@
 	return view.Update{Section: view.PlacementSection, Stamp: view.Stamp{Term: 1, Sequence: 1}, Body: json.RawMessage(body)}
 }
 
-// configurationUpdate is the section of a view that holds goodConfiguration, with more time and more connections.
+// configurationUpdate returns the configuration section of a view: goodConfiguration with a longer timeout and more connections.
 func configurationUpdate() view.Update {
 	return configurationUpdateOf(strings.NewReplacer(`"giveUpMs":900`, `"giveUpMs":9000`, `"maxConnections":9`, `"maxConnections":90`))
 }
 
-// turnsConfigurationUpdate is configurationUpdate with a route of remembered turns, too.
+// turnsConfigurationUpdate returns a configurationUpdate with an additional route whose turns are stored.
 func turnsConfigurationUpdate() view.Update {
 	const turns = `{"name":"turns","host":"h.example","startsWith":"/turns/","kind":"streaming","giveUpMs":1200,"targetMs":100,` +
 		`"rank":0,"service":"s","tries":2,"remembered":true,"keepForS":60}`
 	return configurationUpdateOf(strings.NewReplacer(`"giveUpMs":900`, `"giveUpMs":9000`, `"tries":2}]`, `"tries":2},`+turns+`]`))
 }
 
-// configurationUpdateOf is the section of a view that holds goodConfiguration with changes.
+// configurationUpdateOf returns the configuration section of a view: goodConfiguration with changes.
 func configurationUpdateOf(changes *strings.Replacer) view.Update {
 	body := json.RawMessage(`{"raw":` + changes.Replace(goodConfiguration) + `}`)
 	return view.Update{Section: view.ConfigurationSection, Stamp: view.Stamp{Term: 1, Sequence: 1}, Body: body}
 }
 
-// endpointsUpdate is the section of a view that holds one endpoint.
+// endpointsUpdate returns the endpoints section of a view, with one endpoint.
 func endpointsUpdate(address net.Addr) view.Update {
 	body := fmt.Sprintf(`{"endpoints":[{"id":"e","service":"s","address":%q,"zone":"north","capacity":8,"number":"v1","state":"ready"}]}`, address)
 	return view.Update{Section: view.EndpointsSection, Stamp: view.Stamp{Term: 1, Sequence: 1}, Body: json.RawMessage(body)}
--- a/internal/tier/command/start.go
+++ b/internal/tier/command/start.go
@@ -11,15 +11,15 @@
 	"mastusher/internal/tier/transport"
 )
 
-// Retries of what a start needs of the machine. Waiting costs less than ending and being started again.
+// Retries of the steps of a start. Waiting costs less than ending and being restarted.
 const (
 	startTimeout   = 30 * time.Second
 	initialBackoff = 50 * time.Millisecond
 	maxBackoff     = time.Second
 )
 
-// retryStart retries an operation with backoff until it succeeds, for at most startTimeout, and returns its last error. What no retry
-// mends isn't retried: a corrupt disk, or one whose content is rejected.
+// retryStart retries an operation with backoff until it succeeds, for at most startTimeout, and returns the last error. Errors that a retry
+// cannot resolve are returned at once: a corrupt disk, or one whose content is rejected.
 func (p *process) retryStart(ctx context.Context, step string, operation func() error) error {
 	bounded, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -37,7 +37,7 @@
 	}
 }
 
-// listen opens the process's listener for other processes. The process before may still use its address.
+// listen opens the listener for other processes. It retries while the address is still in use by the previous process.
 func (p *process) listen(ctx context.Context, address string, handlers *transport.Handlers) (server *transport.Server, err error) {
 	handlers.Measure(p.metrics)
 	err = p.retryStart(ctx, "address of the link", func() error {
@@ -47,7 +47,7 @@
 	return server, err
 }
 
-// serve answers other processes by the handlers of the role and its node, and runs the node, until leave is called.
+// serve serves other processes with the handlers of the role and of its membership node, and runs the node, until leave is called.
 func (p *process) serve(ctx context.Context, address string, member *node.Node, handlers *transport.Handlers) (leave func(), err error) {
 	member.Register(handlers)
 	server, err := p.listen(ctx, address, handlers)
--- a/internal/tier/command/store.go
+++ b/internal/tier/command/store.go
@@ -14,13 +14,13 @@
 	"mastusher/internal/tier/wire"
 )
 
-// queueBudgetDivisor bounds the messages and commands queued for a store's groups: the memory limit divided by it.
+// queueBudgetDivisor is the divisor by which the bound of a store's queued messages and commands follows from the memory limit.
 const queueBudgetDivisor = 10
 
-// runBackground runs the writes of a group's compactions. The group waits for them at its end.
+// runBackground runs a group's compaction writes in a goroutine. The group waits for them when it ends.
 func runBackground(work func()) { go work() }
 
-// runStore runs the role until ctx ends, or a group can't continue, and then until its groups have other leaders.
+// runStore runs the role until ctx ends or a group can't continue, and then until its groups have other leaders.
 func (p *process) runStore(ctx context.Context) error {
 	address := p.address(wire.StorePort)
 	disk, id, err := p.openDisk(ctx, address)
@@ -48,9 +48,9 @@
 		return err
 	}
 	defer server.Close()
-	defer stopGroups() // hands over what the groups lead, for which they need the server
-	// Each shard takes part as soon as it is open. The store joins, and so learns the placement, once all are: one that can't
-	// read its disk, or ends over it repeatedly, must be replaced.
+	defer stopGroups() // hands leadership over to other stores, for which the groups need the server
+	// Each shard runs as soon as it is open. The store joins the membership, and so receives the placement, only once all are open: a store
+	// that can't read its disk, or crashes repeatedly while reading it, must be replaced.
 	if err = p.retryStart(ctx, "shards on the disk", shards.Recover); err != nil {
 		return err
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-// storeStats returns the log fields of a store's replicas.
+// storeStats returns log fields about a store's replicas.
 func storeStats(shards *store.Store) []any {
 	count, stats := shards.Stats()
 	return []any{"shards", count, "stateKB", stats.StateBytes >> 10, "snapshotKB", stats.SnapshotBytes >> 10, "logKB", stats.LogBytes >> 10,
--- a/internal/tier/command/version.go
+++ b/internal/tier/command/version.go
@@ -12,7 +12,7 @@
 	"github.com/google/subcommands"
 )
 
-// Version is the subcommand that prints which build this is.
+// Version is the subcommand that prints the version of this build.
 type Version struct {
 	Output io.Writer // nil: standard output
 }
@@ -46,7 +46,7 @@
 	return subcommands.ExitSuccess
 }
 
-// revision returns that of the sources, or "unknown".
+// revision returns the VCS revision of the sources, or "unknown".
 func revision(built *debug.BuildInfo) string {
 	for _, setting := range built.Settings {
 		if setting.Key == "vcs.revision" {
--- a/internal/tier/identity/identity.go
+++ b/internal/tier/identity/identity.go
@@ -1,7 +1,6 @@
-// Package identity gives a machine with a disk the identity under which its replicas vote. The identity lies on the disk: a disk
-// that comes back empty or damaged gets a new one, so that no member votes twice in a term after it has forgotten its first vote
-// (Raft figure 2: the term and the vote are persistent). It is called once, at the start of a process, before anything
-// else uses the disk.
+// Package identity provides the identity under which a machine's replicas vote. It is stored on the machine's disk, and a disk that is
+// empty or damaged gets a new one. So no member votes twice in a term after it has lost its first vote (Raft figure 2: term and vote are
+// persistent state). LoadOrCreate must be called once, at the start of a process, before anything else uses the disk.
 package identity
 
 import (
@@ -19,16 +18,16 @@
 // identityBytes is the length of an identity before hexadecimal encoding.
 const identityBytes = 16
 
-// BootstrapID returns the identity of a machine at the first start of the whole system. It follows from the machine's address
-// (host:port), so that the others can name it as an initial member before they have heard from it.
+// BootstrapID returns the identity of a machine at the first start of the whole system. It is derived from the machine's address
+// (host:port), so that the other machines know it as an initial member before they have heard from it.
 func BootstrapID(address string) string {
 	sum := sha256.Sum256([]byte("first start " + address))
 	return hex.EncodeToString(sum[:identityBytes])
 }
 
-// LoadOrCreate returns the identity on the disk, and creates one if there is none: that of BootstrapID where bootstrap says that
-// the whole system starts for the first time, otherwise a random one. It opens each group once, and erases a disk on which
-// something is damaged, which then gets a random identity; so does a disk whose erasure was interrupted. Errors are the disk's.
+// LoadOrCreate returns the identity on the disk. If there is none, it creates one: the BootstrapID if bootstrap says that the whole system
+// starts for the first time, and a random one otherwise. It opens each group once. If anything on the disk is damaged, it erases the
+// disk and creates a random identity, and it completes an erasure that was interrupted. Errors are those of the disk.
 func LoadOrCreate(disk storage.Disk, address string, bootstrap bool) (string, error) {
 	if err := finishErasure(disk); err != nil {
 		return "", err
@@ -47,7 +46,7 @@
 	return id, err
 }
 
-// finishErasure removes the groups of a disk without an identity: its erasure was interrupted.
+// finishErasure removes the groups of a disk without an identity, whose erasure was interrupted.
 func finishErasure(disk storage.Disk) error {
 	file, err := disk.Open(storage.IdentityFile)
 	if err == nil {
@@ -63,7 +62,7 @@
 	return erase(disk)
 }
 
-// idSource returns the bytes that a new identity is made of.
+// idSource returns a reader of the bytes for a new identity.
 func idSource(address string, bootstrap bool) io.Reader {
 	if !bootstrap {
 		return rand.Reader
@@ -93,8 +92,8 @@
 	return nil
 }
 
-// erase removes all files. The identity must go first, and durably: whatever else a loss of power in between brings back, no
-// group that has forgotten something is then left under the identity that it had.
+// erase removes all files. It first removes the identity durably. If power is lost later, files may reappear, but then no group that has
+// lost data is left under its old identity.
 func erase(disk storage.Disk) error {
 	if err := disk.Remove(storage.IdentityFile); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
--- a/internal/tier/identity/identity_test.go
+++ b/internal/tier/identity/identity_test.go
@@ -11,7 +11,7 @@
 
 const address = "10.0.0.1:7380"
 
-// vote saves a vote in a group.
+// vote stores a vote in a group.
 func vote(t *testing.T, disk storage.Disk, group string) {
 	t.Helper()
 	opened, _, err := storage.Open(disk, group)
@@ -29,8 +29,8 @@
 	}
 }
 
-// used is a disk with an identity and two groups that have voted.
-func used(t *testing.T) (*memorydisk.Disk, string) {
+// usedDisk returns a disk with an identity and two groups that have voted.
+func usedDisk(t *testing.T) (*memorydisk.Disk, string) {
 	t.Helper()
 	disk := memorydisk.New()
 	id, err := identity.LoadOrCreate(disk, address, true)
@@ -44,35 +44,35 @@
 
 func TestLoadOrCreate_EmptyDisk_BootstrapIDAtTheFirstStartOnly(t *testing.T) {
 	// Given an empty disk at the first start, and one later,
-	_, first := used(t)
+	_, first := usedDisk(t)
 	later, err := identity.LoadOrCreate(memorydisk.New(), address, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// then others can name the first one, and not the second.
+	// then other machines can derive the first identity from the address, but not the second one.
 	if first != identity.BootstrapID(address) || later == first {
-		t.Errorf("the identities are %s at the first start and %s later", first, later)
+		t.Errorf("got identity %s at the first start and %s later, want the BootstrapID only at the first start", first, later)
 	}
 }
 
 func TestLoadOrCreate_AddressChanged_KeepsTheIdentity(t *testing.T) {
 	// Given a disk that has been used at one address, when its machine starts again at another,
-	disk, id := used(t)
+	disk, id := usedDisk(t)
 	disk.LosePower(1)
 	got, err := identity.LoadOrCreate(disk, "10.0.0.9:7380", false)
-	// then it is the same member.
+	// then its identity is the same.
 	if err != nil || got != id {
-		t.Errorf("the identity is %s (%v), want %s", got, err, id)
+		t.Errorf("got identity %s (%v), want %s", got, err, id)
 	}
 }
 
-// TestLoadOrCreate_PowerLossDuringErasure_ForgetsNoVoteUnderTheOldIdentity loses power at each change while a damaged disk gets a
-// new identity.
+// TestLoadOrCreate_PowerLossDuringErasure_ForgetsNoVoteUnderTheOldIdentity loses power at each disk operation of the start that erases a
+// damaged disk.
 func TestLoadOrCreate_PowerLossDuringErasure_ForgetsNoVoteUnderTheOldIdentity(t *testing.T) {
 	for change := 0; change < 40; change++ {
 		for seed := range uint64(24) {
 			// Given a disk of which one group is damaged,
-			disk, id := used(t)
+			disk, id := usedDisk(t)
 			if err := disk.Corrupt("configuration.log-0", 20); err != nil {
 				t.Fatal(err)
 			}
@@ -84,7 +84,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			// then no group that has forgotten its vote is there under the old identity.
+			// then no group without its vote exists under the old identity.
 			if got != id {
 				continue
 			}
@@ -96,7 +96,7 @@
 				t.Fatal(err)
 			}
 			if recovered.HardState.Term != 3 {
-				t.Fatalf("crash at change %d, power lost by seed %d: the vote is forgotten under the old identity", change, seed)
+				t.Fatalf("crash at change %d, power lost by seed %d: the vote is lost under the old identity", change, seed)
 			}
 		}
 	}
@@ -104,7 +104,7 @@
 
 func TestLoadOrCreate_ErasureInterrupted_LeavesNoGroups(t *testing.T) {
 	// Given a disk that was being erased when its process ended,
-	disk, _ := used(t)
+	disk, _ := usedDisk(t)
 	if err := disk.Remove("identity"); err != nil {
 		t.Fatal(err)
 	}
@@ -112,15 +112,15 @@
 	if _, err := identity.LoadOrCreate(disk, address, false); err != nil {
 		t.Fatal(err)
 	}
-	// then it holds no group.
+	// then it has no groups.
 	if names, err := storage.ListGroups(disk); err != nil || len(names) > 0 {
-		t.Errorf("it holds %v (%v)", names, err)
+		t.Errorf("the disk has groups %v (%v), want none", names, err)
 	}
 }
 
 func TestLoadOrCreate_GroupDamaged_NewIdentityWithoutGroups(t *testing.T) {
 	// Given a disk of which one group is damaged, when its machine starts again,
-	disk, id := used(t)
+	disk, id := usedDisk(t)
 	if err := disk.Corrupt("configuration.log-0", 20); err != nil {
 		t.Fatal(err)
 	}
@@ -128,11 +128,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// then it is another member, without any group.
+	// then it has another identity and no groups.
 	if got == id {
-		t.Error("it is the same member, though it may have forgotten its votes")
+		t.Error("the identity is the same, though votes may be lost")
 	}
 	if names, err := storage.ListGroups(disk); err != nil || len(names) > 0 {
-		t.Errorf("it holds %v (%v)", names, err)
+		t.Errorf("the disk has groups %v (%v), want none", names, err)
 	}
 }
--- a/internal/tier/identity/mutants_test.go
+++ b/internal/tier/identity/mutants_test.go
@@ -6,12 +6,12 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// TestMutantsAreNoticed tries mistakes by which a disk would vote under the identity of an erased one.
+// TestMutantsAreNoticed tries mutants that let a disk vote under the identity of an erased one.
 func TestMutantsAreNoticed(t *testing.T) {
 	t.Parallel()
 	mutation.Test(t, []mutation.Mutant{
 		{
-			Name:   "an empty disk gets the identity that it had",
+			Name:   "an empty disk gets its earlier identity",
 			Change: mutation.Change{File: "identity.go", Old: "	if !bootstrap {\n", New: "	if false && !bootstrap {\n"},
 			Run:    "Test",
 		},
--- a/internal/tier/invariant/invariant.go
+++ b/internal/tier/invariant/invariant.go
@@ -1,5 +1,5 @@
-// Package invariant counts violations of what must always hold in a running process. A violation is logged and counted, and the
-// process goes on. Tests and operators look for the log line, whose message is Message.
+// Package invariant counts violations of conditions that must always hold in a running process. A violation is logged and counted, and the
+// process continues. Tests and operators search for the log line, whose msg is Message.
 package invariant
 
 import (
@@ -13,19 +13,19 @@
 // Message is the msg of a violation's log line.
 const Message = "invariant broken"
 
-// Name is an invariant's name in the log.
+// Name is the name of an invariant in the log.
 type Name string
 
-// The invariants.
+// Invariants.
 const (
-	// Recovery: no outage of a proxy lasts longer than the setting bounds.recoveryS. An outage is a time in which it rejects more
-	// than three quarters of its requests, because it lacks a view or the stores don't answer.
+	// Recovery: no outage of a proxy lasts longer than the setting bounds.recoveryS. During an outage, the proxy rejects more than three
+	// quarters of its requests, because it has no view or the stores don't respond.
 	Recovery Name = "recovery"
-	// SurplusReplica: a store doesn't keep running a replica that its group has certainly removed.
+	// SurplusReplica: a store stops a replica that has certainly been removed from its group.
 	SurplusReplica Name = "excess"
 )
 
-// Counter counts the violations of one process. A nil Counter counts nothing. It is safe for concurrent use.
+// Counter counts the violations in one process. A nil Counter ignores them. It is safe for concurrent use.
 type Counter struct {
 	logger log.Logger
 
@@ -33,10 +33,10 @@
 	counts map[Name]int
 }
 
-// New returns a counter that logs each violation to logger.
+// New returns a counter that logs violations to logger.
 func New(logger log.Logger) *Counter { return &Counter{logger: logger, counts: map[Name]int{}} }
 
-// Violated counts a violation and logs it at level error with its details, which are alternating keys and values.
+// Violated counts a violation and logs it at level error. The details are alternating keys and values.
 func (c *Counter) Violated(name Name, details ...any) {
 	if c == nil {
 		return
@@ -48,7 +48,7 @@
 	level.Error(c.logger).Log(append([]any{"msg", Message, "invariant", name, "count", count}, details...)...)
 }
 
-// Counts returns the number of violations so far by invariant; nil for a nil Counter.
+// Counts returns the number of violations so far by invariant, or nil for a nil Counter.
 func (c *Counter) Counts() map[Name]int {
 	if c == nil {
 		return nil
--- a/internal/tier/metrics/metrics.go
+++ b/internal/tier/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts what a process of the tier does, and serves it in Prometheus' text format. Names, labels and label
-// values are an interface: dashboards and alerts use them.
+// Package metrics collects the metrics of a process of the tier, and serves them in Prometheus' text format. Names, labels and label
+// values are an interface that dashboards and alerts depend on.
 package metrics
 
 import (
@@ -12,40 +12,40 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Path is the HTTP path of a process' metrics.
+// Path is the HTTP path of the metrics.
 const Path = "/metrics"
 
-// Step is a step in processing an operator's order, the value of the label step.
+// Step is a step in the processing of an operator's order, the value of the label step.
 type Step string
 
-// The steps of an order.
+// Steps of an order.
 const (
-	ReadStep      Step = "read"  // reading its body
-	CheckStep     Step = "check" // validating it
-	ReplicateStep Step = "agree" // replication by the controllers' group, on disk
+	ReadStep      Step = "read"  // reading the body
+	CheckStep     Step = "check" // validation
+	ReplicateStep Step = "agree" // replication in the controllers' group, including writes to disk
 )
 
 // Outcome is the outcome of an order, the value of the label outcome.
 type Outcome string
 
-// The outcomes of an order.
+// Outcomes of an order.
 const (
 	Accepted    Outcome = "taken"
-	Rejected    Outcome = "refused"     // invalid, or not on top of the newest version
-	Unconfirmed Outcome = "unconfirmed" // the group gave no answer in time
+	Rejected    Outcome = "refused"     // invalid, or not based on the newest version
+	Unconfirmed Outcome = "unconfirmed" // the group did not answer in time
 )
 
-// ZoneClass says whether a peer is in this process' zone, the value of the label zone.
+// ZoneClass tells whether a peer is in the zone of this process; it is the value of the label zone.
 type ZoneClass string
 
-// The classes of zones.
+// Classes of zones.
 const (
 	OwnZone     ZoneClass = "own"
 	OtherZone   ZoneClass = "other"
 	UnknownZone ZoneClass = "unknown"
 )
 
-// orderBuckets are the bounds of the histogram of an order's steps, in seconds.
+// orderBuckets are the bucket bounds of the histogram of order steps, in seconds.
 var orderBuckets = []float64{.005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5}
 
 // Metrics holds the metrics of one process. It is safe for concurrent use.
@@ -59,11 +59,11 @@
 	rejections   *prometheus.CounterVec
 
 	mutex       sync.Mutex
-	lookUpZone  func(host string) ZoneClass // nil: no zone is known
+	lookUpZone  func(host string) ZoneClass // nil: the zones of all hosts are unknown
 	zoneClasses map[string]ZoneClass        // by host
 }
 
-// New returns metrics in a registry of their own, all 0.
+// New returns metrics with a registry of their own, all at 0.
 func New() *Metrics {
 	counters := func(name, help string, labels ...string) *prometheus.CounterVec {
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "mastusher", Name: name, Help: help}, labels)
@@ -84,44 +84,44 @@
 	return m
 }
 
-// Handler serves the metrics.
+// Handler returns the HTTP handler that serves the metrics.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// SetZoneLookup sets the function that classifies the zone of a host. Its answer is cached unless it is UnknownZone. It is called
-// with a lock held and must not call back.
+// SetZoneLookup sets the function that returns the zone class of a host. Results other than UnknownZone are cached. The function is called
+// with a mutex held, and must not call methods of Metrics.
 func (m *Metrics) SetZoneLookup(classOf func(host string) ZoneClass) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.lookUpZone = classOf
 }
 
-// SentLine implements transport.Meter: bytes of one encoded message, before compression.
+// SentLine implements transport.Meter: it counts the bytes of an encoded message, before compression.
 func (m *Metrics) SentLine(kind, address string, bytes int) {
 	m.messageBytes.WithLabelValues(kind, string(m.zoneClass(address))).Add(float64(bytes))
 }
 
-// Written implements transport.Meter: bytes written to a connection, after compression.
+// Written implements transport.Meter: it counts bytes written to a connection, after compression.
 func (m *Metrics) Written(address string, bytes int) {
 	m.sentBytes.WithLabelValues(string(m.zoneClass(address))).Add(float64(bytes))
 }
 
-// ObserveStep records how long a step of an order took.
+// ObserveStep records the duration of a step of an order.
 func (m *Metrics) ObserveStep(step Step, took time.Duration) {
 	m.orderSeconds.WithLabelValues(string(step)).Observe(took.Seconds())
 }
 
-// CountOrder counts the outcome of an order.
+// CountOrder counts an order by its outcome.
 func (m *Metrics) CountOrder(outcome Outcome) { m.orders.WithLabelValues(string(outcome)).Inc() }
 
-// CountElection counts a new leader of the controllers' group.
+// CountElection counts an election of a new leader in the controllers' group.
 func (m *Metrics) CountElection() { m.elections.Inc() }
 
-// CountRejection counts a request that the proxy has answered by itself, by the text of its apierror.Kind.
+// CountRejection counts a request that the proxy itself answered with an error, by the text of the apierror.Kind.
 func (m *Metrics) CountRejection(kind string) { m.rejections.WithLabelValues(kind).Inc() }
 
-// zoneClass returns the class of a peer's zone, from the cache or by the lookup.
+// zoneClass returns the zone class of a peer, from the cache or the lookup function.
 func (m *Metrics) zoneClass(address string) ZoneClass {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/tier/metrics/metrics_test.go
+++ b/internal/tier/metrics/metrics_test.go
@@ -17,10 +17,10 @@
 
 func TestHandler_CountedEvents_AreServed(t *testing.T) {
 	m := metrics.New()
-	m.SentLine("replica", "10.0.0.1:7", 5) // nothing is known of zones yet
-	asked := 0
+	m.SentLine("replica", "10.0.0.1:7", 5) // before a lookup function is set, the zone is unknown
+	lookups := 0
 	m.SetZoneLookup(func(host string) metrics.ZoneClass {
-		asked++
+		lookups++
 		switch host {
 		case "10.0.0.1":
 			return metrics.OwnZone
@@ -57,7 +57,7 @@
 			t.Errorf("missing %s in:\n%s", want, got)
 		}
 	}
-	if asked != 2+3 {
-		t.Errorf("zones were asked for %d times: those known once, the unknown one each time", asked)
+	if lookups != 2+3 {
+		t.Errorf("got %d zone lookups, want 5: one per known host, and one per message to the unknown host", lookups)
 	}
 }
--- a/internal/tier/model/decode.go
+++ b/internal/tier/model/decode.go
@@ -8,8 +8,8 @@
 	"mastusher/internal/tier/validation"
 )
 
-// Decode decodes one complete configuration. It ignores unknown fields, and refuses bytes after the document. It doesn't check whether
-// the configuration is valid; see Validate. The error is a validation.FieldError.
+// Decode decodes a complete configuration. It ignores unknown fields, and rejects bytes after the document. It doesn't validate the
+// configuration; see Validate. The error is a validation.FieldError.
 func Decode(raw []byte) (*Configuration, error) {
 	decoded := new(Configuration)
 	if err := DecodeValue("", raw, decoded); err != nil {
@@ -18,8 +18,8 @@
 	return decoded, nil
 }
 
-// DecodeValue decodes the value of a key of a configuration into its target. The field of an error is relative to the value. A
-// nil result must not be assigned to an error: that would be a typed nil.
+// DecodeValue decodes the value of a configuration's key into target. The field of an error is relative to the value. A nil result must not
+// be assigned to a variable of type error, where it would be a typed nil.
 func DecodeValue(key string, raw []byte, target any) *validation.FieldError {
 	err := json.Unmarshal(raw, target)
 	if isFractionError(err) {
@@ -31,13 +31,13 @@
 	return nil
 }
 
-// isFractionError reports whether an error may come from a number such as 250.0 in place of an integer.
+// isFractionError reports whether an error may be caused by a number like 250.0 for an integer.
 func isFractionError(err error) bool {
 	var mismatch *json.UnmarshalTypeError
 	return errors.As(err, &mismatch) && isNumber(mismatch.Value)
 }
 
-// isNumber reports whether the decoder's name of a value is that of a number.
+// isNumber reports whether a decoding error's description of a value is that of a number.
 func isNumber(value string) bool {
 	const prefix = "number "
 	return len(value) > len(prefix) && value[:len(prefix)] == prefix
--- a/internal/tier/model/form/check.go
+++ b/internal/tier/model/form/check.go
@@ -7,23 +7,23 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// checker consumes one value and records its errors.
+// checker reads one value and records its errors.
 type checker func(r *reader)
 
-// fieldForm is the form of one field of an object.
+// fieldForm is the form of a field of an object.
 type fieldForm struct {
 	name     string
 	required bool
 	check    checker
 }
 
-// object returns a checker of an object with at most 64 listed fields. Other fields may hold anything.
+// object returns a checker of an object with the given fields, of which there may be 64. It ignores other fields.
 func object(fields []fieldForm) checker {
 	return func(r *reader) {
 		if !r.enter('{') {
 			return
 		}
-		var seen uint64 // a bit for each field
+		var seen uint64 // one bit per field
 		for !r.ends('}') {
 			name := r.name()
 			at := findField(fields, name)
@@ -58,7 +58,7 @@
 	return -1
 }
 
-// list returns a checker of a list whose elements all have one form.
+// list returns a checker of a list whose elements all have the same form.
 func list(element checker) checker {
 	return func(r *reader) {
 		if !r.enter('[') {
@@ -73,7 +73,7 @@
 	}
 }
 
-// orNull returns a checker that accepts null too.
+// orNull returns a checker that also accepts null.
 func orNull(other checker) checker {
 	return func(r *reader) {
 		if r.kind() == 'n' {
@@ -84,11 +84,11 @@
 	}
 }
 
-// textWith returns a checker of a text that fits a predicate. The reason completes an error's sentence about the text.
-func textWith(fits func(text string) bool, reason string) checker {
+// textWith returns a checker of a text that must satisfy a predicate. The reason follows the text in the error message.
+func textWith(isValid func(text string) bool, reason string) checker {
 	return func(r *reader) {
 		token, ok := r.scalar('"')
-		if ok && !fits(token.String()) {
+		if ok && !isValid(token.String()) {
 			r.fail("%q %s", token.String(), reason)
 		}
 	}
@@ -101,7 +101,7 @@
 		"doesn't begin and end with a slash")
 )
 
-// oneOf returns a checker of a text that is one of those listed.
+// oneOf returns a checker of a text that must be one of those listed.
 func oneOf(listed ...string) checker {
 	return textWith(func(text string) bool {
 		for _, allowed := range listed {
@@ -113,8 +113,8 @@
 	}, "is none of "+strings.Join(listed, ", "))
 }
 
-// numberWith returns a checker of a number that fits a predicate.
-func numberWith(fits func(value float64) bool, reason string) checker {
+// numberWith returns a checker of a number that must satisfy a predicate.
+func numberWith(isValid func(value float64) bool, reason string) checker {
 	return func(r *reader) {
 		token, ok := r.scalar('0')
 		if !ok {
@@ -125,7 +125,7 @@
 		switch {
 		case err != nil:
 			r.fail("%s is too large", written)
-		case !fits(value):
+		case !isValid(value):
 			r.fail("%s %s", written, reason)
 		}
 	}
@@ -146,12 +146,12 @@
 	r.mismatch("true or false")
 }
 
-// kindNames are the kinds of JSON value in the words of error messages.
+// kindNames are the names of the JSON kinds in error messages.
 var kindNames = map[jsontext.Kind]string{
 	'n': "null", 't': "true", 'f': "false", '"': "a text", '0': "a number", '{': "an object", '[': "a list",
 }
 
-// mismatch records that a value is of another kind, and skips it.
+// mismatch records that a value has the wrong kind, and skips it.
 func (r *reader) mismatch(expected string) {
 	kind := r.kind()
 	if r.aborted {
--- a/internal/tier/model/form/configuration.go
+++ b/internal/tier/model/form/configuration.go
@@ -1,7 +1,7 @@
 package form
 
-// The forms of a configuration's objects. Unlisted fields are skipped, so that a configuration may gain fields. What relates objects to
-// each other is checked by model.Validate. Package schema states the same in configuration.cue; both must change together.
+// Forms of the objects of a configuration. Fields that are not listed are skipped, so that fields can be added to configurations.
+// model.Validate checks relations between objects. configuration.cue of package schema defines the same forms; both must change together.
 var (
 	routeForm = object([]fieldForm{
 		{name: "name", check: anyText},
--- a/internal/tier/model/form/form.go
+++ b/internal/tier/model/form/form.go
@@ -1,6 +1,6 @@
 // Package form parses and validates the operator's configurations in one pass over the document, with an error for each invalid
-// field. It implements by hand what package schema states in CUE, at a small part of the cost; tests there check that the two
-// agree. Controllers parse with it what operators send. It is safe for concurrent use: a parse owns its reader.
+// field. It is a handwritten, much cheaper implementation of the CUE schema in package schema; tests there check that the two
+// agree. Controllers use it for the configurations that operators send. It is safe for concurrent use: each parse has its own reader.
 package form
 
 import (
@@ -16,12 +16,12 @@
 	"mastusher/internal/tier/validation"
 )
 
-// yieldAfter is the number of list elements after which a reader yields the processor: a large document must not delay heartbeats on a
-// machine with a small share of one core. A larger value delays them for longer; a smaller one costs more switches.
+// yieldAfter is the number of list elements after which a reader yields the processor, so that a large document doesn't delay heartbeats on
+// a machine with a small share of one core. A larger value delays them longer; a smaller one costs more context switches.
 const yieldAfter = 16
 
-// Parse parses one complete configuration and checks its form and its rules (model.Validate). The error holds an error for each
-// invalid field; see validation.FieldErrors. Whether the configuration's version is higher than the current one is not checked here.
+// Parse parses a complete configuration and checks its form and its rules (model.Validate). Its error holds an error for each invalid
+// field; see validation.FieldErrors. It does not compare the configuration's version with the current one.
 func Parse(raw []byte) (*model.Configuration, error) {
 	r := newReader(raw)
 	parsed := new(model.Configuration)
@@ -35,21 +35,21 @@
 	return parsed, nil
 }
 
-// reader walks over a document. After a syntax error it reads no further.
+// reader reads a document. It stops at a syntax error.
 type reader struct {
 	raw      []byte
 	decoder  *jsontext.Decoder
 	path     path
 	errs     []*validation.FieldError
-	aborted  bool // the text is not JSON from here on
-	elements int  // of lists, so far
+	aborted  bool // a syntax error has been recorded
+	elements int  // number of list elements read so far
 }
 
 func newReader(raw []byte) *reader {
 	return &reader{raw: raw, decoder: jsontext.NewDecoder(bytes.NewBuffer(raw))}
 }
 
-// document reads the configuration and checks that nothing follows it.
+// document reads a configuration, and checks that nothing follows it.
 func (r *reader) document(into *model.Configuration) {
 	object([]fieldForm{
 		{name: "number", required: true, check: decoded(positive, &into.Version)},
@@ -65,7 +65,7 @@
 	}
 }
 
-// decoded returns a checker that also decodes the value, if it is valid.
+// decoded returns a checker that also decodes the value into target if it is valid.
 func decoded(form checker, target any) checker {
 	return func(r *reader) {
 		before, start := r.errs, r.decoder.InputOffset()
@@ -79,7 +79,7 @@
 	}
 }
 
-// decodedList returns a checker of a list whose elements are decoded one by one.
+// decodedList returns a checker of a list that decodes each element separately.
 func decodedList[Element any](form checker, target *[]Element) checker {
 	return func(r *reader) {
 		*target = []Element{}
@@ -103,10 +103,10 @@
 	}
 }
 
-// fail records an error of the value that is being read.
+// fail records an error for the value that is being read.
 func (r *reader) fail(format string, values ...any) { r.add("", fmt.Sprintf(format, values...)) }
 
-// add records an error of a field below the value that is being read; empty: of the value itself.
+// add records an error for a field below the value that is being read, or for the value itself if below is empty.
 func (r *reader) add(below, reason string) {
 	field := r.path.String()
 	if below != "" && field != "" {
@@ -115,7 +115,7 @@
 	r.errs = append(r.errs, &validation.FieldError{Field: field + below, Reason: reason})
 }
 
-// abort records a syntax error, after which nothing is read. Only the first one counts.
+// abort records a syntax error and stops the reader. Later errors are not recorded.
 func (r *reader) abort(reason string) {
 	if !r.aborted {
 		r.errs = append(r.errs, &validation.FieldError{Reason: "can't be read whole: " + reason})
@@ -126,8 +126,8 @@
 // err returns all errors joined, or nil.
 func (r *reader) err() error {
 	var joined error
-	for _, one := range r.errs {
-		multierr.AppendInto(&joined, one)
+	for _, fieldErr := range r.errs {
+		multierr.AppendInto(&joined, fieldErr)
 	}
 	return joined
 }
--- a/internal/tier/model/form/form_test.go
+++ b/internal/tier/model/form/form_test.go
@@ -14,7 +14,7 @@
 	"mastusher/internal/tier/validation"
 )
 
-// document is a valid configuration with so many routes.
+// document returns a valid configuration with the given number of routes.
 func document(routes int) []byte {
 	written := make([]string, routes)
 	for i := range written {
@@ -64,7 +64,7 @@
 	for _, c := range cases {
 		complete := string(document(2))
 		if !strings.Contains(complete, c.old) {
-			t.Fatalf("the document has no %s", c.old)
+			t.Fatalf("document does not contain %s", c.old)
 		}
 		_, err := form.Parse([]byte(strings.Replace(complete, c.old, c.changed, 1)))
 		if errs := validation.FieldErrors(err); len(errs) != 1 || !strings.HasPrefix(errs[0].Error(), c.want) {
@@ -77,16 +77,16 @@
 	complete := document(2)
 	for end := range len(complete) {
 		if _, err := form.Parse(complete[:end]); err == nil {
-			t.Fatalf("accepted though truncated after %d bytes", end)
+			t.Fatalf("truncated after %d bytes, but accepted", end)
 		}
 	}
 	for _, more := range []string{"x", "{}", "}", "\x00", ","} {
 		if _, err := form.Parse(append(complete[:len(complete):len(complete)], more...)); err == nil {
-			t.Errorf("accepted with %q behind it", more)
+			t.Errorf("followed by %q, but accepted", more)
 		}
 	}
 	if _, err := form.Parse(append(complete[:len(complete):len(complete)], " \r\n\t"...)); err != nil {
-		t.Errorf("white space behind it: %v", err)
+		t.Errorf("followed by white space: %v", err)
 	}
 }
 
@@ -105,7 +105,8 @@
 	}
 }
 
-// Given one processor, when a large document is read, then other goroutines run in between: heartbeats are among them.
+// TestParse_LargeDocument_YieldsToOtherGoroutines checks that on one processor other goroutines, such as those of heartbeats, run while a
+// large document is parsed.
 func TestParse_LargeDocument_YieldsToOtherGoroutines(t *testing.T) {
 	const routes, elementsBetween = 2000, 64
 	raw := document(routes)
@@ -129,6 +130,6 @@
 	close(stop)
 	<-stopped
 	if err != nil || got < routes/elementsBetween {
-		t.Errorf("another goroutine had %d turns, %v", got, err)
+		t.Errorf("another goroutine ran %d times during the parse; error %v", got, err)
 	}
 }
--- a/internal/tier/model/integers.go
+++ b/internal/tier/model/integers.go
@@ -7,19 +7,19 @@
 	"strconv"
 )
 
-// maxExactInteger is the highest number up to which a float64 represents every integer.
+// maxExactInteger is the largest number up to which float64 represents every integer.
 const maxExactInteger = 1 << 53
 
-// roundedUpKeys are the keys of integers that are rounded up if they come with a fraction. The configuration's version isn't among
-// them: two versions must never become one.
+// roundedUpKeys are the keys of integers that are rounded up if they have a fraction. The configuration's version is not one of them,
+// because rounding could make two versions equal.
 var roundedUpKeys = map[string]bool{
 	"giveUpMs": true, "targetMs": true, "rank": true, "tries": true, "gap_aim_ms": true,
 	"maxConnections": true, "capacity": true, "cacheTokens": true, "tokenCacheBytes": true, "tokensPerEvent": true,
 	"maxHeaderBytes": true, "maxBodyBytes": true, "headerWaitMs": true, "idleCloseMs": true,
 }
 
-// decodeFractions decodes a value in which integers may be written with a fraction or an exponent, such as 250.0 or 1e3. It is
-// slower than encoding/json by itself, and used only where that has failed.
+// decodeFractions decodes a value in which integers may have a fraction or an exponent, such as 250.0 or 1e3. It is slower than
+// encoding/json, and only used after that has failed.
 func decodeFractions(key string, raw []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
@@ -34,7 +34,7 @@
 	return json.Unmarshal(rewritten, target)
 }
 
-// integersOnly rewrites the numbers below a key in place, as far as they are integers or may be rounded up to one.
+// integersOnly rewrites in place the numbers below a key that are integers or may be rounded up to one.
 func integersOnly(key string, value any) any {
 	switch value := value.(type) {
 	case map[string]any:
@@ -51,7 +51,7 @@
 	return value
 }
 
-// integer formats a number without a fraction if it is an integer, or if its key is among roundedUpKeys.
+// integer formats a number without a fraction if it is an integer, or after rounding up if its key is in roundedUpKeys.
 func integer(key string, number json.Number) json.Number {
 	value, err := number.Float64()
 	if err != nil || math.Abs(value) > maxExactInteger {
--- a/internal/tier/model/model_test.go
+++ b/internal/tier/model/model_test.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/tier/validation"
 )
 
-// document is a valid configuration as the operator sends it, with two services and two routes.
+// document is a valid configuration in the operator's JSON, with two services and two routes.
 const document = `{"number":7,"routes":[
 	{"name":"turns","host":"play.example","startsWith":"/chat/","kind":"streaming","giveUpMs":5000,"targetMs":200,
 	 "rank":1,"shares":[{"service":"lm","share":90},{"service":"lm-next","share":10.5}],"tries":1,"remembered":true,
@@ -88,28 +88,28 @@
 func replaced(t *testing.T, old, replacement string) string {
 	t.Helper()
 	if !strings.Contains(document, old) {
-		t.Fatalf("the document has no %q", old)
+		t.Fatalf("document does not contain %q", old)
 	}
 	return strings.Replace(document, old, replacement, 1)
 }
 
 func TestDecode_NotOneCompleteConfiguration_IsRefused(t *testing.T) {
 	cases := map[string]string{
-		"nothing":              "",
-		"bytes after it":       document + "x",
-		"a second document":    document + "{}",
-		"a list":               "[]",
-		"a text as number":     replaced(t, `"number":7`, `"number":"7"`),
-		"a negative number":    replaced(t, `"number":7`, `"number":-7`),
-		"a part of a number":   replaced(t, `"number":7`, `"number":7.5`),
-		"a huge number":        replaced(t, `"number":7`, `"number":1e300`),
-		"a fraction as a name": replaced(t, `"name":"turns"`, `"name":1.5`),
+		"an empty document":        "",
+		"bytes after the document": document + "x",
+		"a second document":        document + "{}",
+		"a list":                   "[]",
+		"a text as number":         replaced(t, `"number":7`, `"number":"7"`),
+		"a negative number":        replaced(t, `"number":7`, `"number":-7`),
+		"a fraction as number":     replaced(t, `"number":7`, `"number":7.5`),
+		"a huge number":            replaced(t, `"number":7`, `"number":1e300`),
+		"a fraction as a name":     replaced(t, `"name":"turns"`, `"name":1.5`),
 	}
 	for name, raw := range cases {
 		t.Run(name, func(t *testing.T) {
 			got, err := Decode([]byte(raw))
 			if got != nil || len(validation.FieldErrors(err)) != 1 {
-				t.Errorf("got %v and %v", got, err)
+				t.Errorf("got %v and error %v, want one field error", got, err)
 			}
 		})
 	}
@@ -118,7 +118,7 @@
 func TestDecode_DocumentTruncatedAnywhere_IsRefused(t *testing.T) {
 	for length := range len(document) {
 		if got, err := Decode([]byte(document[:length])); err == nil {
-			t.Fatalf("truncated at %d: got %v", length, got)
+			t.Fatalf("truncated at %d: got %v, want an error", length, got)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 	}
 	bare := &Configuration{Version: 1, Routes: []Route{}, Services: []Service{}}
 	if err := Validate(bare); err != nil {
-		t.Errorf("no routes: %v", err)
+		t.Errorf("no routes and services: %v", err)
 	}
 }
 
@@ -138,23 +138,23 @@
 		change func(*Configuration)
 		fields []string
 	}{
-		"number 0":                {func(config *Configuration) { config.Version = 0 }, []string{"number"}},
-		"no list of routes":       {func(config *Configuration) { config.Routes = nil }, []string{"routes"}},
-		"an unknown service":      {func(config *Configuration) { config.Routes[1].Service = "x" }, []string{"routes[1].service"}},
-		"no service":              {func(config *Configuration) { config.Routes[1].Service = "" }, []string{"routes[1].service"}},
-		"an unknown share":        {func(config *Configuration) { config.Routes[0].WeightedServices[1].Service = "x" }, []string{"routes[0].shares[1].service"}},
-		"unknown beside shares":   {func(config *Configuration) { config.Routes[0].Service = "x" }, []string{"routes[0].service"}},
-		"a host and prefix twice": {func(config *Configuration) { config.Routes[1].PathPrefix = "/chat/" }, []string{"routes[1]"}},
-		"a host in capitals twice": {func(config *Configuration) {
+		"number 0":                   {func(config *Configuration) { config.Version = 0 }, []string{"number"}},
+		"routes are missing":         {func(config *Configuration) { config.Routes = nil }, []string{"routes"}},
+		"an unknown service":         {func(config *Configuration) { config.Routes[1].Service = "x" }, []string{"routes[1].service"}},
+		"no service":                 {func(config *Configuration) { config.Routes[1].Service = "" }, []string{"routes[1].service"}},
+		"an unknown share":           {func(config *Configuration) { config.Routes[0].WeightedServices[1].Service = "x" }, []string{"routes[0].shares[1].service"}},
+		"unknown service and shares": {func(config *Configuration) { config.Routes[0].Service = "x" }, []string{"routes[0].service"}},
+		"a host and prefix twice":    {func(config *Configuration) { config.Routes[1].PathPrefix = "/chat/" }, []string{"routes[1]"}},
+		"a host twice, in capitals": {func(config *Configuration) {
 			config.Routes[1].PathPrefix, config.Routes[1].Host = "/chat/", "PLAY.example"
 		}, []string{"routes[1]"}},
 		"shares of 0": {func(config *Configuration) {
 			config.Routes[0].WeightedServices[0].Weight, config.Routes[0].WeightedServices[1].Weight = 0, 0
 		}, []string{"routes[0].shares"}},
 		"a negative share": {func(config *Configuration) { config.Routes[0].WeightedServices[0].Weight = -1 }, []string{"routes[0].shares[0].share"}},
-		"shares below 0": {func(config *Configuration) { config.Routes[0].WeightedServices[0].Weight = -20 },
+		"shares with negative sum": {func(config *Configuration) { config.Routes[0].WeightedServices[0].Weight = -20 },
 			[]string{"routes[0].shares[0].share", "routes[0].shares"}},
-		"endless shares": {func(config *Configuration) {
+		"shares with infinite sum": {func(config *Configuration) {
 			config.Routes[0].WeightedServices[0].Weight, config.Routes[0].WeightedServices[1].Weight = 1e308, 1e308
 		}, []string{"routes[0].shares"}},
 		"giveUpMs 0":            {func(config *Configuration) { config.Routes[0].TimeoutMs = 0 }, []string{"routes[0].giveUpMs"}},
@@ -175,8 +175,8 @@
 			c.change(changed)
 			err := Validate(changed)
 			var fields []string
-			for _, one := range validation.FieldErrors(err) {
-				fields = append(fields, one.Field)
+			for _, fieldErr := range validation.FieldErrors(err) {
+				fields = append(fields, fieldErr.Field)
 			}
 			if diff := cmp.Diff(c.fields, fields); diff != "" {
 				t.Errorf("%v: %s", err, diff)
@@ -185,7 +185,7 @@
 	}
 }
 
-// Whatever comes in, Decode gives either a configuration or an error, and the rest of the package can work with it.
+// FuzzDecode checks that Decode returns either a configuration that the rest of the package can handle, or an error.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(document))
 	f.Add([]byte(`{"number":1.0,"routes":[{"giveUpMs":1.5}]}`))
@@ -194,7 +194,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		read, err := Decode(raw)
 		if (read == nil) == (err == nil) {
-			t.Fatalf("got %v and %v", read, err)
+			t.Fatalf("got %v and error %v, want exactly one of them", read, err)
 		}
 		if err != nil {
 			if len(validation.FieldErrors(err)) == 0 {
@@ -220,15 +220,15 @@
 			continue
 		}
 		if !ok || matched != route {
-			t.Fatalf("route %d isn't matched by its own prefix", i)
+			t.Fatalf("route %d does not match its own host and prefix", i)
 		}
 		if table.Service(picked) == nil {
-			t.Fatalf("route %d picks %q, which is not there", i, picked)
+			t.Fatalf("route %d picks service %q, which does not exist", i, picked)
 		}
 	}
 }
 
-// largeConfiguration is a valid document with this many routes.
+// largeConfiguration returns a valid document with the given number of routes.
 func largeConfiguration(routes int) []byte {
 	written := make([]string, routes)
 	for i := range written {
--- a/internal/tier/model/schema/field_errors.go
+++ b/internal/tier/model/schema/field_errors.go
@@ -10,22 +10,22 @@
 	"mastusher/internal/tier/validation"
 )
 
-// fieldErrors converts an error of the evaluator.
+// fieldErrors converts an error of the CUE evaluator into field errors.
 func fieldErrors(err error) error {
 	var errs error
-	for _, one := range errors.Errors(err) {
-		format, args := one.Msg()
-		multierr.AppendInto(&errs, &validation.FieldError{Field: fieldPath(one.Path()), Reason: fmt.Sprintf(format, args...)})
+	for _, fieldErr := range errors.Errors(err) {
+		format, args := fieldErr.Msg()
+		multierr.AppendInto(&errs, &validation.FieldError{Field: fieldPath(fieldErr.Path()), Reason: fmt.Sprintf(format, args...)})
 	}
 	return errs
 }
 
-// fieldPath formats a path in the document as routes[3].giveUpMs.
+// fieldPath formats a path in the document like routes[3].giveUpMs.
 func fieldPath(path []string) string {
 	var formatted strings.Builder
 	for _, step := range path {
 		switch {
-		case strings.HasPrefix(step, "#"): // the name of the schema itself
+		case strings.HasPrefix(step, "#"): // name of the schema definition itself
 		case isIndex(step):
 			fmt.Fprintf(&formatted, "[%s]", step)
 		default:
@@ -42,15 +42,15 @@
 	return step != "" && strings.Trim(step, "0123456789") == ""
 }
 
-// firstOfEachField keeps the first error of each field, since form, schema and rules may find the same thing.
+// firstOfEachField keeps the first error of each field, because form, schema and rules may report the same fault.
 func firstOfEachField(err error) error {
 	var kept error
 	seen := make(map[string]bool)
-	for _, one := range validation.FieldErrors(err) {
-		if !seen[one.Field] {
-			multierr.AppendInto(&kept, one)
+	for _, fieldErr := range validation.FieldErrors(err) {
+		if !seen[fieldErr.Field] {
+			multierr.AppendInto(&kept, fieldErr)
 		}
-		seen[one.Field] = true
+		seen[fieldErr.Field] = true
 	}
 	return kept
 }
--- a/internal/tier/model/schema/form_test.go
+++ b/internal/tier/model/schema/form_test.go
@@ -15,11 +15,11 @@
 	"mastusher/internal/tier/validation"
 )
 
-// substitutes are what a random value of a document is replaced by.
+// substitutes are the values that replace random values of a document.
 var substitutes = []string{`null`, `true`, `false`, `""`, `"/"`, `"/a"`, `"a/"`, `"/a/b/"`, `"/\n/"`, `"streaming"`, `"Streaming"`, `"lm"`,
 	`-1`, `0`, `-0`, `1`, `0.5`, `7.0`, `1e300`, `1e-400`, `0e10`, `1e400`, `[]`, `[null]`, `{}`, `{"name":"x"}`}
 
-// eachValue lists each value of a tree, as a function that replaces it.
+// eachValue calls add for each value of a tree with a function that replaces the value, and for each field with one that deletes it.
 func eachValue(value any, set func(any), add func(set func(any))) {
 	add(set)
 	switch value := value.(type) {
@@ -36,7 +36,7 @@
 	}
 }
 
-// mutated returns a document of which up to three values are replaced or left out.
+// mutated returns a document of which up to three values are replaced or deleted.
 func mutated(t *rapid.T) []byte {
 	var tree any
 	if err := json.Unmarshal([]byte(document(2)), &tree); err != nil {
@@ -55,7 +55,7 @@
 	return raw
 }
 
-// disagreement tells where package form and the schema differ on a document; empty: nowhere.
+// disagreement describes how package form and the schema disagree about a document; empty: they agree.
 func disagreement(raw []byte) string {
 	read, formErr := form.Parse(raw)
 	schemaErr := checkSchema(raw)
@@ -66,35 +66,35 @@
 	}
 	isValid := schemaErr == nil && decodeErr == nil && validErr == nil
 	if isValid != (formErr == nil) {
-		return fmt.Sprintf("form: %v, schema: %v, decode: %v, rules: %v", formErr, schemaErr, decodeErr, validErr)
+		return fmt.Sprintf("only one side accepts it: form: %v, schema: %v, decode: %v, rules: %v", formErr, schemaErr, decodeErr, validErr)
 	}
 	if formErr == nil && fmt.Sprintf("%+v", *read) != fmt.Sprintf("%+v", *decoded) && !sameJSON(read, decoded) {
-		return fmt.Sprintf("read as %+v, decoded as %+v", read, decoded)
+		return fmt.Sprintf("form parsed %+v, model decoded %+v", read, decoded)
 	}
 	return fieldsDiffer(formErr, schemaErr)
 }
 
-// sameJSON tells whether two configurations are the same by content.
+// sameJSON reports whether two configurations have the same JSON encoding.
 func sameJSON(a, b *model.Configuration) bool {
 	first, _ := json.Marshal(a)
 	second, _ := json.Marshal(b)
 	return string(first) == string(second)
 }
 
-// fieldsDiffer tells of which field, or fields below it, package form finds no error though the schema does: where several forms are
-// allowed, the schema names what holds the value as well. Rules are checked only once the form is valid, and what can't be decoded is an
-// error to package form alone.
+// fieldsDiffer describes a field for which the schema finds an error, but package form finds none for it or a field below it: where the
+// schema allows several forms, it also reports errors for the parent of a value. Rules are only checked if the form is valid, and only
+// package form reports values that can't be decoded, so errors of package form alone are not a difference.
 func fieldsDiffer(formErr, schemaErr error) string {
 	found := validation.FieldErrors(formErr)
-	for _, one := range validation.FieldErrors(schemaErr) {
-		if !slices.ContainsFunc(found, func(f *validation.FieldError) bool { return strings.HasPrefix(f.Field, one.Field) }) {
-			return fmt.Sprintf("no error of field %q in: %v", one.Field, formErr)
+	for _, fieldErr := range validation.FieldErrors(schemaErr) {
+		if !slices.ContainsFunc(found, func(f *validation.FieldError) bool { return strings.HasPrefix(f.Field, fieldErr.Field) }) {
+			return fmt.Sprintf("no error of field %q in: %v", fieldErr.Field, formErr)
 		}
 	}
 	return ""
 }
 
-// Given any document near a proper one, then package form, which controllers use, and the schema agree on it.
+// TestForm_AnyDocument_AgreesWithSchema checks that package form, which controllers use, agrees with the schema on almost valid documents.
 func TestForm_AnyDocument_AgreesWithSchema(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		raw := mutated(t)
@@ -104,15 +104,15 @@
 	})
 }
 
-// FuzzForm compares package form with the schema on any bytes. What repeats a name or isn't UTF-8 is refused by package
-// form alone.
+// FuzzForm checks that the schema accepts all documents that package form accepts. Only package form rejects
+// duplicate names and invalid UTF-8.
 func FuzzForm(f *testing.F) {
 	f.Add([]byte(document(1)))
 	f.Add([]byte(`{"number":1,"routes":[],"services":[],"limits":null}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		_, err := form.Parse(raw)
 		if err == nil && Check(raw) != nil {
-			t.Fatalf("accepted though the schema refuses it: %v", Check(raw))
+			t.Fatalf("accepted by package form, but the schema rejects it: %v", Check(raw))
 		}
 		if err != nil && len(validation.FieldErrors(err)) == 0 {
 			t.Fatalf("%v holds no field error", err)
--- a/internal/tier/model/schema/schema.go
+++ b/internal/tier/model/schema/schema.go
@@ -1,5 +1,6 @@
-// Package schema is the schema of the operator's configurations in CUE (configuration.cue), and a validator by it. The check command
-// uses it. Evaluating CUE takes a hundred times as long as package form, which controllers use; tests here check that the two agree.
+// Package schema holds the CUE schema of the operator's configurations (configuration.cue), and validates configurations with it. The
+// check-config command uses it. Evaluating CUE takes a hundred times as long as package form, which controllers use. Tests in this package
+// check that the two agree.
 package schema
 
 import (
@@ -25,11 +26,11 @@
 	definition = "#Configuration"
 )
 
-// recompileAfter is the number of checks after which the schema is compiled anew: an evaluator never frees the names of fields that it
-// has seen, so a larger value costs memory, a smaller one time.
+// recompileAfter is the number of checks after which the schema is recompiled. An evaluator never frees the field names that it has seen,
+// so a larger value costs memory, and a smaller one time.
 const recompileAfter = 256
 
-// evaluator holds the compiled schema. The lock guards all of it: CUE values are not safe for concurrent use.
+// evaluator holds the compiled schema. The mutex guards all fields, because CUE values are not safe for concurrent use.
 var evaluator struct {
 	sync.Mutex
 	context  *cue.Context
@@ -37,9 +38,9 @@
 	checks   int
 }
 
-// Check finds everything that makes a configuration invalid by itself, and returns all errors with their fields; see
-// validation.FieldErrors. Whether its version is higher than the current one is not checked here. It finds everything that form.Parse
-// finds, which controllers use, at many times the cost. It is safe for concurrent use; calls run one at a time.
+// Check validates a configuration and returns all errors with their fields; see validation.FieldErrors. It does not compare the version
+// with the current one. It finds all errors that form.Parse finds, which controllers use, at many times the cost. It is safe for
+// concurrent use; calls run one at a time.
 func Check(raw []byte) error {
 	_, errs := form.Parse(raw)
 	if !json.Valid(raw) {
@@ -52,7 +53,7 @@
 	return firstOfEachField(errs)
 }
 
-// checkSchema validates a document by the schema alone.
+// checkSchema validates a document with the schema alone.
 func checkSchema(raw []byte) error {
 	document, err := cuejson.Extract("", raw)
 	if err != nil {
@@ -68,7 +69,7 @@
 	return fieldErrors(compiled.Unify(built).Validate(cue.Concrete(true), cue.Final()))
 }
 
-// compile returns the compiled schema. The caller must hold the lock.
+// compile returns the compiled schema. The caller must hold the mutex.
 func compile() (cue.Value, error) {
 	if evaluator.checks%recompileAfter == 0 {
 		evaluator.context = cuecontext.New()
--- a/internal/tier/model/schema/schema_test.go
+++ b/internal/tier/model/schema/schema_test.go
@@ -12,7 +12,7 @@
 	"mastusher/internal/tier/validation"
 )
 
-// document is a valid configuration with this many routes.
+// document returns a valid configuration with the given number of routes.
 func document(routes int) string {
 	written := make([]string, routes)
 	for i := range written {
@@ -30,19 +30,19 @@
 func TestCheck_ValidConfigurations_HaveNoErrors(t *testing.T) {
 	complete := document(3)
 	cases := map[string]string{
-		"complete":                  complete,
-		"no routes":                 `{"number":1,"routes":[],"services":[]}`,
-		"an unknown field":          replaced(t, `{"number":7`, `{"brandNew":{"a":[null]},"number":7`),
-		"an unknown field below":    replaced(t, `"rank":1`, `"rank":1,"brandNew":"x"`),
-		"an unknown field deepest":  replaced(t, `{"name":"m"}`, `{"name":"m","brandNew":[1]}`),
-		"whole numbers as floats":   replaced(t, `"giveUpMs":5000`, `"giveUpMs":5000.0`),
-		"one service":               replaced(t, `"shares":[{"service":"lm","share":90},{"service":"next","share":10.5}]`, `"service":"lm"`),
-		"a share of 0 beside one":   replaced(t, `"share":90`, `"share":0`),
-		"an empty service":          replaced(t, `"rank":1`, `"rank":1,"service":""`),
-		"no engine":                 replaced(t, `"tls":false,"engine"`, `"tls":false,"engine":null,"brandNew"`),
-		"null for optional fields":  replaced(t, `"keepForS":60.0,"pinned":true`, `"keepForS":null,"pinned":null`),
-		"prefix of one slash alone": replaced(t, `"/p0/"`, `"/"`),
-		"space around it":           "\n " + complete + " \n",
+		"complete":                    complete,
+		"no routes":                   `{"number":1,"routes":[],"services":[]}`,
+		"an unknown field":            replaced(t, `{"number":7`, `{"brandNew":{"a":[null]},"number":7`),
+		"an unknown field of a route": replaced(t, `"rank":1`, `"rank":1,"brandNew":"x"`),
+		"an unknown field of a model": replaced(t, `{"name":"m"}`, `{"name":"m","brandNew":[1]}`),
+		"whole numbers as floats":     replaced(t, `"giveUpMs":5000`, `"giveUpMs":5000.0`),
+		"one service":                 replaced(t, `"shares":[{"service":"lm","share":90},{"service":"next","share":10.5}]`, `"service":"lm"`),
+		"a share of 0 among others":   replaced(t, `"share":90`, `"share":0`),
+		"an empty service":            replaced(t, `"rank":1`, `"rank":1,"service":""`),
+		"no engine":                   replaced(t, `"tls":false,"engine"`, `"tls":false,"engine":null,"brandNew"`),
+		"null for optional fields":    replaced(t, `"keepForS":60.0,"pinned":true`, `"keepForS":null,"pinned":null`),
+		"prefix of one slash alone":   replaced(t, `"/p0/"`, `"/"`),
+		"space around the document":   "\n " + complete + " \n",
 	}
 	for name, raw := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -57,7 +57,7 @@
 	t.Helper()
 	complete := document(3)
 	if !strings.Contains(complete, old) {
-		t.Fatalf("the document has no %q", old)
+		t.Fatalf("document does not contain %q", old)
 	}
 	return strings.Replace(complete, old, replacement, 1)
 }
@@ -67,28 +67,28 @@
 		raw    string
 		fields []string
 	}{
-		"truncated":           {document(3)[:200], []string{""}},
-		"bytes after it":      {document(3) + "x", []string{""}},
-		"nothing":             {"", []string{""}},
-		"number 0":            {replaced(t, `"number":7`, `"number":0`), []string{"number"}},
-		"no number":           {replaced(t, `"number":7,`, ``), []string{"number"}},
-		"no routes":           {`{"number":1,"services":[]}`, []string{"routes"}},
-		"no services":         {`{"number":1,"routes":[]}`, []string{"services"}},
-		"an unknown service":  {replaced(t, `"service":"next"`, `"service":"x"`), []string{"routes[0].shares[1].service"}},
-		"the same prefix":     {replaced(t, `"/p1/"`, `"/p0/"`), []string{"routes[1]"}},
-		"weights of 0":        {replaced(t, `"share":90},{"service":"next","share":10.5`, `"share":0},{"service":"next","share":0.0`), []string{"routes[0].shares"}},
-		"a negative weight":   {replaced(t, `"share":90`, `"share":-1`), []string{"routes[0].shares[0].share"}},
-		"giveUpMs 0":          {replaced(t, `"giveUpMs":5000`, `"giveUpMs":0`), []string{"routes[0].giveUpMs"}},
-		"giveUpMs 0.0":        {replaced(t, `"giveUpMs":5000`, `"giveUpMs":0.0`), []string{"routes[0].giveUpMs"}},
-		"a negative giveUpMs": {replaced(t, `"giveUpMs":5000`, `"giveUpMs":-5`), []string{"routes[0].giveUpMs"}},
-		"no giveUpMs":         {replaced(t, `"giveUpMs":5000,`, ``), []string{"routes[0].giveUpMs"}},
-		"a kind of its own":   {replaced(t, `"streaming"`, `"twice"`), []string{"routes[0].kind"}},
-		"no kind":             {replaced(t, `"kind":"streaming",`, ``), []string{"routes[0].kind"}},
-		"an open prefix":      {replaced(t, `"/p0/"`, `"/p0"`), []string{"routes[0].startsWith"}},
-		"no host":             {replaced(t, `"host":"play.example",`, ``), []string{"routes[0].host"}},
-		"a service twice":     {replaced(t, `{"name":"next"`, `{"name":"lm"`), []string{"services[1].name"}},
-		"text for a flag":     {replaced(t, `"remembered":true`, `"remembered":"yes"`), []string{"routes[0].remembered"}},
-		"two errors of one": {
+		"truncated":                {document(3)[:200], []string{""}},
+		"bytes after the document": {document(3) + "x", []string{""}},
+		"nothing":                  {"", []string{""}},
+		"number 0":                 {replaced(t, `"number":7`, `"number":0`), []string{"number"}},
+		"no number":                {replaced(t, `"number":7,`, ``), []string{"number"}},
+		"no routes":                {`{"number":1,"services":[]}`, []string{"routes"}},
+		"no services":              {`{"number":1,"routes":[]}`, []string{"services"}},
+		"an unknown service":       {replaced(t, `"service":"next"`, `"service":"x"`), []string{"routes[0].shares[1].service"}},
+		"the same prefix":          {replaced(t, `"/p1/"`, `"/p0/"`), []string{"routes[1]"}},
+		"weights of 0":             {replaced(t, `"share":90},{"service":"next","share":10.5`, `"share":0},{"service":"next","share":0.0`), []string{"routes[0].shares"}},
+		"a negative weight":        {replaced(t, `"share":90`, `"share":-1`), []string{"routes[0].shares[0].share"}},
+		"giveUpMs 0":               {replaced(t, `"giveUpMs":5000`, `"giveUpMs":0`), []string{"routes[0].giveUpMs"}},
+		"giveUpMs 0.0":             {replaced(t, `"giveUpMs":5000`, `"giveUpMs":0.0`), []string{"routes[0].giveUpMs"}},
+		"a negative giveUpMs":      {replaced(t, `"giveUpMs":5000`, `"giveUpMs":-5`), []string{"routes[0].giveUpMs"}},
+		"no giveUpMs":              {replaced(t, `"giveUpMs":5000,`, ``), []string{"routes[0].giveUpMs"}},
+		"an unknown kind":          {replaced(t, `"streaming"`, `"twice"`), []string{"routes[0].kind"}},
+		"no kind":                  {replaced(t, `"kind":"streaming",`, ``), []string{"routes[0].kind"}},
+		"no slash at the end":      {replaced(t, `"/p0/"`, `"/p0"`), []string{"routes[0].startsWith"}},
+		"no host":                  {replaced(t, `"host":"play.example",`, ``), []string{"routes[0].host"}},
+		"a service twice":          {replaced(t, `{"name":"next"`, `{"name":"lm"`), []string{"services[1].name"}},
+		"text for a flag":          {replaced(t, `"remembered":true`, `"remembered":"yes"`), []string{"routes[0].remembered"}},
+		"two errors of a route": {
 			replaced(t, `"kind":"streaming","giveUpMs":5000`, `"kind":"x","giveUpMs":0`),
 			[]string{"routes[0].giveUpMs", "routes[0].kind"},
 		},
@@ -97,8 +97,8 @@
 		t.Run(name, func(t *testing.T) {
 			err := Check([]byte(c.raw))
 			found := make(map[string]bool)
-			for _, one := range validation.FieldErrors(err) {
-				found[one.Field] = true
+			for _, fieldErr := range validation.FieldErrors(err) {
+				found[fieldErr.Field] = true
 			}
 			for _, field := range c.fields {
 				if !found[field] {
@@ -112,8 +112,8 @@
 func TestCheck_ValidFields_AreNotNamed(t *testing.T) {
 	raw := replaced(t, `"giveUpMs":5000`, `"giveUpMs":0`)
 	var fields []string
-	for _, one := range validation.FieldErrors(Check([]byte(raw))) {
-		fields = append(fields, one.Field)
+	for _, fieldErr := range validation.FieldErrors(Check([]byte(raw))) {
+		fields = append(fields, fieldErr.Field)
 	}
 	if diff := cmp.Diff([]string{"routes[0].giveUpMs"}, fields); diff != "" {
 		t.Error(diff)
@@ -132,18 +132,18 @@
 	group.Wait()
 }
 
-// What the rules refuse is refused here too, and what is accepted here passes them.
+// FuzzCheck checks that Check rejects all documents that can't be decoded or that break a rule.
 func FuzzCheck(f *testing.F) {
 	f.Add([]byte(document(2)))
 	f.Add([]byte(`{"number":1,"routes":[],"services":[]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		err := Check(raw)
-		decoded, unread := model.Decode(raw)
-		if unread == nil && err == nil && model.Validate(decoded) != nil {
-			t.Fatal("accepted though it breaks a rule")
+		decoded, decodeErr := model.Decode(raw)
+		if decodeErr == nil && err == nil && model.Validate(decoded) != nil {
+			t.Fatal("accepted, but breaks a rule")
 		}
-		if (unread != nil) && err == nil {
-			t.Fatal("accepted though it can't be parsed")
+		if (decodeErr != nil) && err == nil {
+			t.Fatal("accepted, but can't be decoded")
 		}
 		if err != nil && len(validation.FieldErrors(err)) == 0 {
 			t.Fatalf("%v holds no field error", err)
--- a/internal/tier/model/table.go
+++ b/internal/tier/model/table.go
@@ -5,22 +5,21 @@
 	"strings"
 )
 
-// Table looks up the routes and services of one configuration. It is immutable and safe for concurrent use.
+// Table looks up the routes and services of a configuration. It is immutable and safe for concurrent use.
 type Table struct {
 	configuration *Configuration
 	hosts         map[string]*hostRoutes // by canonical host
 	services      map[string]*Service
 }
 
-// hostRoutes holds the routes of one host by their prefixes. A path is looked up once for each length that a prefix has, the longest
-// first.
+// hostRoutes holds the routes of one host by path prefix. A path is looked up once for each length of a prefix, the longest first.
 type hostRoutes struct {
-	lengths  []int // of the prefixes, descending, each once
+	lengths  []int // distinct lengths of the prefixes, in descending order
 	prefixes map[string]*Route
 }
 
-// NewTable builds the table of a configuration, which must not be changed afterwards. Of two routes with the same host and prefix, and
-// of two services with the same name, the first counts.
+// NewTable builds the table of a configuration, which must not be changed afterwards. If two routes have the same host and prefix, or two
+// services the same name, the first one is used.
 func NewTable(c *Configuration) *Table {
 	table := &Table{
 		configuration: c,
@@ -69,13 +68,13 @@
 	return t.configuration
 }
 
-// Service returns the service of that name, or nil.
+// Service returns the service with a name, or nil.
 func (t *Table) Service(name string) *Service {
 	return t.services[name]
 }
 
-// Match returns the route of a request: of the routes of its host, the one with the longest prefix of the path. The host may carry a
-// port and is compared without case; the path is the escaped one, as received.
+// Match returns the route of a request: the one with the longest matching path prefix among the routes of its host. The host may have a
+// port, and its case is ignored. The path is the escaped path, as received.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	routes := t.routesOf(withoutPort(host))
 	if routes == nil {
@@ -96,7 +95,7 @@
 	return nil, false
 }
 
-// maxStackHostBytes is the length up to which a host name with capitals is looked up without an allocation. It is the limit of DNS.
+// maxStackHostBytes is the length up to which a host name with capital letters is looked up without an allocation: the limit of DNS.
 const maxStackHostBytes = 255
 
 func (t *Table) routesOf(host string) *hostRoutes {
@@ -108,7 +107,7 @@
 	return t.hosts[string(lower)]
 }
 
-// canonicalHost returns a host as it is compared: without its port, in lower case.
+// canonicalHost returns a host in the form that is compared: in lower case and without its port.
 func canonicalHost(host string) string {
 	host = withoutPort(host)
 	if !hasCapital(host) {
@@ -117,7 +116,7 @@
 	return string(appendLower(nil, host))
 }
 
-// withoutPort removes the port. Colons inside the brackets of an IPv6 address don't begin one.
+// withoutPort removes the port of a host. A colon inside the brackets of an IPv6 address doesn't start a port.
 func withoutPort(host string) string {
 	colon := strings.LastIndexByte(host, ':')
 	if colon < 0 || strings.IndexByte(host[colon:], ']') >= 0 {
--- a/internal/tier/model/table_test.go
+++ b/internal/tier/model/table_test.go
@@ -52,7 +52,7 @@
 		t.Run(c.host+c.path, func(t *testing.T) {
 			route, ok := table.Match(c.host, c.path)
 			if got := nameOf(route); got != c.want || ok != (c.want != "") {
-				t.Errorf("got %q, %v; want %q", got, ok, c.want)
+				t.Errorf("got route %q, found %v; want %q", got, ok, c.want)
 			}
 		})
 	}
@@ -65,7 +65,7 @@
 	return route.Name
 }
 
-// naiveMatch is Match without any of its tables.
+// naiveMatch is a reference implementation of Match by linear search.
 func naiveMatch(routes []Route, host, path string) *Route {
 	var best *Route
 	for i := range routes {
@@ -95,7 +95,7 @@
 		got, ok := table.Match(asked, path)
 		want := naiveMatch(routes, asked, path)
 		if got != want || ok != (want != nil) {
-			t.Fatalf("got %v, want %v", got, want)
+			t.Fatalf("%v does not match the result of the linear search, %v", got, want)
 		}
 	})
 }
@@ -110,7 +110,7 @@
 		got, _ := table.Match(host, path)
 		routes := table.Configuration().Routes
 		if !isASCII(host) {
-			return // the naive one folds letters that the host of a request can't have
+			return // strings.EqualFold in naiveMatch also folds non-ASCII letters, which the host of a request can't have
 		}
 		if want := naiveMatch(routes, host, path); got != want {
 			t.Fatalf("got %v, want %v", got, want)
@@ -137,33 +137,33 @@
 func TestService_ByName_FirstOrNil(t *testing.T) {
 	table := NewTable(configuration())
 	if got := table.Service("lm"); got == nil || got.MaxConnections != 370 {
-		t.Errorf("got %+v", got)
+		t.Errorf("service lm: got %+v", got)
 	}
 	if got := table.Service("x"); got != nil {
-		t.Errorf("got %+v", got)
+		t.Errorf("unknown service: got %+v, want nil", got)
 	}
 	twice := NewTable(&Configuration{Services: []Service{{Name: "a", MaxConnections: 1}, {Name: "a"}}})
 	if got := twice.Service("a"); got.MaxConnections != 1 {
-		t.Errorf("given two of one name: got %+v", got)
+		t.Errorf("two services with one name: got %+v, want the first", got)
 	}
 }
 
 func TestPickService_NoWeights_IsTheService(t *testing.T) {
 	for name, route := range map[string]Route{
-		"one service":    {Service: "a"},
-		"shares of 0":    {Service: "a", WeightedServices: []WeightedService{{Service: "b"}}},
-		"endless shares": {Service: "a", WeightedServices: []WeightedService{{Service: "b", Weight: math.Inf(1)}}},
-		"no number":      {Service: "a", WeightedServices: []WeightedService{{Service: "b", Weight: math.NaN()}}},
+		"one service":     {Service: "a"},
+		"shares of 0":     {Service: "a", WeightedServices: []WeightedService{{Service: "b"}}},
+		"infinite shares": {Service: "a", WeightedServices: []WeightedService{{Service: "b", Weight: math.Inf(1)}}},
+		"share is NaN":    {Service: "a", WeightedServices: []WeightedService{{Service: "b", Weight: math.NaN()}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := route.PickService(1); got != "a" {
-				t.Errorf("got %q", got)
+				t.Errorf("got service %q, want a", got)
 			}
 		})
 	}
 }
 
-// Over many keys, also those that follow one another, each service is picked by its share, within five deviations.
+// Over many keys, consecutive ones included, each service is picked according to its weight, within five standard deviations.
 func TestPickService_ManyKeys_FollowWeights(t *testing.T) {
 	const keys = 4000
 	rapid.Check(t, func(t *rapid.T) {
@@ -181,7 +181,7 @@
 		total := sumOfWeights(route.WeightedServices)
 		if total == 0 {
 			if picked["none"] != keys {
-				t.Fatalf("got %v", picked)
+				t.Fatalf("all weights are 0, but got %v", picked)
 			}
 			return
 		}
@@ -189,22 +189,22 @@
 			expected := share / total
 			deviation := math.Sqrt(keys * expected * (1 - expected))
 			if got := float64(picked[fmt.Sprint(i)]); math.Abs(got-keys*expected) > 5*deviation+1 {
-				t.Fatalf("service %d with %v of all: got %v of %d", i, expected, got, keys)
+				t.Fatalf("service %d with a share of %v: got %v of %d keys", i, expected, got, keys)
 			}
 			if share == 0 && picked[fmt.Sprint(i)] != 0 {
-				t.Fatalf("service %d without a share was picked", i)
+				t.Fatalf("service %d with weight 0 was picked", i)
 			}
 		}
 	})
 }
 
-// A share that grows from the first service to the second moves only the keys of that part.
+// If weight moves from the first service to the second, only keys of the first service move.
 func TestPickService_WeightMoves_OnlyItsKeysMove(t *testing.T) {
 	before := &Route{WeightedServices: []WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	after := &Route{WeightedServices: []WeightedService{{Service: "a", Weight: 70}, {Service: "b", Weight: 30}}}
 	for key := range uint64(10000) {
 		if before.PickService(key) == "b" && after.PickService(key) != "b" {
-			t.Fatalf("key %d went back", key)
+			t.Fatalf("key %d moved from the second service to the first", key)
 		}
 	}
 }
--- a/internal/tier/model/validate.go
+++ b/internal/tier/model/validate.go
@@ -10,8 +10,8 @@
 	"mastusher/internal/tier/validation"
 )
 
-// Validate checks a configuration by itself, and returns all errors together; see validation.FieldErrors. Whether its version is
-// higher than the current one is not checked here.
+// Validate checks a configuration and returns all errors together; see validation.FieldErrors. It does not compare the version with the
+// current one.
 func Validate(c *Configuration) error {
 	var v validator
 	v.services(c.Services)
@@ -20,13 +20,13 @@
 	return v.errs
 }
 
-// validator collects the errors of one configuration.
+// validator collects the errors of a configuration.
 type validator struct {
 	knownServices map[string]bool // by name
 	errs          error
 }
 
-// fail records an error of a field.
+// fail records an error for a field.
 func (v *validator) fail(field, format string, args ...any) {
 	multierr.AppendInto(&v.errs, &validation.FieldError{Field: field, Reason: fmt.Sprintf(format, args...)})
 }
@@ -58,7 +58,7 @@
 	}
 }
 
-// matchKey is what a request is matched by.
+// matchKey identifies the requests that a route matches.
 type matchKey struct {
 	host, prefix string
 }
--- a/internal/tier/model/weighted_pick.go
+++ b/internal/tier/model/weighted_pick.go
@@ -1,8 +1,8 @@
 package model
 
-// PickService returns the service for a request with this key: always the same for a key, and over many keys each service by its
-// weight. A service of weight 0 is never picked. When weight moves from a service to its neighbour in the list, only the keys of the
-// weight that moved change their service.
+// PickService returns the service for a request with this key. It returns the same service for the same key, and distributes keys over the
+// services by weight. A service with weight 0 is never picked. If weight moves from a service to its neighbour in the list, only the keys
+// of the moved weight change their service.
 func (r *Route) PickService(key uint64) string {
 	sum := sumOfWeights(r.WeightedServices)
 	if !isUsableSum(sum) {
@@ -24,16 +24,16 @@
 	return picked
 }
 
-// unitInterval maps keys, including consecutive ones, evenly to 0 to 1 (without 1).
+// unitInterval maps keys, including consecutive ones, evenly to the interval from 0 (included) to 1 (excluded).
 func unitInterval(key uint64) float64 {
 	const (
-		bits  = 53 // of a float64's mantissa
+		bits  = 53 // precision of a float64
 		scale = 1 << bits
 	)
 	return float64(splitMix64(key)>>(64-bits)) / scale
 }
 
-// splitMix64 is the finalizer of SplitMix64 (Steele, Lea, Flood 2014): every bit of the key changes about half of the bits of the
+// splitMix64 is the finalizer of SplitMix64 (Steele, Lea, Flood 2014): each bit of the key affects about half of the bits of the
 // result.
 func splitMix64(key uint64) uint64 {
 	key += 0x9e3779b97f4a7c15
--- a/internal/tier/settings/parse.go
+++ b/internal/tier/settings/parse.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/tier/validation"
 )
 
-// The highest values accepted.
+// Maximum values.
 const (
 	maxPort     = 65535
 	maxQuantity = 1 << 50 // of megabytes, descriptors
@@ -38,7 +38,7 @@
 	return parsed, nil
 }
 
-// read reads the complete file. Errors are collected in the section.
+// read reads all known keys. Errors are collected in the section.
 func read(top section) *Settings {
 	serves := top.texts("serves")
 	discovery := top.text("findBy", optional)
@@ -73,7 +73,7 @@
 	return zones
 }
 
-// readListenOn reads the addresses. Those of what the role serves are required.
+// readListenOn reads the addresses. Which of them are required depends on what the role serves.
 func readListenOn(s section, serves []string) ListenOn {
 	edge := presence(slices.Contains(serves, ServesEdge))
 	control := presence(slices.Contains(serves, ServesControl))
@@ -130,7 +130,7 @@
 	}
 }
 
-// readBounds reads the known bounds, with an error for each invalid one, and of the unknown ones those that are numbers.
+// readBounds reads the bounds. A known bound with an invalid value is an error; an unknown bound is kept if it is a number.
 func readBounds(s section) Bounds {
 	bounds := Bounds{}
 	keys := make([]string, 0, len(s.fields))
@@ -147,7 +147,7 @@
 	return bounds
 }
 
-// bound reads a number, or true as 1 and false as 0.
+// bound reads a bound: a number, or true as 1 and false as 0.
 func (s section) bound(key string) (float64, bool) {
 	node, given := s.lookup(key, optional)
 	if !given {
--- a/internal/tier/settings/section.go
+++ b/internal/tier/settings/section.go
@@ -11,7 +11,7 @@
 	"mastusher/internal/tier/validation"
 )
 
-// presence says whether a key must have a value.
+// presence specifies whether a key must have a value.
 type presence bool
 
 const (
@@ -21,14 +21,14 @@
 
 const missing = "missing"
 
-// section is one mapping of the file. All sections of a file collect their errors in the same place.
+// section is a mapping in the file. All sections of a file share one list of errors.
 type section struct {
-	prefix string // path of its keys, ending in a dot; empty at the top
+	prefix string // path of the section, with a final dot; empty at the top level
 	fields map[string]yaml.Node
 	errs   *error
 }
 
-// newSection decodes a mapping. One that can't be decoded is an error, and has no keys.
+// newSection decodes a mapping. If that fails, it records an error and returns a section without keys.
 func newSection(key, prefix string, node *yaml.Node, errs *error) section {
 	decoded := section{prefix: prefix, errs: errs}
 	if err := node.Decode(&decoded.fields); err != nil {
@@ -37,12 +37,12 @@
 	return decoded
 }
 
-// fail records an error of a key.
+// fail records an error for a key.
 func (s section) fail(key, format string, args ...any) {
 	multierr.AppendInto(s.errs, &validation.FieldError{Field: s.prefix + key, Reason: fmt.Sprintf(format, args...)})
 }
 
-// lookup returns the node of a key. An empty value counts as missing.
+// lookup returns the node of a key. A key with an empty value counts as missing.
 func (s section) lookup(key string, need presence) (*yaml.Node, bool) {
 	node, ok := s.fields[key]
 	if ok && !isEmpty(&node) {
@@ -58,7 +58,7 @@
 	return node.Kind == 0 || node.ShortTag() == "!!null"
 }
 
-// inner reads a mapping below a key. An absent one has no keys.
+// inner returns the section of a key. It has no keys if the key is missing.
 func (s section) inner(key string) section {
 	prefix := s.prefix + key + "."
 	node, ok := s.lookup(key, optional)
@@ -68,7 +68,7 @@
 	return newSection(s.prefix+key, prefix, node, s.errs)
 }
 
-// value decodes the value of a key and reports whether there is one. Kind names what it must be, for the error.
+// value decodes the value of a key, and reports whether there is a valid one. kind describes the expected type, for the error.
 func value[T any](s section, key string, need presence, kind string) (T, bool) {
 	var read, none T
 	node, ok := s.lookup(key, need)
@@ -141,7 +141,7 @@
 	return s.within(key, math.MaxFloat64)
 }
 
-// within reads a number from 0 to highest.
+// within reads a number from 0 to highest, or 0 if the key is missing or invalid.
 func (s section) within(key string, highest float64) float64 {
 	read, _ := value[float64](s, key, optional, "number")
 	if !isWithin(read, highest) {
@@ -158,7 +158,7 @@
 	return number >= 0 && number <= highest
 }
 
-// integer reads a number from 0 to highest and truncates its fraction.
+// integer reads a number from 0 to highest, and truncates a fraction.
 func (s section) integer(key string, highest int64) int64 {
 	return int64(s.within(key, float64(highest)))
 }
--- a/internal/tier/settings/settings_test.go
+++ b/internal/tier/settings/settings_test.go
@@ -115,44 +115,44 @@
 		old, new string
 		keys     []string
 	}{
-		"a missing name":             {`nodeName: "edge-north-1"`, ``, []string{"nodeName"}},
-		"an empty name":              {`nodeName: "edge-north-1"`, `nodeName: ""`, []string{"nodeName"}},
-		"a list as a name":           {`nodeName: "edge-north-1"`, `nodeName: [a]`, []string{"nodeName"}},
-		"a null role":                {`role: "proxy"`, `role: ~`, []string{"role"}},
-		"no IP address":              {`ip: "10.1.0.30"`, `ip: "north"`, []string{"ip"}},
-		"serves as a text":           {"serves:\n  - \"edge\"", `serves: {a: b}`, []string{"serves"}},
-		"no front address":           {`frontHttp: "10.1.0.30:8149"`, ``, []string{"listenOn.frontHttp"}},
-		"an address without a port":  {`readiness: "10.1.0.30:8141"`, `readiness: "10.1.0.30"`, []string{"listenOn.readiness"}},
-		"a number for a section":     {"survive:\n  machines: 1\n  zones: 0\n  regions: 0", `survive: 3`, []string{"survive"}},
-		"a key twice":                {`role: "proxy"`, "role: \"proxy\"\nrole: \"store\"", []string{""}},
-		"a bad seed":                 {`"10.2.0.37:8144"`, `"nowhere"`, []string{"seedNodes[1]"}},
-		"ports the wrong way round":  {`- 7395`, `- 7000`, []string{"portRange"}},
-		"one port":                   {`- 7395`, ``, []string{"portRange"}},
-		"ports beyond the last":      {`- 7395`, `- 65536`, []string{"portRange"}},
-		"text for a port":            {`- 7395`, `- all`, []string{"portRange"}},
-		"text for a flag":            {`firstBoot: true`, `firstBoot: perhaps`, []string{"firstBoot"}},
-		"a negative limit":           {`memoryMb: 284`, `memoryMb: -1`, []string{"limits.memoryMb"}},
-		"a limit that is no number":  {`memoryMb: 284`, `memoryMb: .nan`, []string{"limits.memoryMb"}},
-		"an endless limit":           {`openFiles: 4100`, `openFiles: .inf`, []string{"limits.openFiles"}},
-		"a heartbeat of centuries":   {`heartbeatMs: 1200`, `heartbeatMs: 1e15`, []string{"heartbeatMs"}},
-		"a negative survivor":        {`machines: 1`, `machines: -1`, []string{"survive.machines"}},
-		"a negative bound":           {`drainMs: 2500`, `drainMs: -1`, []string{"bounds.drainMs"}},
-		"text for a bound":           {`drainMs: 2500`, `drainMs: soon`, []string{"bounds.drainMs"}},
-		"a share above the whole":    {`badShare: 0.2`, `badShare: 1.5`, []string{"bounds.badShare"}},
-		"no address of the list":     {`address: "10.200.0.100:8142"`, ``, []string{"cloudApi.address"}},
-		"two errors":                 {`role: "proxy"`, `firstBoot2: 1`, []string{"role"}},
-		"zones as a list":            {"zones:\n  north: \"coast\"\n  south: \"coast\"", `zones: [a]`, []string{"zones"}},
-		"control without an address": {`- "edge"`, "- \"edge\"\n  - \"control\"", []string{"listenOn.control"}},
+		"a missing name":                  {`nodeName: "edge-north-1"`, ``, []string{"nodeName"}},
+		"an empty name":                   {`nodeName: "edge-north-1"`, `nodeName: ""`, []string{"nodeName"}},
+		"a list as a name":                {`nodeName: "edge-north-1"`, `nodeName: [a]`, []string{"nodeName"}},
+		"a null role":                     {`role: "proxy"`, `role: ~`, []string{"role"}},
+		"no IP address":                   {`ip: "10.1.0.30"`, `ip: "north"`, []string{"ip"}},
+		"serves as a text":                {"serves:\n  - \"edge\"", `serves: {a: b}`, []string{"serves"}},
+		"no front address":                {`frontHttp: "10.1.0.30:8149"`, ``, []string{"listenOn.frontHttp"}},
+		"an address without a port":       {`readiness: "10.1.0.30:8141"`, `readiness: "10.1.0.30"`, []string{"listenOn.readiness"}},
+		"a number for a section":          {"survive:\n  machines: 1\n  zones: 0\n  regions: 0", `survive: 3`, []string{"survive"}},
+		"a key twice":                     {`role: "proxy"`, "role: \"proxy\"\nrole: \"store\"", []string{""}},
+		"a bad seed":                      {`"10.2.0.37:8144"`, `"nowhere"`, []string{"seedNodes[1]"}},
+		"ports in descending order":       {`- 7395`, `- 7000`, []string{"portRange"}},
+		"one port":                        {`- 7395`, ``, []string{"portRange"}},
+		"a port above 65535":              {`- 7395`, `- 65536`, []string{"portRange"}},
+		"text for a port":                 {`- 7395`, `- all`, []string{"portRange"}},
+		"text for a flag":                 {`firstBoot: true`, `firstBoot: perhaps`, []string{"firstBoot"}},
+		"a negative limit":                {`memoryMb: 284`, `memoryMb: -1`, []string{"limits.memoryMb"}},
+		"a limit that is no number":       {`memoryMb: 284`, `memoryMb: .nan`, []string{"limits.memoryMb"}},
+		"an infinite limit":               {`openFiles: 4100`, `openFiles: .inf`, []string{"limits.openFiles"}},
+		"a heartbeat above a year":        {`heartbeatMs: 1200`, `heartbeatMs: 1e15`, []string{"heartbeatMs"}},
+		"a negative fault tolerance":      {`machines: 1`, `machines: -1`, []string{"survive.machines"}},
+		"a negative bound":                {`drainMs: 2500`, `drainMs: -1`, []string{"bounds.drainMs"}},
+		"text for a bound":                {`drainMs: 2500`, `drainMs: soon`, []string{"bounds.drainMs"}},
+		"a share above 1":                 {`badShare: 0.2`, `badShare: 1.5`, []string{"bounds.badShare"}},
+		"no address of the endpoint list": {`address: "10.200.0.100:8142"`, ``, []string{"cloudApi.address"}},
+		"two errors":                      {`role: "proxy"`, `firstBoot2: 1`, []string{"role"}},
+		"zones as a list":                 {"zones:\n  north: \"coast\"\n  south: \"coast\"", `zones: [a]`, []string{"zones"}},
+		"control without an address":      {`- "edge"`, "- \"edge\"\n  - \"control\"", []string{"listenOn.control"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			if !strings.Contains(edgeFile, c.old) {
-				t.Fatalf("the file has no %q", c.old)
+				t.Fatalf("edgeFile does not contain %q", c.old)
 			}
 			_, err := Parse([]byte(strings.Replace(edgeFile, c.old, c.new, 1)))
 			var keys []string
-			for _, one := range validation.FieldErrors(err) {
-				keys = append(keys, one.Field)
+			for _, fieldErr := range validation.FieldErrors(err) {
+				keys = append(keys, fieldErr.Field)
 			}
 			if c.keys[0] == "" {
 				keys = keys[:min(1, len(keys))]
@@ -169,8 +169,8 @@
 	for _, raw := range []string{"", "null", "{}", "---\n"} {
 		_, err := Parse([]byte(raw))
 		var keys []string
-		for _, one := range validation.FieldErrors(err) {
-			keys = append(keys, one.Field)
+		for _, fieldErr := range validation.FieldErrors(err) {
+			keys = append(keys, fieldErr.Field)
 		}
 		if diff := cmp.Diff(want, keys); diff != "" {
 			t.Errorf("%q: %s", raw, diff)
@@ -193,7 +193,7 @@
 		t.Fatal(err)
 	}
 	if got.Region != "coast" {
-		t.Errorf("got %q", got.Region)
+		t.Errorf("got region %q, want coast", got.Region)
 	}
 }
 
@@ -202,19 +202,19 @@
 
 	_, absent := Load(path)
 	if !trace.IsNotFound(absent) && !os.IsNotExist(absent) || !strings.Contains(absent.Error(), path) {
-		t.Errorf("given no file: got %v", absent)
+		t.Errorf("no file: got error %v, want a not-found error with the path", absent)
 	}
 
 	writeFile(t, path, "role: x")
 	_, broken := Load(path)
 	if len(validation.FieldErrors(broken)) != 5 || !strings.Contains(broken.Error(), path) {
-		t.Errorf("given a broken file: got %v", broken)
+		t.Errorf("file without most required keys: got error %v, want five field errors and the path", broken)
 	}
 
 	writeFile(t, path, edgeFile)
 	complete, err := Load(path)
 	if diff := cmp.Diff(edgeSettings(), complete); err != nil || diff != "" {
-		t.Errorf("given a complete file: %v %s", err, diff)
+		t.Errorf("complete file: error %v, diff (-want +got): %s", err, diff)
 	}
 }
 
@@ -234,7 +234,7 @@
 		}
 	}
 	if got := s.PortRange.Len(); got != 3 {
-		t.Errorf("got %d ports", got)
+		t.Errorf("got %d ports, want 3", got)
 	}
 }
 
@@ -294,17 +294,17 @@
 func TestSettings_Role_ServesAndHasWhatTheFileSays(t *testing.T) {
 	s := edgeSettings()
 	if !s.DoesServe(ServesEdge) || s.DoesServe(ServesStorage) {
-		t.Errorf("serves %v", s.Serves)
+		t.Errorf("serves %v, want edge only", s.Serves)
 	}
 	if !s.HasRule("drain") || s.HasRule("stream") {
-		t.Errorf("rules %v", s.EnabledRules)
+		t.Errorf("rules %v, want drain and not stream", s.EnabledRules)
 	}
 	if s.HasDisk() || !(&Settings{DataDir: "/data"}).HasDisk() {
-		t.Error("a disk is a data directory")
+		t.Error("HasDisk must report whether there is a data directory")
 	}
 }
 
-// Any fractional bound in range is read back as that many units, within a nanosecond's rounding.
+// A bound in any fractional number of seconds is converted to a duration with an error below a microsecond.
 func TestBounds_EachKey_HasItsUnit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		given := rapid.Float64Range(0, 1e6).Draw(t, "catchUpS")
@@ -322,13 +322,13 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		parsed, err := Parse(raw)
 		if (parsed == nil) == (err == nil) {
-			t.Fatalf("got %v and %v", parsed, err)
+			t.Fatalf("got settings %v and error %v, want exactly one of them", parsed, err)
 		}
 		if err != nil && len(validation.FieldErrors(err)) == 0 {
 			t.Fatalf("%v holds no field error", err)
 		}
 		if err == nil && (parsed.Port(0) == 0 || parsed.Bounds.DrainWithin() < 0 || parsed.Heartbeat() <= 0) {
-			t.Fatalf("got %+v", parsed)
+			t.Fatalf("accepted settings are out of range: %+v", parsed)
 		}
 	})
 }
--- a/internal/tier/validation/field_error.go
+++ b/internal/tier/validation/field_error.go
@@ -1,6 +1,5 @@
-// Package validation holds the errors of a document that was read and found invalid: one FieldError for each thing that is wrong,
-// joined by package multierr, so that an operator sees all of them at once. Packages settings and model produce them; the
-// commands print them.
+// Package validation defines the errors of an invalid document: one FieldError for each fault, joined by package multierr, so that an
+// operator sees all faults at once. Packages settings and model return them, and the check commands print them.
 package validation
 
 import (
@@ -8,13 +7,13 @@
 	"fmt"
 )
 
-// FieldError is one thing that is wrong with a document.
+// FieldError is a fault of a document.
 type FieldError struct {
-	Field  string // path of the field, such as routes[3].giveUpMs or limits.memoryMb; empty: the document as a whole
-	Reason string // that completes a sentence about the field, such as "is missing"
+	Field  string // path of the field, such as routes[3].giveUpMs or limits.memoryMb; empty: the whole document
+	Reason string // completes a sentence about the field, such as "is missing"
 }
 
-// Error names the field and what is wrong with it.
+// Error returns the field and the reason.
 func (e *FieldError) Error() string {
 	if e.Field == "" {
 		return e.Reason
@@ -22,8 +21,8 @@
 	return fmt.Sprintf("%s: %s", e.Field, e.Reason)
 }
 
-// FieldErrors lists the FieldErrors that an error holds, a single one or several joined by multierr, in the order of the checks.
-// It leaves out errors of other types.
+// FieldErrors returns the FieldErrors in an error, one or several joined by multierr, in their order. It omits errors of other
+// types.
 func FieldErrors(err error) []*FieldError {
 	var joined interface{ Errors() []error }
 	if !errors.As(err, &joined) {
--- a/internal/tier/validation/field_error_test.go
+++ b/internal/tier/validation/field_error_test.go
@@ -15,7 +15,7 @@
 		t.Errorf("got %q", got)
 	}
 	if got := FieldErrors(fmt.Errorf("other")); got != nil {
-		t.Errorf("got %v", got)
+		t.Errorf("got %v for an error without field errors, want none", got)
 	}
 }
 
@@ -24,6 +24,6 @@
 	group := fmt.Errorf("settings.yaml: %w", multierr.Combine(first, fmt.Errorf("other"), second))
 	got := FieldErrors(group)
 	if len(got) != 2 || got[0] != first || got[1] != second {
-		t.Errorf("got %v", got)
+		t.Errorf("got %v, want the two field errors in order", got)
 	}
 }
--- a/internal/tier/wait/wait.go
+++ b/internal/tier/wait/wait.go
@@ -1,5 +1,5 @@
-// Package wait has the two waits of the tier that end with a context. They use the time of package time, and so that of a
-// testing/synctest bubble.
+// Package wait has the tier's two ways to wait until a context ends. They use package time, so that they work in a testing/synctest
+// bubble.
 package wait
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Sleep waits for a duration, and returns nil; or the context's error, if that ends first.
+// Sleep waits for a duration and returns nil, or returns the context's error if the context ends first.
 func Sleep(ctx context.Context, duration time.Duration) error {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -19,7 +19,8 @@
 	}
 }
 
-// Every calls run at the end of each interval, until ctx ends, and then returns. Intervals that end while run runs are skipped but for one.
+// Every calls run at the end of each interval until ctx ends. If intervals end while run is running, at most one further call follows at
+// once.
 func Every(ctx context.Context, interval time.Duration, run func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/tier/wait/wait_test.go
+++ b/internal/tier/wait/wait_test.go
@@ -40,7 +40,7 @@
 		began, runs := time.Now(), []time.Duration(nil)
 		Every(ctx, time.Second, func() { runs = append(runs, time.Since(began)) })
 		if len(runs) != 3 || runs[0] != time.Second || runs[2] != 3*time.Second {
-			t.Errorf("ran after %v", runs)
+			t.Errorf("ran after %v, want runs after 1 s, 2 s and 3 s", runs)
 		}
 	})
 }
--- a/internal/tier/wire/cached_chain.go
+++ b/internal/tier/wire/cached_chain.go
@@ -6,10 +6,10 @@
 	"mastusher/internal/tier/program"
 )
 
-// chainDigestBytes is the length of a digest. Chains with the same digest count as the same.
+// chainDigestBytes is the length of a digest. Chains with equal digests are taken as equal.
 const chainDigestBytes = 16
 
-// MaxCachedChains is the number of cached chains that count in one request.
+// MaxCachedChains is the maximum number of cached chains that are considered in a request.
 const MaxCachedChains = 4
 
 // ChainDigest is the truncated SHA-256 of a chain, or of a prefix of one.
@@ -21,13 +21,13 @@
 	return sum[:chainDigestBytes]
 }
 
-// CachedChain identifies a chain that the caller has, with which the chain of a turn may begin.
+// CachedChain identifies a chain that the caller has cached, and which may be a prefix of a turn's chain.
 type CachedChain struct {
 	Bytes  int         `json:"bytes"`
 	Digest ChainDigest `json:"sum"`
 }
 
-// OmitCachedPrefix leaves out of a result the longest prefix of its chain that the caller has.
+// OmitCachedPrefix returns the response for a result, without the longest prefix of its chain that the caller has cached.
 func OmitCachedPrefix(result program.Result, cached []CachedChain) BeginTurnResponse {
 	response := BeginTurnResponse{Result: result}
 	omitted := 0
--- a/internal/tier/wire/cached_chain_test.go
+++ b/internal/tier/wire/cached_chain_test.go
@@ -10,7 +10,8 @@
 	"mastusher/internal/tier/wire"
 )
 
-// Given any chains that a caller has cached, then what is left out is a prefix of the result's chain, and one of them.
+// TestOmitCachedPrefix_AnyChains_OmitsOnlyWhatIsCached checks that the omitted part of the chain is a prefix of it and one of the cached
+// chains.
 func TestOmitCachedPrefix_AnyChains_OmitsOnlyWhatIsCached(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringMatching(`[ab]{0,6}`)
--- a/internal/tier/wire/cluster.go
+++ b/internal/tier/wire/cluster.go
@@ -2,7 +2,7 @@
 
 import "mastusher/internal/tier/model"
 
-// EndpointsRequest asks a controller for the platform's current list of endpoints.
+// EndpointsRequest requests the platform's current list of endpoints from a controller.
 type EndpointsRequest struct{}
 
 // EndpointsResponse holds the complete list.
@@ -10,7 +10,7 @@
 	Endpoints []model.Endpoint `json:"endpoints"`
 }
 
-// ProxiesRequest asks an agent for the number of proxies.
+// ProxiesRequest requests the number of proxies from an agent.
 type ProxiesRequest struct{}
 
 // ProxiesResponse holds the number of running proxies, as far as the agent knows.
@@ -18,19 +18,19 @@
 	Count int `json:"count"`
 }
 
-// ShardMembersRequest asks a store for the members of the groups that it leads.
+// ShardMembersRequest requests the members of the groups that a store leads.
 type ShardMembersRequest struct{}
 
-// ShardMembers lists the members of one group, by its leader: a majority has confirmed its term, and the members are committed.
+// ShardMembers holds the members of a group, as its leader knows them: a majority has confirmed its term, and the members are committed.
 type ShardMembers struct {
 	Shard     int      `json:"shard"`
 	Term      uint64   `json:"epoch"`
-	Placement uint64   `json:"placement"` // index of the newest placement that the group has begun to follow
-	IDs       []string `json:"ids"`       // all members, voters and learners
-	CaughtUp  []string `json:"caughtUp"`  // voters that have all but the newest entries
+	Placement uint64   `json:"placement"` // index of the newest placement that the group has started to apply
+	IDs       []string `json:"ids"`       // all members: voters and learners
+	CaughtUp  []string `json:"caughtUp"`  // voters that have all entries except the newest ones
 }
 
-// ShardMembersResponse lists the groups that a store leads.
+// ShardMembersResponse holds the groups that a store leads.
 type ShardMembersResponse struct {
 	Shards []ShardMembers `json:"shards"`
 }
--- a/internal/tier/wire/format_test.go
+++ b/internal/tier/wire/format_test.go
@@ -20,9 +20,10 @@
 
 const formatFile = "testdata/bodies.jsonl"
 
-var updateFormat = flag.Bool("update-format", false, "write the stored bodies anew; only for a format that is meant to change")
+var updateFormat = flag.Bool("update-format", false, "rewrite the stored bodies; only for an intended change of the format")
 
-// formatBodies are the bodies that processes exchange, the sections of the view, and the operator's configuration. The stored file has a line for each.
+// formatBodies are the message bodies that processes exchange, the sections of the view, and the operator's configuration. The stored file
+// has a line for each.
 var formatBodies = []any{
 	&wire.BeginTurnRequest{}, &wire.BeginTurnResponse{}, &wire.EndTurnRequest{}, &wire.ChainRequest{}, &wire.ChainResponse{},
 	&wire.FetchRequest{}, &wire.FetchResponse{}, &wire.ShardMembersRequest{}, &wire.ShardMembersResponse{},
@@ -43,12 +44,13 @@
 		lines = append(lines, bytes.Clone(scanner.Bytes()))
 	}
 	if len(lines) != len(formatBodies) {
-		t.Fatalf("%d bodies are stored, want %d", len(lines), len(formatBodies))
+		t.Fatalf("the file has %d stored bodies, want %d", len(lines), len(formatBodies))
 	}
 	return lines
 }
 
-// TestBodyFormat_WritesTheBytesOfEarlierVersions encodes each body by encoding/json, and by its own method where it has one.
+// TestBodyFormat_WritesTheBytesOfEarlierVersions encodes each body with encoding/json, and with its own method if it has one, and compares
+// the result with the stored bytes.
 func TestBodyFormat_WritesTheBytesOfEarlierVersions(t *testing.T) {
 	if *updateFormat {
 		var stored []byte
@@ -70,12 +72,12 @@
 			}); ok {
 				written, err := own.AppendJSON(nil)
 				if text := cmp.Diff(string(stored), string(written)); text != "" || err != nil {
-					t.Errorf("by AppendJSON: %v\n%s", err, text)
+					t.Errorf("AppendJSON: error %v\n%s", err, text)
 				}
 			}
 			if config, ok := body.(*view.Config); ok {
 				if text := cmp.Diff(string(stored), string(config.JSON())); text != "" {
-					t.Errorf("by JSON:\n%s", text)
+					t.Errorf("JSON:\n%s", text)
 				}
 			}
 		})
@@ -91,7 +93,7 @@
 	return encoded
 }
 
-// TestBodyFormat_ReadsBodiesOfEarlierVersions decodes each stored body and compares every field.
+// TestBodyFormat_ReadsBodiesOfEarlierVersions decodes each stored body and compares all fields.
 func TestBodyFormat_ReadsBodiesOfEarlierVersions(t *testing.T) {
 	for i, stored := range storedBodies(t) {
 		t.Run(fmt.Sprintf("%T", formatBodies[i]), func(t *testing.T) {
@@ -106,7 +108,8 @@
 	}
 }
 
-// TestMethodFormat_NamesAndPorts_AreThoseOfEarlierVersions compares what processes of two versions call each other by and where.
+// TestMethodFormat_NamesAndPorts_AreThoseOfEarlierVersions checks the method names and port offsets with which processes of different
+// versions call each other.
 func TestMethodFormat_NamesAndPorts_AreThoseOfEarlierVersions(t *testing.T) {
 	names := []string{wire.MethodReplica, wire.MethodBeginTurn, wire.MethodEndTurn, wire.MethodChain, wire.MethodFetch, wire.MethodFeed,
 		wire.MethodMembers, wire.MethodShardMembers, wire.MethodEndpoints, wire.MethodProxies, wire.MethodVersionStats, wire.KindNotLeader}
--- a/internal/tier/wire/methods.go
+++ b/internal/tier/wire/methods.go
@@ -1,9 +1,9 @@
-// Package wire names the methods that the processes of the tier call on each other over package transport, with the JSON bodies
-// of their requests and responses. It holds no logic but that of leaving out what the other side has. Processes of different
-// versions talk to each other during a roll-out, so names and tags must not change; testdata/bodies.jsonl holds them.
+// Package wire defines the methods that processes of the tier call on each other with package transport, and the JSON bodies of their
+// requests and responses. Its only logic is the omission of data that the receiver already has. Processes of different versions
+// communicate during a roll-out, so names and tags must not change; testdata/bodies.jsonl records them.
 package wire
 
-// The methods. A notice has no response.
+// Methods. A notice has no response.
 const (
 	MethodReplica      = "replica"         // notice: a group.Envelope
 	MethodBeginTurn    = "turn.begin"      // BeginTurnRequest, BeginTurnResponse
@@ -15,16 +15,16 @@
 	MethodShardMembers = "shard.members"   // ShardMembersRequest, ShardMembersResponse
 	MethodEndpoints    = "endpoints"       // EndpointsRequest, EndpointsResponse; served by controllers
 	MethodProxies      = "proxies"         // ProxiesRequest, ProxiesResponse; served by agents
-	MethodVersionStats = "rollout.tallies" // notice: a VersionStatsReport, from a proxy by way of its agent
+	MethodVersionStats = "rollout.tallies" // notice: a VersionStatsReport, sent by a proxy and forwarded by its agent
 )
 
-// KindNotLeader is the kind of a remote error whose message is the leader's address, or empty where that is not known.
+// KindNotLeader is the kind of a remote error whose message is the leader's address, or empty if the leader is unknown.
 const KindNotLeader = "not_owner"
 
-// PortOffset is the position of a role's port in the range of ports that are free on every machine (settings.PortRange).
+// PortOffset is the offset of a role's port into the range of ports that are free on every machine (settings.PortRange).
 type PortOffset = int
 
-// The ports of the roles.
+// Ports of the roles.
 const (
 	ControllerPort PortOffset = 0
 	AgentPort      PortOffset = 1
--- a/internal/tier/wire/mutants_test.go
+++ b/internal/tier/wire/mutants_test.go
@@ -16,7 +16,7 @@
 			Always: true,
 		},
 		{
-			Name:   "less of a chain is left out than CachedIndex says",
+			Name:   "a shorter prefix is omitted than CachedIndex says",
 			Change: mutation.Change{File: "cached_chain.go", Old: "result.Chain[omitted:]", New: "result.Chain[omitted/2:]"},
 			Run:    "^TestOmitCachedPrefix_AnyChains_OmitsOnlyWhatIsCached$",
 		},
--- a/internal/tier/wire/turn.go
+++ b/internal/tier/wire/turn.go
@@ -6,16 +6,16 @@
 type BeginTurnRequest struct {
 	Shard int               `json:"shard"`
 	Turn  program.BeginTurn `json:"turn"`
-	// CachedChains are chains that the caller has, so that the response may leave out a prefix that equals one; at most
-	// MaxCachedChains count.
+	// CachedChains identifies chains that the caller has cached, so that the response may omit one that is a prefix of the chain. Only the
+	// first MaxCachedChains are considered.
 	CachedChains []CachedChain `json:"held,omitempty"`
 }
 
-// BeginTurnResponse answers a BeginTurnRequest.
+// BeginTurnResponse is the response to a BeginTurnRequest.
 type BeginTurnResponse struct {
 	program.Result
-	// CachedIndex is the position, counted from 1, in the request's CachedChains of the one that is left out at the beginning of
-	// the result's chain; 0: the chain is complete.
+	// CachedIndex is the 1-based index in the request's CachedChains of the chain that is omitted at the beginning of the result's chain;
+	// 0: the chain is complete.
 	CachedIndex int `json:"held,omitempty"`
 }
 
@@ -25,13 +25,13 @@
 	Turn  program.EndTurn `json:"turn"`
 }
 
-// ChainRequest asks the leader of a shard for a turn's complete chain.
+// ChainRequest requests a turn's complete chain from the leader of a shard.
 type ChainRequest struct {
 	Shard int    `json:"shard"`
 	Turn  string `json:"turn"`
 }
 
-// ChainResponse holds a chain, if the shard stores the turn.
+// ChainResponse holds the chain if the shard stores the turn.
 type ChainResponse struct {
 	Found bool   `json:"found"`
 	Chain []byte `json:"chain,omitempty"`
--- a/internal/tier/wire/view_fetch.go
+++ b/internal/tier/wire/view_fetch.go
@@ -2,17 +2,17 @@
 
 import "mastusher/internal/tier/view"
 
-// FetchRequest asks for the sections of the view of which the other side has newer content than the digest says.
+// FetchRequest requests the sections of the view that are newer on the other side than in the digest.
 type FetchRequest struct {
 	Digest view.Digest `json:"digest"`
 }
 
-// FetchResponse brings these sections.
+// FetchResponse holds the newer sections.
 type FetchResponse struct {
 	Updates []view.Update `json:"pieces"`
 }
 
-// AppendJSON implements transport.Appender: the bytes are those of encoding/json, without encoding the bodies again.
+// AppendJSON implements transport.Appender. It appends the same bytes as encoding/json, but does not encode the section bodies again.
 func (r FetchResponse) AppendJSON(buffer []byte) ([]byte, error) {
 	buffer = append(buffer, `{"pieces":[`...)
 	for i, update := range r.Updates {
