--- a/cmd/mastusher/capture.go
+++ b/cmd/mastusher/capture.go
@@ -41,14 +41,14 @@
 		r.log.Info("capture already running", "dir", c.Dir)
 		return
 	}
-	started, err := capture.New(c.Dir, r.core.Begin(r.cfg.Name, build()), capture.Limits{Queue: r.cfg.Limits.CaptureQueue,
+	current, err := capture.New(c.Dir, r.core.Begin(r.cfg.Name, build()), capture.Limits{Queue: r.cfg.Limits.CaptureQueue,
 		Chunk: r.cfg.Limits.CaptureChunk, Within: r.cfg.Limits.CaptureWithin, FileSize: c.FileSize, DirSize: c.DirSize}, r.log)
 	if err != nil {
 		r.log.Error("capture not started", "err", err)
 		return
 	}
-	r.current = started
-	r.core.Record(started)
+	r.current = current
+	r.core.Record(current)
 	r.log.Info("capture started", "dir", c.Dir)
 }
 
@@ -110,7 +110,7 @@
 		if err != nil {
 			return operationError{err}
 		}
-		if cfg.Capture.Dir == "" { // a relay without capture.dir would be killed by the signal
+		if cfg.Capture.Dir == "" { // the signal would kill a relay of a version without captures
 			return operationError{config.NewKeyError("capture.dir", "missing: where captures go")}
 		}
 		return sendSignal(pid, signal)
--- a/cmd/mastusher/capture_test.go
+++ b/cmd/mastusher/capture_test.go
@@ -82,7 +82,7 @@
 	return files
 }
 
-// submit sends the messages with numbers from from up to, but not including, to.
+// submit sends the messages of the half-open range of numbers [from, to).
 func (r *capturedRelay) submit(t *testing.T, from, to int) {
 	t.Helper()
 	client := standin.NewClient(r.address)
--- a/cmd/mastusher/errors.go
+++ b/cmd/mastusher/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// operationError is a failure of what a valid command line asks for: exit code 1.
+// operationError is a failure to execute a valid command line: exit code 1.
 type operationError struct{ error }
 
 // Unwrap returns the cause.
--- a/cmd/mastusher/plugin.go
+++ b/cmd/mastusher/plugin.go
@@ -42,7 +42,7 @@
 	return cmd
 }
 
-// withHost calls do with a host for a module and the host's configuration. The host does not keep a persistent store.
+// withHost calls do with a host for a module and the host's configuration. The host has no persistent store.
 func (p *pluginTool) withHost(file string, do func(*trial.Host, *config.Config) error) error {
 	var from *config.Config
 	if p.name != "" {
--- a/cmd/mastusher/serve.go
+++ b/cmd/mastusher/serve.go
@@ -27,8 +27,8 @@
 // signals holds the channels of received signals. The shutdown signals have a channel of their own, which others cannot fill.
 type signals struct{ end, other <-chan os.Signal }
 
-// receiveSignals starts to receive signals. It must be called first: a signal that arrives while the relay starts is then queued until it serves,
-// and SIGHUP does not kill the process, as it does by default.
+// receiveSignals starts to receive signals. It must be called first: a signal that arrives while the relay starts is then queued until
+// it serves, and SIGHUP does not kill the process, as it does by default.
 func receiveSignals() signals {
 	end, other := make(chan os.Signal, 1), make(chan os.Signal, 16)
 	signal.Notify(end, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/mastusher/stored_format_test.go
+++ b/cmd/mastusher/stored_format_test.go
@@ -79,13 +79,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(endpoints.Close)
-	known := fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[%s]}`, endpoints.Entry(0, 300, "club-sites", "a", "ready"))
-	platform, err := standin.NewDiscovery(known)
+	endpointList := fmt.Sprintf(`{"index":1,"snapshot":true,"endpoints":[%s]}`, endpoints.Entry(0, 300, "club-sites", "a", "ready"))
+	platform, err := standin.NewDiscovery(endpointList)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(platform.Close)
-	relay := &storedRelay{daemon: &daemon{address: freeAddress(t), discovery: platform.Address, endpointList: known}, dir: t.TempDir(),
+	relay := &storedRelay{daemon: &daemon{address: freeAddress(t), discovery: platform.Address, endpointList: endpointList}, dir: t.TempDir(),
 		endpoints: endpoints, platform: platform}
 	relay.file, _ = relay.writeConfig(t, relay.dir, storedSettings)
 	writeFile(t, filepath.Join(relay.stateDir(), "journal.log"), stored)
--- a/cmd/plugin-benchmark/benchmark.go
+++ b/cmd/plugin-benchmark/benchmark.go
@@ -16,7 +16,7 @@
 type comparison struct {
 	p50, p99 []float64 // with/without, of the delivery latency of the partners without hostile plug-ins
 	cpu      []float64 // µs of CPU time per message, with minus without
-	invalid  int       // messages lost, delivered though rejected, or delivered or reported more than once
+	invalid  int       // messages lost, delivered though rejected, delivered twice or reported with two outcomes
 }
 
 func (c *comparison) add(p *pair) {
--- a/cmd/plugin-benchmark/errors.go
+++ b/cmd/plugin-benchmark/errors.go
@@ -26,9 +26,9 @@
 	return fmt.Sprintf("the relay does not accept messages; its log: %s", e.log)
 }
 
-// deliveryError reports messages that were lost, delivered though rejected, or delivered or reported more than once.
+// deliveryError reports messages that were lost, delivered though rejected, delivered twice or reported with two outcomes.
 type deliveryError struct{ messages int }
 
 func (e *deliveryError) Error() string {
-	return fmt.Sprintf("%d messages were lost, delivered though rejected, or delivered or reported more than once", e.messages)
+	return fmt.Sprintf("%d messages were lost, delivered though rejected, delivered twice or reported with two outcomes", e.messages)
 }
--- a/cmd/plugin-benchmark/result.go
+++ b/cmd/plugin-benchmark/result.go
@@ -18,7 +18,7 @@
 
 // result is the result of one run.
 type result struct {
-	others     *hdrhistogram.Histogram // ns from when a message was due until it reached its endpoint, for partners without hostile plug-ins
+	others     *hdrhistogram.Histogram // ns from due time to arrival at the endpoint, for partners without hostile plug-ins
 	victims    float64                 // p50 in ms, for partners with hostile plug-ins
 	cpu        float64                 // µs of the relay's CPU time per message
 	peak       float64                 // MB of the relay's peak memory
--- a/internal/tier/apierror/apierror_test.go
+++ b/internal/tier/apierror/apierror_test.go
@@ -25,8 +25,8 @@
 	http.StatusServiceUnavailable,
 }
 
-// unsureStatuses are the statuses that do not tell clients whether a request was executed.
-var unsureStatuses = []int{http.StatusBadGateway, http.StatusGatewayTimeout}
+// ambiguousStatuses are the statuses that do not tell clients whether a request was executed.
+var ambiguousStatuses = []int{http.StatusBadGateway, http.StatusGatewayTimeout}
 
 func TestResponse_AllKinds_MatchTheTable(t *testing.T) {
 	var table strings.Builder
@@ -86,10 +86,10 @@
 		if slices.Contains(notExecutedStatuses, response.Status) && !response.NotExecuted {
 			t.Errorf("%v: status %d says that the request was not executed, but it may have been", kind, response.Status)
 		}
-		if !response.NotExecuted && !slices.Contains(unsureStatuses, response.Status) && !response.Close {
+		if !response.NotExecuted && !slices.Contains(ambiguousStatuses, response.Status) && !response.Close {
 			t.Errorf("%v may have been executed, but status %d does not say so and the connection stays open", kind, response.Status)
 		}
-		if response.NotExecuted && slices.Contains(unsureStatuses, response.Status) {
+		if response.NotExecuted && slices.Contains(ambiguousStatuses, response.Status) {
 			t.Errorf("%v was not executed, but status %d leaves that open", kind, response.Status)
 		}
 		if response.RetryAfter != (response.Status == http.StatusServiceUnavailable) {
--- a/internal/tier/metrics/metrics.go
+++ b/internal/tier/metrics/metrics.go
@@ -35,7 +35,7 @@
 	Unconfirmed Outcome = "unconfirmed" // the group did not answer in time
 )
 
-// ZoneClass tells whether a peer is in the zone of this process; it is the value of the label zone.
+// ZoneClass is the zone of a peer relative to that of this process, the value of the label zone.
 type ZoneClass string
 
 // Classes of zones.
--- a/internal/tier/model/form/check.go
+++ b/internal/tier/model/form/check.go
@@ -17,7 +17,7 @@
 	check    checker
 }
 
-// object returns a checker of an object with the given fields, of which there may be 64. It ignores other fields.
+// object returns a checker of an object with the given fields, at most 64. It ignores other fields.
 func object(fields []fieldForm) checker {
 	return func(r *reader) {
 		if !r.enter('{') {
--- a/internal/tier/model/model.go
+++ b/internal/tier/model/model.go
@@ -38,7 +38,7 @@
 	MaxAttempts      int               `json:"tries"`                // attempts that may have run on an endpoint; below 1 counts as 1
 	Stateful         bool              `json:"remembered,omitempty"` // turns build on earlier turns, whose chains the shards store
 	RetentionS       float64           `json:"keepForS,omitempty"`   // how long an ended turn is stored, s; at most a day
-	Affinity         bool              `json:"pinned,omitempty"`     // prefers the endpoint with the same prefix in its cache
+	Affinity         bool              `json:"pinned,omitempty"`     // prefers the endpoint that last served, and so caches, the prefix
 	Resumable        bool              `json:"canResume,omitempty"`  // a broken stream may continue on another endpoint
 	EventGapTargetMs int64             `json:"gap_aim_ms,omitempty"` // informative: latency target between two events of a stream, ms
 }
--- a/internal/tier/model/model_test.go
+++ b/internal/tier/model/model_test.go
@@ -95,7 +95,7 @@
 
 func TestDecode_NotOneCompleteConfiguration_IsRefused(t *testing.T) {
 	cases := map[string]string{
-		"an empty document":        "",
+		"nothing":                  "",
 		"bytes after the document": document + "x",
 		"a second document":        document + "{}",
 		"a list":                   "[]",
--- a/internal/tier/settings/bounds.go
+++ b/internal/tier/settings/bounds.go
@@ -83,7 +83,7 @@
 // AddressReuseAfter is the minimum time after which the address of an endpoint that has ended may be reused by another one.
 func (b Bounds) AddressReuseAfter() time.Duration { return b.duration(reuseAfterKey) }
 
-// StabilizeWithin is how long a machine must be free of faults before time bounds apply to it (key quietMs).
+// StabilizeWithin is how long a machine must be free of faults before rules with a time limit apply to it (key quietMs).
 func (b Bounds) StabilizeWithin() time.Duration { return b.duration(stabilizeKey) }
 
 // ConfirmWithin is the time within which an order of the operator must be acknowledged.
--- a/internal/tier/settings/settings.go
+++ b/internal/tier/settings/settings.go
@@ -79,8 +79,8 @@
 
 // FaultTolerance is how many machines, zones and regions the system may lose at once without violating its rules.
 type FaultTolerance struct {
-	Machines int // a group has 2*Machines+1 replicas; more of them cost disks, messages and commit latency
-	Zones    int // limits the replicas of a shard per zone; 0: as 1; a larger value requires more zones
+	Machines int // a group has 2*Machines+1 replicas: more tolerate more losses, but cost disks, messages and commit latency
+	Zones    int // limits the replicas of a shard per zone; 0: as 1; a larger value tolerates the loss of more zones, but needs more
 	Regions  int // limits the replicas of a shard per region; 0: no limit
 }
 
--- a/internal/tier/wire/format_test.go
+++ b/internal/tier/wire/format_test.go
@@ -20,7 +20,7 @@
 
 const formatFile = "testdata/bodies.jsonl"
 
-var updateFormat = flag.Bool("update-format", false, "rewrite the stored bodies; only for an intended change of the format")
+var updateFormat = flag.Bool("update-format", false, "write the stored bodies anew; only for a format that is meant to change")
 
 // formatBodies are the message bodies that processes exchange, the sections of the view, and the operator's configuration. The stored file
 // has a line for each.
