--- a/internal/relay/plugin/abi1.go
+++ b/internal/relay/plugin/abi1.go
@@ -10,34 +10,34 @@
 	"github.com/tidwall/gjson"
 )
 
-// ABI 1: the host asks the module for room, writes one JSON object there and hands it to inspect or ended. It is kept
-// for the modules that there are; what they may do is reject and log.
+// ABI 1: the host asks the module to allocate a buffer, writes one JSON object into it and passes it to inspect or ended.
+// ABI 1 is kept for existing modules, which can only reject and log.
 
-// moduleABI1 is the name that a module of ABI 1 imports from.
+// moduleABI1 is the import module name of ABI 1.
 const moduleABI1 = "mastusher"
 
-// allocABI1 is exported by each module of ABI 1: (size i32) -> i32, where the host may write so many bytes.
+// allocABI1 is the function that each ABI 1 module exports: (size i32) -> i32, the address where the host may write size bytes.
 const allocABI1 = "alloc"
 
-// exportsABI1 are the functions that a module of ABI 1 may have for phases.
+// exportsABI1 has the function that an ABI 1 module may export for each phase.
 var exportsABI1 = map[Phase]string{Arrival: "inspect", End: "ended"}
 
-// statusABI1 is the status of a message that a module of ABI 1 rejects.
+// statusABI1 is the HTTP status for a message that an ABI 1 module rejects.
 const statusABI1 = 422
 
-// exportABI1 makes the imports of ABI 1 known to a runtime.
-func exportABI1(ctx context.Context, r wazero.Runtime) error {
+// defineImportsABI1 defines the host functions of ABI 1 in a runtime.
+func defineImportsABI1(ctx context.Context, r wazero.Runtime) error {
 	builder := r.NewHostModuleBuilder(moduleABI1)
 	textParams := []api.ValueType{i32, i32}
-	builder.NewFunctionBuilder().WithGoModuleFunction(takesTextABI1((*worker).setReason), textParams, nil).Export("reason")
-	builder.NewFunctionBuilder().WithGoModuleFunction(takesTextABI1((*worker).log), textParams, nil).Export("log")
+	builder.NewFunctionBuilder().WithGoModuleFunction(textFunctionABI1((*worker).setReason), textParams, nil).Export("reason")
+	builder.NewFunctionBuilder().WithGoModuleFunction(textFunctionABI1((*worker).log), textParams, nil).Export("log")
 	_, err := builder.Instantiate(ctx)
 	return err
 }
 
-// takesTextABI1 is an import that is handed a text as its place and size. More than is kept is not read, and what lies
-// outside the memory is passed over: this ABI never trapped on it.
-func takesTextABI1(do func(w *worker, text string)) api.GoModuleFunc {
+// textFunctionABI1 returns a host function whose parameters are the address and size of a text. It reads at most PluginReason
+// bytes, and ignores a text outside the module's memory, because ABI 1 never trapped on that.
+func textFunctionABI1(do func(w *worker, text string)) api.GoModuleFunc {
 	return func(ctx context.Context, m api.Module, stack []uint64) {
 		w := workerOf(ctx)
 		if w.call == nil || m.Memory() == nil {
@@ -54,7 +54,7 @@
 	w.outcome.Reason = truncate(text, w.version.host.limits.PluginReason)
 }
 
-// phasesABI1 are the phases that the module has functions for.
+// phasesABI1 returns the mask of phases that the module exports functions for.
 func (w *worker) phasesABI1() (mask Phase) {
 	for phase, function := range w.functions {
 		if function != nil {
@@ -64,9 +64,9 @@
 	return mask
 }
 
-// callABI1 makes a call of ABI 1.
+// callABI1 calls a phase function of an ABI 1 module and takes over its verdict.
 func (w *worker) callABI1(ctx context.Context, function api.Function) error {
-	text := describe(w.call)
+	text := callJSON(w.call)
 	place, err := w.alloc.Call(ctx, uint64(len(text)))
 	if err != nil {
 		return engineError(err)
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// describe is the JSON object that a module of ABI 1 is handed.
-func describe(c *Call) []byte {
+// callJSON encodes a call as the JSON object that ABI 1 passes to the module.
+func callJSON(c *Call) []byte {
 	b := gjson.AppendJSONString([]byte(`{"abi":1,"front":`), c.Front)
 	b = gjson.AppendJSONString(append(b, `,"id":`...), c.ID)
 	if c.Phase == End {
--- a/internal/relay/plugin/abi2.go
+++ b/internal/relay/plugin/abi2.go
@@ -10,19 +10,19 @@
 	"mastusher/internal/relay/plugin/rules"
 )
 
-// ABI 2: the host calls a function without arguments for each phase, and the module asks for what it needs. The host
-// never allocates in the module and writes only into room that the module offers in that very call.
+// ABI 2: the host calls a function without arguments for each phase, and the module calls host functions to read what it
+// needs. The host never allocates in the module. It writes only into a buffer that the module passes to a host function.
 
-// moduleABI2 is the name that a module of ABI 2 imports from.
+// moduleABI2 is the import module name of ABI 2.
 const moduleABI2 = "mastusher_v2"
 
-// markerABI2 is exported by each module of ABI 2: () -> i32, the mask of phases that it takes part in.
+// markerABI2 is the function that each ABI 2 module exports: () -> i32, the mask of the phases that it handles.
 const markerABI2 = "mastusher_abi_2"
 
-// exportsABI2 are the functions that a module of ABI 2 may have for phases: () -> i32, 0 for success.
+// exportsABI2 has the function that an ABI 2 module may export for each phase: () -> i32, 0 for success.
 var exportsABI2 = map[Phase]string{Arrival: "on_arrival", Answer: "on_answer", End: "on_end"}
 
-// Fields of a call, by their numbers in the interface.
+// Numbers of the text fields of a call, as the ABI defines them.
 const (
 	fieldFront = iota
 	fieldID
@@ -35,25 +35,25 @@
 	fieldName
 )
 
-// Numbers of a call, by their numbers in the interface.
+// Numbers of the numeric fields of a call, as the ABI defines them.
 const (
 	numberPhase = iota
 	numberPartner
 	numberTimeLeft // ms
 	numberResubmitted
 	numberStatus
-	numberRetryAfter // ms that the destination has told
+	numberRetryAfter // ms, as the destination requested
 	numberResult
 	numberNow // Unix ms
 )
 
-// exportABI2 makes the imports of ABI 2 known to a runtime.
-func exportABI2(ctx context.Context, r wazero.Runtime) error {
+// defineImportsABI2 defines the host functions of ABI 2 in a runtime.
+func defineImportsABI2(ctx context.Context, r wazero.Runtime) error {
 	builder := r.NewHostModuleBuilder(moduleABI2)
 	for _, f := range hostFunctions {
 		builder.NewFunctionBuilder().WithGoModuleFunction(api.GoModuleFunc(func(ctx context.Context, m api.Module, stack []uint64) {
 			w := workerOf(ctx)
-			if w.call == nil || w.tx == nil { // while it starts there is no message to speak of
+			if w.call == nil || w.tx == nil { // the instance is starting: there is no message yet
 				panic(ErrNoMessage)
 			}
 			f.do(w, m.Memory(), stack)
@@ -63,7 +63,7 @@
 	return err
 }
 
-// phasesABI2 asks the module for its phases.
+// phasesABI2 calls the module for its mask of phases, and checks that the module exports a function for each of them.
 func (w *worker) phasesABI2(ctx context.Context) (Phase, error) {
 	if err := w.module.ExportedFunction(markerABI2).CallWithStack(ctx, w.stack[:]); err != nil {
 		return 0, fmt.Errorf("%s: %w", markerABI2, engineError(err))
@@ -81,7 +81,7 @@
 	return phases, nil
 }
 
-// callABI2 makes a call of ABI 2.
+// callABI2 calls a phase function of an ABI 2 module.
 func (w *worker) callABI2(ctx context.Context, function api.Function) error {
 	if err := function.CallWithStack(ctx, w.stack[:]); err != nil {
 		return engineError(err)
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// field is a text of the call; false: it has none of that number.
+// field returns a text field of the call; false: the call has no such field.
 func (w *worker) field(number uint32) (string, bool) {
 	c := w.call
 	switch number {
@@ -116,7 +116,7 @@
 	return "", false
 }
 
-// number is a number of the call; rules.Absent: it has none of that number.
+// number returns a numeric field of the call; rules.Absent: the call has no such field.
 func (w *worker) number(number uint32) int64 {
 	c := w.call
 	switch number {
--- a/internal/relay/plugin/attempt.go
+++ b/internal/relay/plugin/attempt.go
@@ -7,7 +7,7 @@
 	"mastusher/internal/relay/plugin/gate"
 )
 
-// applies tells whether a message is within the scope that the configuration gives the plug-in.
+// applies reports whether the plug-in handles a phase and the message is within its configured scope.
 func (v *version) applies(phase Phase, front string, partner, class int) bool {
 	c := &v.cfg
 	return v.phases&phase != 0 && (len(c.Fronts) == 0 || slices.Contains(c.Fronts, front)) &&
@@ -15,8 +15,8 @@
 		(len(c.Classes) == 0 || slices.Contains(c.Classes, class))
 }
 
-// attempt makes one call, by the deadline and within the plug-in's time-out. Nothing else waits for it than whoever
-// asked: instances, the part of them that one partner may have, and breakers are the gate's to give out.
+// attempt makes one call, by the deadline and within the plug-in's time-out. Only its caller is blocked meanwhile: the gate
+// limits how many instances one partner may use, and refuses calls while a circuit breaker is open.
 func (v *version) attempt(c *Call, deadline time.Time) (Outcome, error) {
 	latest := time.Now().Add(v.cfg.Timeout)
 	if deadline.After(latest) {
@@ -25,7 +25,7 @@
 	return v.attemptUntil(c, deadline)
 }
 
-// attemptUntil makes one call as soon as the gate admits it, by the deadline.
+// attemptUntil makes one call as soon as the gate admits it, or fails at the deadline.
 func (v *version) attemptUntil(c *Call, deadline time.Time) (Outcome, error) {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
@@ -47,21 +47,21 @@
 			return v.skip(ErrCPUShareUsed)
 		}
 		select {
-		case <-changed: // also when a breaker opens: whoever waits hears of it at once
+		case <-changed: // a call ended; a breaker that opened by it refuses this one at once
 		case <-timer.C:
 			return v.skip(ErrNoInstanceFree)
 		}
 	}
 }
 
-// skip counts a call that is not made.
+// skip counts a call that was not made and returns err.
 func (v *version) skip(err error) (Outcome, error) {
 	v.counts.Skipped.Add(1)
 	return Outcome{}, err
 }
 
-// send hands a call to a worker. One that can't be stopped, since it is in the middle of an instruction that moves
-// megabytes, is left to itself a little after its deadline; its instance comes back when it is done.
+// send passes a call to a worker and waits for its result, until PluginGrace after the deadline. The engine can't interrupt an
+// instruction that moves megabytes; such a call is abandoned, and its instance becomes idle again when the call ends.
 func (v *version) send(w *worker, c *Call, deadline time.Time, ticket gate.Ticket) (Outcome, error) {
 	j := newJob(c, deadline)
 	j.ticket = ticket
@@ -76,11 +76,11 @@
 	}
 }
 
-// runDeferred makes the calls that nobody waits for, one after another. What can't be told in time is dropped and counted.
+// runDeferred makes the deferred calls one after another. It counts as dropped those that fail or are not made.
 func (v *version) runDeferred() {
 	defer v.deferredDone.Done()
 	for c := range v.deferred {
-		if v.closing.Load() { // nobody waits for seconds until a slow plug-in has heard everything
+		if v.closing.Load() { // closing must not wait seconds for a slow plug-in to work off the queue
 			v.counts.Dropped.Add(1)
 			continue
 		}
@@ -91,7 +91,7 @@
 	}
 }
 
-// deferCall queues a call that nobody waits for, if there is room.
+// deferCall queues a call whose result no one waits for. If the queue is full the call is dropped and counted.
 func (v *version) deferCall(c *Call) {
 	select {
 	case v.deferred <- c:
--- a/internal/relay/plugin/cache.go
+++ b/internal/relay/plugin/cache.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// cacheFile is one compiled module.
+// cacheFile is the cache file of one compiled module.
 type cacheFile struct {
 	path       string
 	size       int64 // bytes
 	modifiedAt time.Time
 }
 
-// trimCache removes the oldest compiled modules beyond the limit.
+// trimCache removes the oldest compiled modules until the cache is within its size limit.
 func (h *Host) trimCache() {
 	files := listCache(h.cacheDir)
 	slices.SortFunc(files, func(a, b cacheFile) int { return a.modifiedAt.Compare(b.modifiedAt) })
@@ -32,7 +32,7 @@
 	}
 }
 
-// listCache lists the compiled modules of a folder, as far as they can be read.
+// listCache lists the compiled modules of a folder. It leaves out what can't be read.
 func listCache(dir string) (files []cacheFile) {
 	_ = filepath.WalkDir(dir, func(path string, entry os.DirEntry, err error) error {
 		if err != nil || entry.IsDir() {
--- a/internal/relay/plugin/call.go
+++ b/internal/relay/plugin/call.go
@@ -9,20 +9,20 @@
 	"mastusher/internal/relay/plugin/rules"
 )
 
-// Phase is when a plug-in is called.
+// Phase is the point in a message's life at which a plug-in is called, or a mask of several.
 type Phase uint8
 
 // The phases, as bits of the mask that a module of ABI 2 exports.
 const (
-	Arrival Phase = 1 << iota // before the 202: what the message is sent as is fixed here, once
+	Arrival Phase = 1 << iota // before the client is answered 202; fixes, once, the headers and body that are sent
 	Answer                    // a destination has answered
-	End                       // a message that was taken on is over
+	End                       // an accepted message has ended
 )
 
-// allPhases are the phases in the order in which a message meets them.
+// allPhases lists the phases in the order in which a message goes through them.
 var allPhases = [...]Phase{Arrival, Answer, End}
 
-// String is the phase's name as configurations have it.
+// String returns the phase's name as used in configurations.
 func (p Phase) String() string {
 	switch p {
 	case Arrival:
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("phases %03b", uint8(p))
 }
 
-// ParsePhase reads a phase's name; false: there is none of that name.
+// ParsePhase returns the phase of a name; false: there is no such phase.
 func ParsePhase(name string) (Phase, bool) {
 	for _, p := range allPhases {
 		if name == p.String() {
@@ -45,7 +45,7 @@
 	return 0, false
 }
 
-// phaseNames are the names of the phases of a mask, joined by commas.
+// phaseNames returns the names of the phases in a mask, joined by commas.
 func phaseNames(mask Phase) string {
 	var names []string
 	for _, p := range allPhases {
@@ -56,7 +56,7 @@
 	return strings.Join(names, ",")
 }
 
-// phaseMask is the mask of phases by their names; those that there are not are passed over.
+// phaseMask returns the mask of the named phases. It ignores unknown names.
 func phaseMask(names []string) (mask Phase) {
 	for _, name := range names {
 		p, _ := ParsePhase(name)
@@ -65,50 +65,51 @@
 	return mask
 }
 
-// Call is what a plug-in is told of one message. It belongs to the call: nothing in it is written to later.
+// Call is the input of one call to a plug-in: what the plug-in may know about a message. It is not modified once the call has
+// begun.
 type Call struct {
 	Phase     Phase
-	Front     string // name of the front that the message came by
+	Front     string // name of the front that received the message
 	ID        string // of the message
-	Key       string // idempotency key; "": it has none
+	Key       string // idempotency key; "": none
 	Partner   int
 	Class     int
 	ClassName string
 	Now       time.Time // the plug-in's clock, for the whole call
 
 	// On arrival:
-	Resubmitted bool          // the client has handed it in before
-	TimeLeft    time.Duration // until the deadline
-	Shape       rules.Shape   // headers that go out, as the plug-ins before have left them
+	Resubmitted  bool               // the client has submitted the message before
+	TimeLeft     time.Duration      // until the message's deadline
+	ExtraHeaders rules.ExtraHeaders // extra headers that the earlier plug-ins have set
 
-	// On arrival the client's, upon an answer the destination's:
+	// On arrival the headers and body of the client's request, in the answer phase those of the destination's answer:
 	In   textproto.MIMEHeader
-	Body []byte // upon an answer its first bytes only
+	Body []byte // of an answer only the first bytes
 
-	// Upon an answer:
+	// In the answer phase:
 	Destination string       // name of the destination that answered
-	Status      int          // its HTTP status
-	Answer      rules.Answer // what the relay makes of it
+	Status      int          // HTTP status of the answer
+	Answer      rules.Answer // the relay's interpretation of the answer
 
-	Result string // at the end: what the message ended as, such as delivered
+	Result string // in the end phase: how the message ended, such as delivered
 
-	guard *rules.Front // what the front lets plug-ins change
+	frontRules *rules.Front // what the front lets plug-ins change
 }
 
-// Outcome is what a plug-in wants. Of a call that failed nothing of it counts but CPU and Logs.
+// Outcome is what a plug-in requested in a call. After a failed call only CPU and Logs are set.
 type Outcome struct {
-	Reject  bool        // on arrival: the message is not taken on
-	Status  int         // with Reject: 4xx
-	Reason  string      // with Reject
-	Shape   rules.Shape // headers that go out
-	Body    []byte      // nil: unchanged
-	Ask     rules.Ask   // upon an answer
-	Refused []Refused   // what it asked for and did not get
-	Logs    []string
-	CPU     time.Duration // processor time that the call took
+	Reject       bool               // on arrival: the message is not accepted
+	Status       int                // with Reject: 4xx
+	Reason       string             // with Reject
+	ExtraHeaders rules.ExtraHeaders // extra headers that are sent with the message
+	Body         []byte             // new body of the message; nil: unchanged
+	Ask          rules.Ask          // in the answer phase
+	Refused      []Refused          // requests that the host refused
+	Logs         []string
+	CPU          time.Duration // processor time that the call took
 }
 
-// Refused is one thing that the host did not do.
+// Refused is a request of a plug-in that the host refused.
 type Refused struct {
 	What string // such as "header X-Desk"
 	Why  rules.Refusal
--- a/internal/relay/plugin/check.go
+++ b/internal/relay/plugin/check.go
@@ -11,20 +11,20 @@
 	"mastusher/internal/relay/config"
 )
 
-// moduleWASI is the name that WASI preview 1 is imported from.
+// moduleWASI is the import module name of WASI preview 1.
 const moduleWASI = "wasi_snapshot_preview1"
 
-// pagesPerMB is how many pages of a module's memory make a megabyte.
+// pagesPerMB is the number of pages of WebAssembly memory in a megabyte.
 const pagesPerMB = 16
 
-// ModuleError is what keeps a module from being loaded, a line each: all imports, exports and limits at fault.
+// ModuleError lists why a module can't be loaded: one entry for each faulty import, export or limit.
 type ModuleError []string
 
-// Error has all faults in one line.
+// Error joins all faults into one line.
 func (e ModuleError) Error() string { return strings.Join(e, "; ") }
 
-// check names all imports, exports and limits at fault as a ModuleError, and tells which ABI a module speaks; 0: none
-// that this relay knows.
+// check checks a module's imports, exports and memory, and returns the ABI that it uses; 0: an unknown one. Its error is a
+// ModuleError with all faults.
 func check(code wazero.CompiledModule, cfg *config.Plugin) (abi int, err error) {
 	c := &moduleCheck{code: code, exports: code.ExportedFunctions()}
 	later := c.laterABI()
@@ -44,13 +44,13 @@
 		c.exportsOfABI1()
 	}
 	if len(c.faults) > 0 {
-		slices.Sort(c.faults) // maps have been walked
+		slices.Sort(c.faults) // the order of map iteration is random
 		return abi, c.faults
 	}
 	return abi, nil
 }
 
-// moduleCheck gathers what keeps a module from being loaded.
+// moduleCheck collects the faults of a module.
 type moduleCheck struct {
 	code    wazero.CompiledModule
 	exports map[string]api.FunctionDefinition
@@ -61,7 +61,7 @@
 	c.faults = append(c.faults, fmt.Sprintf(format, args...))
 }
 
-// laterABI tells whether the module speaks an ABI that this relay does not know, which is a fault.
+// laterABI reports whether the module uses an ABI that this relay does not know, which is a fault.
 func (c *moduleCheck) laterABI() (later bool) {
 	for name := range c.exports {
 		if v, ok := strings.CutPrefix(name, "mastusher_abi_"); ok && v != "2" {
@@ -72,7 +72,8 @@
 	return later
 }
 
-// knownImports are the signatures of the functions that may be imported, by module and name; nil: any of that module.
+// knownImports returns the signatures of the functions that a plug-in may import, by import module and name. A nil map of names
+// allows every function of that import module.
 func knownImports() map[string]map[string]string {
 	ofABI2 := map[string]string{}
 	for _, f := range hostFunctions {
@@ -85,7 +86,7 @@
 	}
 }
 
-// imports checks what the module imports and returns the modules that it imports from.
+// imports checks what the module imports and returns the set of import modules that it uses.
 func (c *moduleCheck) imports() map[string]bool {
 	known := knownImports()
 	used := map[string]bool{}
@@ -99,25 +100,25 @@
 			c.fail("import %s.%s: this relay has no module of that name", module, name)
 		case functions == nil: // the engine checks these
 		case !hasFunction:
-			c.fail("import %s.%s: there is no such function", module, name)
+			c.fail("import %s.%s: unknown function", module, name)
 		case got != want:
-			c.fail("import %s.%s: it is %s here, the module wants %s", module, name, want, got)
+			c.fail("import %s.%s: want the signature %s, the module has %s", module, name, want, got)
 		}
 	}
 	for _, definition := range c.code.ImportedMemories() {
 		module, name, _ := definition.Import()
-		c.fail("import %s.%s: a memory; the module must have its own", module, name)
+		c.fail("import %s.%s: imported memory is not supported; the module must define its own", module, name)
 	}
 	return used
 }
 
-// memory checks the module's own memory against what the configuration allows.
+// memory checks that the module exports a memory whose initial size is within the configured limit.
 func (c *moduleCheck) memory(allowedMB int) {
 	memory := c.code.ExportedMemories()["memory"]
 	if memory == nil {
 		c.fail("export memory: missing")
 	} else if pages := memory.Min(); int(pages) > allowedMB*pagesPerMB {
-		c.fail("memory: it begins with %.1f MB, memory_mb allows %d", float64(pages)/pagesPerMB, allowedMB)
+		c.fail("memory: the initial size is %.1f MB, memory_mb allows %d", float64(pages)/pagesPerMB, allowedMB)
 	}
 }
 
@@ -134,7 +135,7 @@
 	}
 }
 
-// export checks a function that the module exports, or must.
+// export checks the signature of an exported function, and that the function exists if it is required.
 func (c *moduleCheck) export(name, want string, required bool) {
 	definition := c.exports[name]
 	if definition == nil {
@@ -144,13 +145,13 @@
 		return
 	}
 	if got := signatureOf(definition); got != want {
-		c.fail("export %s: want %s, not %s", name, want, got)
+		c.fail("export %s: want the signature %s, the module has %s", name, want, got)
 	}
 }
 
 func signatureOf(f api.FunctionDefinition) string { return signature(f.ParamTypes(), f.ResultTypes()) }
 
-// signature is a function's type as messages write it.
+// signature formats a function's type for error messages, such as "(i32, i32) -> i32".
 func signature(params, results []api.ValueType) string {
 	text := "(" + typeNames(params) + ")"
 	if len(results) > 0 {
--- a/internal/relay/plugin/errors.go
+++ b/internal/relay/plugin/errors.go
@@ -7,65 +7,66 @@
 	wasys "github.com/tetratelabs/wazero/sys"
 )
 
-// Why a call did not do its work.
+// Errors of a call that failed or was not made.
 var (
-	ErrBreakerOpen    = errors.New("plugin: its circuit breaker is open")
-	ErrCPUShareUsed   = errors.New("plugin: its share of processor time is used up")
-	ErrNoInstanceFree = errors.New("plugin: no instance was free in time")
-	ErrBudget         = errors.New("plugin: no time is left for it")
-	ErrOutOfBounds    = errors.New("plugin: a pointer or length lies outside its memory")
-	ErrCopyLimit      = errors.New("plugin: it has had the relay copy more than one call may")
-	ErrTimeout        = errors.New("plugin: it ran over its time")
-	ErrPluginFailure  = errors.New("plugin: it returned a failure of its own")
-	ErrNotStopped     = errors.New("plugin: it did not end in time, and could not be stopped at once")
-	ErrAllocFailed    = errors.New("alloc gave no room") // of ABI 1
+	ErrBreakerOpen    = errors.New("plugin: the circuit breaker is open")
+	ErrCPUShareUsed   = errors.New("plugin: the share of processor time is used up")
+	ErrNoInstanceFree = errors.New("plugin: no instance became free before the deadline")
+	ErrBudget         = errors.New("plugin: no time is left for the call")
+	ErrOutOfBounds    = errors.New("plugin: a pointer or length is outside the module's memory")
+	ErrCopyLimit      = errors.New("plugin: the call passed more bytes to the relay than the limit allows")
+	ErrTimeout        = errors.New("plugin: the call timed out")
+	ErrPluginFailure  = errors.New("plugin: the module returned a failure status")
+	ErrNotStopped     = errors.New("plugin: the call is still running after its deadline")
+	ErrAllocFailed    = errors.New("alloc returned no usable buffer") // ABI 1 only
 )
 
-// Why a module is not taken, beside *wasm.ParseError, *wasm.FunctionError, ModuleError and PhaseMaskError.
+// Errors of loading a module, beside *wasm.ParseError, *wasm.FunctionError, ModuleError and PhaseMaskError.
 var (
-	ErrNoMessage = errors.New("plugin: a call to the relay before the first message") // its start called an import
-	ErrNoPhase   = errors.New("it takes part in none of the phases that the configuration gives it")
+	ErrNoMessage = errors.New("plugin: the module called the relay before the first message") // while the instance started
+	ErrNoPhase   = errors.New("the module handles none of the configured phases")
 )
 
-// UnknownPluginError says that no plug-in of a name runs.
+// UnknownPluginError is returned for the name of a plug-in that is not running.
 type UnknownPluginError struct{ Name string }
 
 // Error names the plug-in.
-func (e *UnknownPluginError) Error() string { return "plugin: none is called " + e.Name }
+func (e *UnknownPluginError) Error() string { return "plugin: unknown plug-in " + e.Name }
 
-// PhaseMaskError says what is wrong with the mask of phases that a module of ABI 2 returns.
+// PhaseMaskError is returned for an invalid mask of phases of an ABI 2 module.
 type PhaseMaskError struct {
 	Mask          uint32
-	MissingExport string // of a phase in the mask; "": the mask has phases that this relay does not know
+	MissingExport string // function of a phase in the mask; "": the mask has phases that this relay does not know
 }
 
-// Error has the mask, or the export that is missing.
+// Error names the mask, or the missing export.
 func (e *PhaseMaskError) Error() string {
 	if e.MissingExport != "" {
-		return fmt.Sprintf("%s: the mask names a phase without its export %s", markerABI2, e.MissingExport)
+		return fmt.Sprintf("%s: the mask has a phase whose export %s is missing", markerABI2, e.MissingExport)
 	}
-	return fmt.Sprintf("%s: the mask %#x has phases that this relay does not know", markerABI2, e.Mask)
+	return fmt.Sprintf("%s: the mask %#x has unknown phases", markerABI2, e.Mask)
 }
 
-// StatusFileError says that a status file is damaged.
+// StatusFileError is returned for a status file that is not valid JSON.
 type StatusFileError struct{ File string }
 
 // Error names the file.
-func (e *StatusFileError) Error() string { return fmt.Sprintf("plugin: %s can't be read", e.File) }
+func (e *StatusFileError) Error() string { return fmt.Sprintf("plugin: %s is not valid JSON", e.File) }
 
-// EngineError is what the WebAssembly engine says of a module or a call, such as a trap.
+// EngineError is an error of the WebAssembly engine for a module or a call, such as a trap.
 type EngineError struct {
 	Reason string // one line, without the engine's stack trace
-	Err    error  // the engine's own
+	Err    error  // the engine's error
 }
 
-// Error is the reason alone.
+// Error returns the reason alone.
 func (e *EngineError) Error() string { return e.Reason }
 
 // Unwrap returns the engine's error.
 func (e *EngineError) Unwrap() error { return e.Err }
 
-// engineError cuts the engine's stack trace off an error and names a time-out and what the host has stopped.
+// engineError converts an error of the engine: to ErrTimeout, ErrOutOfBounds or ErrCopyLimit where one of these is the cause,
+// else to an *EngineError without the engine's stack trace.
 func engineError(err error) error {
 	var exit *wasys.ExitError
 	if errors.As(err, &exit) && exit.ExitCode() == wasys.ExitCodeDeadlineExceeded {
@@ -86,7 +87,7 @@
 	return &EngineError{Reason: reason, Err: err}
 }
 
-// startError marks a failure to start an instance, which is no partner's doing.
+// startError marks a failure to start an instance, which the gate must not count against a partner.
 type startError struct{ err error }
 
 func (e startError) Error() string { return e.err.Error() }
--- a/internal/relay/plugin/finish.go
+++ b/internal/relay/plugin/finish.go
@@ -7,7 +7,7 @@
 	"mastusher/internal/relay/plugin/gate"
 )
 
-// finish is called by a worker that has ended a call: it counts, makes room for the next, and logs.
+// finish is called by a worker after a call. It updates the counts, returns the worker to the idle ones, and logs.
 func (v *version) finish(w *worker, j *job, result jobResult) {
 	if j.call.Phase == phaseStart {
 		return
@@ -22,7 +22,7 @@
 	now := time.Now()
 	v.mu.Lock()
 	opened := v.leaveGate(now, j, result)
-	v.idle <- w // has room for all of them
+	v.idle <- w // never blocks: the channel has capacity for all workers
 	close(v.changed)
 	v.changed = make(chan struct{})
 	logs := v.limitLogs(now, result.outcome.Logs)
@@ -41,14 +41,14 @@
 	}
 }
 
-// leaveGate tells the gate how a call ended, and whether that has opened a breaker. The version is locked.
+// leaveGate reports a call's result to the gate, and returns whether that has opened a breaker. The caller holds v.mu.
 func (v *version) leaveGate(now time.Time, j *job, result jobResult) (opened bool) {
 	before := v.gate.Blocked(now, j.call.Partner)
 	v.gate.Leave(now, j.ticket, result.outcome.CPU, gateResult(result.err))
 	return !before && v.gate.Blocked(now, j.call.Partner)
 }
 
-// gateResult is what an error of a call is to the gate.
+// gateResult classifies the error of a call for the gate.
 func gateResult(err error) gate.Result {
 	switch {
 	case err == nil:
@@ -61,7 +61,7 @@
 	return gate.Failed
 }
 
-// limitLogs is what of a call's lines may be logged. The version is locked.
+// limitLogs returns those of a call's log lines that the rate limit allows. The caller holds v.mu.
 func (v *version) limitLogs(now time.Time, logs []string) (allowed []string) {
 	for _, text := range logs {
 		if v.allowLog(now) {
@@ -71,7 +71,7 @@
 	return allowed
 }
 
-// allowLog tells whether a line may be logged now. The version is locked.
+// allowLog reports whether the rate limit allows a log line now. The caller holds v.mu.
 func (v *version) allowLog(now time.Time) bool {
 	return v.logBucket.take(now, float64(v.host.limits.PluginLines))
 }
--- a/internal/relay/plugin/fuzz_test.go
+++ b/internal/relay/plugin/fuzz_test.go
@@ -11,8 +11,8 @@
 	"mastusher/internal/relay/plugin/wasmtest"
 )
 
-// FuzzHostFunctions calls each import with whatever arguments, in each phase: the host neither panics nor lets
-// anything out that the rules forbid, and the instance behind the call still works or is started anew.
+// FuzzHostFunctions calls each host function with arbitrary arguments in each phase. The host must not panic or return an outcome
+// that the rules forbid, and a second call must work too, in the same instance or a new one.
 func FuzzHostFunctions(f *testing.F) {
 	for _, v := range []int64{0, 1, 8, 65535, 65536, -1, math.MaxInt32, math.MinInt32, 422, 429} {
 		for n := range len(hostFunctions) {
@@ -51,30 +51,29 @@
 	})
 }
 
-// checkOutcome demands that an outcome at the front "platform" is within the rules, and that of a call that failed nothing
-// counts.
+// checkOutcome checks that an outcome at the front "platform" is within the rules, and that a failed call has changed nothing.
 func checkOutcome(t *testing.T, h *Host, phase Phase, outcome Outcome, err error) {
 	t.Helper()
-	if err != nil && (len(outcome.Shape) > 0 || outcome.Body != nil || outcome.Reject) {
-		t.Fatalf("failed, and yet %+v", outcome)
+	if err != nil && (len(outcome.ExtraHeaders) > 0 || outcome.Body != nil || outcome.Reject) {
+		t.Fatalf("the call failed, but has the outcome %+v", outcome)
 	}
 	badStatus := outcome.Status < 400 || outcome.Status > 499
 	if outcome.Reject && (phase != Arrival || badStatus || len(outcome.Reason) > 4*h.limits.PluginReason) {
-		t.Fatalf("rejected: %+v", outcome)
+		t.Fatalf("invalid rejection: %+v", outcome)
 	}
-	if outcome.Body != nil || phase != Arrival && len(outcome.Shape) > 0 {
-		t.Fatalf("changed where it may not be: %+v", outcome)
+	if outcome.Body != nil || phase != Arrival && len(outcome.ExtraHeaders) > 0 {
+		t.Fatalf("forbidden change: %+v", outcome)
 	}
-	for _, text := range outcome.Shape {
+	for _, text := range outcome.ExtraHeaders {
 		for _, char := range text {
 			if char < ' ' || char > '~' {
-				t.Fatalf("%q goes out", outcome.Shape)
+				t.Fatalf("headers %q, want printable ASCII only", outcome.ExtraHeaders)
 			}
 		}
 	}
 }
 
-// BenchmarkArrive is what a passing plug-in adds to a message.
+// BenchmarkArrive measures the cost that a plug-in which does nothing adds to a message's arrival.
 func BenchmarkArrive(b *testing.B) {
 	file := filepath.Join(b.TempDir(), "p.wasm")
 	if err := os.WriteFile(file, wasmtest.Passing(), 0o600); err != nil {
--- a/internal/relay/plugin/gate/breaker.go
+++ b/internal/relay/plugin/gate/breaker.go
@@ -6,63 +6,63 @@
 type breakerState uint8
 
 const (
-	closed   breakerState = iota // calls go through
-	open                         // none does, until a time
-	halfOpen                     // one trial at a time
+	closed   breakerState = iota // calls are admitted
+	open                         // no call is admitted until openUntil
+	halfOpen                     // one trial call at a time is admitted
 )
 
-// timeoutExtraFailures is how much more than another failure a call that ran over its time counts.
+// timeoutExtraFailures is the number of additional failures that a timed-out call counts as.
 const timeoutExtraFailures = 1
 
-// quietFactor is how many times as long as it was open a breaker must have been closed for its next opening to be as
+// resetFactor is how many times as long as it was open a breaker must have been closed for its next opening to be as
 // short as the first.
-const quietFactor = 10
+const resetFactor = 10
 
-// breaker is a circuit breaker. Failures need not come in a row: a plug-in that fails at each third message is
-// as much of a burden as one that always does.
+// breaker is a circuit breaker. Failures need not be consecutive to open it: a plug-in that fails for every third message is as
+// costly as one that always fails.
 type breaker struct {
-	state     breakerState
-	failures  float64       // while closed, less what good calls have taken back
-	openUntil time.Time     // while open
-	openFor   time.Duration // that it is or was open for
-	trialOut  bool          // while half open: a trial is under way
-	successes int           // while half open: trials in a row
-	closedAt  time.Time     // zero: it has never been open
+	state        breakerState
+	failures     float64       // while closed: failures less FailureDecay for each success
+	openUntil    time.Time     // while open
+	openFor      time.Duration // how long it is open, or was open the last time
+	trialRunning bool          // while half open: a trial is under way
+	successes    int           // while half open: trials in a row
+	closedAt     time.Time     // when it last closed; zero: never
 }
 
-// admits tells whether a call may go through.
+// admits reports whether a call may be made.
 func (b *breaker) admits(now time.Time) bool {
 	switch b.state {
 	case open:
 		return !now.Before(b.openUntil)
 	case halfOpen:
-		return !b.trialOut
+		return !b.trialRunning
 	}
 	return true
 }
 
-// begin notes that a call is let in, and tells whether it is a trial.
+// begin records an admitted call, and returns whether that call is a trial.
 func (b *breaker) begin() bool {
 	if b.state == closed {
 		return false
 	}
-	b.state, b.trialOut = halfOpen, true
+	b.state, b.trialRunning = halfOpen, true
 	return true
 }
 
-// abandon ends a trial that has proved nothing.
+// abandon ends a trial without a result, so that another one may follow. It does nothing if the call was no trial.
 func (b *breaker) abandon(trial bool) {
 	if trial {
-		b.trialOut = false
+		b.trialRunning = false
 	}
 }
 
-// record counts the result of a call that began as a trial or not.
+// record counts the result of a call; trial is what begin returned for it.
 func (b *breaker) record(now time.Time, limits *Limits, trial bool, r Result) {
 	b.abandon(trial)
 	failed := r != Succeeded
 	switch {
-	case b.state == open: // a call from before it opened
+	case b.state == open: // the call began before the breaker opened
 	case b.state == halfOpen && !trial:
 	case b.state == halfOpen && failed:
 		b.open(now, min(2*b.openFor, limits.MaxOpenFor))
@@ -75,15 +75,15 @@
 	}
 }
 
-// recordTrialSuccess closes a half-open breaker after enough trials in a row.
+// recordTrialSuccess closes a half-open breaker after HalfOpenTrials successful trials in a row.
 func (b *breaker) recordTrialSuccess(now time.Time, limits *Limits) {
 	if b.successes++; b.successes >= limits.HalfOpenTrials {
 		b.state, b.failures, b.closedAt = closed, 0, now
 	}
 }
 
-// recordFailure opens a closed breaker when there have been enough failures: for longer than the last time if that is
-// not long ago.
+// recordFailure opens a closed breaker when the failures reach FailureThreshold. It opens for twice as long as the last time if it
+// closed only recently.
 func (b *breaker) recordFailure(now time.Time, limits *Limits, r Result) {
 	b.failures++
 	if r == TimedOut {
@@ -93,7 +93,7 @@
 		return
 	}
 	openFor := limits.OpenFor
-	if now.Sub(b.closedAt) < quietFactor*b.openFor {
+	if now.Sub(b.closedAt) < resetFactor*b.openFor {
 		openFor = min(2*b.openFor, limits.MaxOpenFor)
 	}
 	b.open(now, openFor)
--- a/internal/relay/plugin/gate/gate_test.go
+++ b/internal/relay/plugin/gate/gate_test.go
@@ -14,11 +14,11 @@
 
 func testLimits() Limits {
 	return Limits{Instances: 2, CPUShare: 0.1, CPUBurst: 100 * time.Millisecond, FailureThreshold: 3, FailureDecay: 0.05,
-		OpenFor: time.Second, MaxOpenFor: 8 * time.Second, HalfOpenTrials: 2, MaxPartners: 4, SharedThreshold: 2}
+		OpenFor: time.Second, MaxOpenFor: 8 * time.Second, HalfOpenTrials: 2, MaxPartners: 4, OpenPartnersThreshold: 2}
 }
 
-// TestGate_Scripts_GiveExpectedVerdicts plays testdata/gate.txt: "enter PARTNER", "leave TICKET good|failed|overran|crashed CPU",
-// "look" and "after TIME", with what is to come back behind "=>".
+// TestGate_Scripts_GiveExpectedVerdicts runs the scripts of testdata/gate.txt. Their commands are "enter PARTNER",
+// "leave TICKET good|failed|overran|crashed CPU", "look" and "after TIME"; the expected result stands after "=>".
 func TestGate_Scripts_GiveExpectedVerdicts(t *testing.T) {
 	text, err := os.ReadFile("testdata/gate.txt")
 	if err != nil {
@@ -41,16 +41,16 @@
 	}
 }
 
-// scriptPlayer plays the commands of one script.
+// scriptPlayer runs the commands of one script.
 type scriptPlayer struct {
 	gate    *Gate
 	now     time.Time
-	tickets []Ticket // of the calls admitted, by their numbers in the script
+	tickets []Ticket // of the admitted calls, by their numbers in the script
 }
 
 var scriptResults = map[string]Result{"good": Succeeded, "failed": Failed, "overran": TimedOut, "crashed": StartFailed}
 
-// play plays one command and returns what came back.
+// play runs one command and returns its result.
 func (p *scriptPlayer) play(t *testing.T, command string) string {
 	t.Helper()
 	words := strings.Fields(command)
@@ -97,9 +97,9 @@
 	return d
 }
 
-// TestGate_AnySequence_KeepsItsBounds: whatever comes, no more calls are out than there are instances, one partner never has them all, the
-// plug-in never spends more than its share and one burst beside the calls that are out, and a breaker that is open
-// admits again in the end.
+// TestGate_AnySequence_KeepsItsBounds: in any sequence of calls no more are in progress than there are instances, and no more for one
+// partner than PerPartner. No call is admitted once the finished ones have used more processor time than the share and one burst. An
+// open breaker admits calls again after some time.
 func TestGate_AnySequence_KeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := testLimits()
@@ -119,10 +119,10 @@
 	})
 }
 
-// maxPartner is the largest number of a partner of a randomLoad; there are more than the gate keeps breakers for.
+// maxPartner is the highest partner number in a randomLoad. That gives more partners than testLimits allows breakers for.
 const maxPartner = 5
 
-// openCall is a call that was admitted and has not left.
+// openCall is an admitted call that is in progress.
 type openCall struct {
 	Ticket
 	partner int
@@ -143,7 +143,7 @@
 	return &randomLoad{limits: limits, gate: New(limits), start: start, now: start, busy: map[int]int{}}
 }
 
-// enter asks for a call, and checks that one that is admitted may be.
+// enter requests a call, and checks that it is within the limits if it is admitted.
 func (l *randomLoad) enter(t *rapid.T, partner int) {
 	allowed := l.limits.CPUBurst + time.Duration(float64(l.now.Sub(l.start))*l.limits.CPUShare)
 	ticket, verdict := l.gate.Enter(l.now, partner)
@@ -152,10 +152,10 @@
 	}
 	l.calls = append(l.calls, openCall{ticket, partner})
 	if l.busy[partner]++; l.busy[partner] > l.limits.PerPartner() || len(l.calls) > l.limits.Instances {
-		t.Fatalf("%d calls are out, %d for partner %d", len(l.calls), l.busy[partner], partner)
+		t.Fatalf("%d calls are in progress, %d for partner %d", len(l.calls), l.busy[partner], partner)
 	}
 	if l.spent > allowed {
-		t.Fatalf("let in after %v of %v", l.spent, allowed)
+		t.Fatalf("a call was admitted after %v of processor time, want at most %v", l.spent, allowed)
 	}
 }
 
@@ -172,7 +172,7 @@
 	l.calls = append(l.calls[:i], l.calls[i+1:]...)
 }
 
-// checkAdmitsAfterAnHour ends all calls and demands that each partner's next is admitted an hour later.
+// checkAdmitsAfterAnHour ends all calls, and checks that an hour later a call for each partner is admitted.
 func (l *randomLoad) checkAdmitsAfterAnHour(t *rapid.T) {
 	for _, c := range l.calls {
 		l.gate.Leave(l.now, c.Ticket, 0, Succeeded)
@@ -181,7 +181,7 @@
 	for partner := range maxPartner + 1 {
 		ticket, verdict := l.gate.Enter(later, partner)
 		if verdict != Admitted {
-			t.Fatalf("partner %d after an hour: %v", partner, verdict)
+			t.Fatalf("partner %d after an hour: verdict %v, want %v", partner, verdict, Admitted)
 		}
 		l.gate.Leave(later, ticket, 0, Succeeded)
 	}
--- a/internal/relay/plugin/generation.go
+++ b/internal/relay/plugin/generation.go
@@ -2,11 +2,11 @@
 
 import "sync/atomic"
 
-// generation is a list of plug-ins as one reload has made it. A message meets one generation for its whole arrival.
+// generation is the list of plug-ins that one reload installed. A message is handled by a single generation during its whole arrival.
 type generation struct {
 	number int
 	chain  []*version   // in the order in which they are called
-	users  atomic.Int64 // calls under way, and one for being the newest; at 0 it never rises again
+	users  atomic.Int64 // reference count: calls in progress, and one while it is the newest; once 0 it stays 0
 }
 
 func newGeneration(number int, chain []*version) *generation {
@@ -15,7 +15,7 @@
 	return g
 }
 
-// acquire returns the newest generation, which stays loaded until it is released; nil: the host is closed.
+// acquire returns the newest generation, which stays loaded until release is called; nil: the host is closed.
 func (h *Host) acquire() *generation {
 	for {
 		g := h.current.Load()
@@ -30,12 +30,12 @@
 	}
 }
 
-// release ends one use of a generation; the last closes what no other generation uses.
+// release drops one reference to a generation. The last one closes the versions that nothing else uses.
 func (h *Host) release(g *generation) {
 	if g == nil || g.users.Add(-1) > 0 {
 		return
 	}
-	go func() { // the caller may hold the lock, and answers a client; Close waits for the end of this
+	go func() { // not inline: the caller may hold h.mu or be answering a client. Close waits for this goroutine.
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		for _, v := range g.chain {
--- a/internal/relay/plugin/host.go
+++ b/internal/relay/plugin/host.go
@@ -15,44 +15,44 @@
 	"mastusher/internal/relay/plugin/store"
 )
 
-// maxHeaderName is how many bytes the name of a header that a plug-in sets may have.
+// maxHeaderName is the maximum length in bytes of a header name that a plug-in sets.
 const maxHeaderName = 64
 
-// Bounds of the circuit breakers that no setting has.
+// Limits of the circuit breakers that can't be configured.
 const (
-	failureDecay        = 0.05 // failures that a good call takes back
-	sharedOpenThreshold = 4    // partners' breakers that count failures against the plug-in's own
+	failureDecay          = 0.05 // subtracted from the failure count by each successful call
+	openPartnersThreshold = 4    // from this many partners' breakers not closed on, failures count against the whole plug-in
 )
 
-// Host runs all plug-ins. Its methods are safe for concurrent use, but for Close.
+// Host runs all plug-ins. Its methods are safe for concurrent use, except Close.
 type Host struct {
 	limits   *config.Limits
 	log      *slog.Logger
 	seed     uint64
-	classes  []string // names of the classes of messages, by number
+	classes  []string // names of the message classes, by number
 	fronts   map[string]*rules.Front
 	rules    rules.Limits
 	memories memoryPool
 	cache    wazero.CompilationCache // nil: none
 	cacheDir string
-	storeDir string // "": stores are not kept
+	storeDir string // "": stores are not saved
 
-	current atomic.Pointer[generation] // what messages meet; nil: none any more
+	current atomic.Pointer[generation] // handles the messages that arrive now; nil: the host is closed
 
 	mu           sync.Mutex // guards reloads, and the fields from here to stop
-	generationNo int        // of the last load, also one that failed
-	prepared     []*version // loaded for a reload that is to come
+	generationNo int        // of the last load, including failed ones
+	prepared     []*version // loaded by Prepare for the next Reload
 	stores       map[string]*store.Store
-	storeConfigs map[string]config.Plugin // under which each store was made
-	serving      bool                     // the first load is done: from now on loading gives way to the relay
+	storeConfigs map[string]config.Plugin // configuration with which each store was created
+	serving      bool                     // the first load is done: later loads run at low priority
 
 	stop            chan struct{}
 	saving          sync.WaitGroup // the goroutine that saves stores, until stop is closed
 	liveGenerations sync.WaitGroup // generations that are in use
 }
 
-// New returns a host with the plug-ins of a configuration, all loaded. fronts tells what each front lets plug-ins
-// change. An error names the key of the configuration at fault. Whoever has the host calls Close.
+// New returns a host that has loaded all plug-ins of a configuration. fronts specifies what plug-ins may change at each front. An
+// error names the configuration key that caused it. The caller must call Close.
 func New(cfg *config.Config, fronts []rules.Front, log *slog.Logger) (*Host, error) {
 	host := newHost(cfg, fronts, log)
 	if err := host.openCache(cfg.PluginHost.Cache); err != nil {
@@ -72,7 +72,7 @@
 	return host, nil
 }
 
-// newHost returns a host without plug-ins.
+// newHost returns a host that has no plug-ins yet.
 func newHost(cfg *config.Config, fronts []rules.Front, log *slog.Logger) *Host {
 	limits := &cfg.Limits
 	host := &Host{
@@ -94,7 +94,7 @@
 	return host
 }
 
-// openCache opens the folder of compiled modules; "": there is none.
+// openCache opens the folder of compiled modules; "": no cache is used.
 func (h *Host) openCache(dir string) error {
 	if dir == "" {
 		return nil
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// Close ends all plug-ins and saves their stores. Calls under way end within their deadlines; it waits for them. It is
-// not for concurrent use; a second call does nothing.
+// Close stops all plug-ins and saves their stores. It waits for the calls in progress, which end by their deadlines. Close must
+// not be called concurrently; a second call does nothing.
 func (h *Host) Close() {
 	select {
 	case <-h.stop:
@@ -128,8 +128,8 @@
 	h.saveStores(time.Now())
 }
 
-// Procs is how many threads may run plug-ins at once; the runtime needs as many processors more, so that no
-// plug-in holds one that the relay would use.
+// Procs returns how many threads may run plug-ins at the same time. GOMAXPROCS must be raised by that number, so that plug-ins don't
+// occupy the processors that the relay would use.
 func (h *Host) Procs() int {
 	instances := 0
 	if g := h.current.Load(); g != nil {
@@ -140,17 +140,17 @@
 	return min(instances, h.limits.PluginThreads)
 }
 
-// gateLimits is what the gate of a plug-in is bounded by.
+// gateLimits returns the limits for a plug-in's gate.
 func (h *Host) gateLimits(cfg *config.Plugin) gate.Limits {
 	return gate.Limits{
 		Instances: cfg.Instances, CPUShare: cfg.Share, CPUBurst: h.limits.PluginBurst,
 		FailureThreshold: h.limits.PluginBreakerThreshold, FailureDecay: failureDecay,
 		OpenFor: h.limits.PluginBreakerOpen, MaxOpenFor: h.limits.PluginBreakerOpenMax,
-		HalfOpenTrials: h.limits.PluginBreakerTrials, MaxPartners: h.limits.PluginBreakers, SharedThreshold: sharedOpenThreshold,
+		HalfOpenTrials: h.limits.PluginBreakerTrials, MaxPartners: h.limits.PluginBreakers, OpenPartnersThreshold: openPartnersThreshold,
 	}
 }
 
-// className is the name of a class of messages; "": there is none of that number.
+// className returns the name of a message class; "": there is no class with that number.
 func (h *Host) className(class int) string {
 	if class >= 0 && class < len(h.classes) {
 		return h.classes[class]
@@ -158,8 +158,8 @@
 	return ""
 }
 
-// CallOnce makes one call to a plug-in, for tools: neither scope nor phase is asked for. Its error is one of this
-// package's, or the plug-in's trap as an *EngineError.
+// CallOnce makes one call to a plug-in, for tools. It ignores the configured scope and phases. Its error is one of this package's;
+// a trap is an *EngineError.
 func (h *Host) CallOnce(name string, c Call) (Outcome, error) {
 	g := h.acquire()
 	if g == nil {
@@ -168,17 +168,17 @@
 	defer h.release(g)
 	for _, v := range g.chain {
 		if v.cfg.Name == name {
-			c.guard = h.guard(c.Front)
+			c.frontRules = h.frontRules(c.Front)
 			return v.attemptUntil(&c, time.Now().Add(v.cfg.Timeout))
 		}
 	}
 	return Outcome{}, &UnknownPluginError{Name: name}
 }
 
-// Rules are the limits on what plug-ins may ask for. They must not be written to.
+// Rules returns the limits on what plug-ins may request. The caller must not modify them.
 func (h *Host) Rules() *rules.Limits { return &h.rules }
 
-// Status tells what runs.
+// Status describes the plug-ins that run.
 func (h *Host) Status() Status {
 	s := Status{At: time.Now()}
 	if g := h.current.Load(); g != nil {
--- a/internal/relay/plugin/hostfunctions.go
+++ b/internal/relay/plugin/hostfunctions.go
@@ -9,8 +9,8 @@
 	"mastusher/internal/relay/plugin/rules"
 )
 
-// hostFunction is one import of ABI 2 that a module may have. do takes its parameters from the stack and leaves its
-// result there.
+// hostFunction is a function that an ABI 2 module may import. do reads the parameters from the stack and writes the result to
+// stack[0].
 type hostFunction struct {
 	name            string
 	params, results []api.ValueType
@@ -23,27 +23,28 @@
 	i64 = api.ValueTypeI64
 )
 
-// maxMs is the longest time that a module may hand over, in ms: some 35 years, which fit a time.Duration.
+// maxMs is the upper bound for durations that a module passes, in ms: about 35 years, which a time.Duration can hold.
 const maxMs = 1 << 40
 
-// maxStoreValue is more than the value of a store may have, in bytes.
+// maxStoreValue bounds how many bytes of a store value are copied. It is above storeValueSize, so that the store still refuses a
+// value that is too long.
 const maxStoreValue = 8 << 10
 
-// Bounds of what is noted of refusals in one call.
+// Limits on the refusals that are recorded for one call.
 const (
 	maxRefusals    = 16
 	maxRefusalText = 80 // bytes
 )
 
-// Statuses that a module may not reject with: they ask the client to send the message again.
+// Statuses that a module may not reject with, because they tell the client to send the message again.
 const (
 	statusRequestTimeout  = 408
 	statusTooManyRequests = 429
 )
 
-// hostFunctions are all imports of ABI 2. In their comments at and size are a place and a length in the module's memory,
-// and capacity is how many bytes may be written there; what does not lie inside the memory traps. A result below 0 is a refusal of
-// package rules.
+// hostFunctions lists the functions that ABI 2 modules may import. In the comments below, "at" is an address in the module's
+// memory, "size" a length in bytes, and "capacity" how many bytes may be written there. An address or length outside the memory
+// traps. A negative result is a rules.Refusal.
 var hostFunctions = []hostFunction{
 	{"get", []api.ValueType{i32, i32, i32}, []api.ValueType{i32}, (*worker).hostGet},
 	{"number", []api.ValueType{i32}, []api.ValueType{i64}, (*worker).hostNumber},
@@ -62,7 +63,7 @@
 	{"store_delete", []api.ValueType{i32, i32}, nil, (*worker).hostStoreDelete},
 }
 
-// get(field, at, capacity) -> size: writes as much of a field as fits, and returns its whole size.
+// get(field, at, capacity) -> size: writes as much of a field as fits, and returns the field's full size.
 func (w *worker) hostGet(m api.Memory, stack []uint64) {
 	if uint32(stack[0]) == fieldBody {
 		body, ok := w.call.Body, w.call.Phase != End
@@ -81,7 +82,8 @@
 	stack[0] = uint64(w.number(uint32(stack[0])))
 }
 
-// get_header(name, size, at, capacity) -> size: of the client's request on arrival, of the answer afterwards.
+// get_header(name, size, at, capacity) -> size: a header of the client's request on arrival, of the destination's answer in the
+// answer phase.
 func (w *worker) hostGetHeader(m api.Memory, stack []uint64) {
 	values := w.call.In[textproto.CanonicalMIMEHeaderKey(w.text(m, stack[0], stack[1]))]
 	value, ok := "", len(values) > 0
@@ -91,9 +93,9 @@
 	stack[0] = writeResult(m, value, ok, stack[2], stack[3])
 }
 
-// out_header(name, size, at, capacity) -> size: as it will go out, as far as it has been set.
+// out_header(name, size, at, capacity) -> size: an extra header that this plug-in or an earlier one has set.
 func (w *worker) hostOutHeader(m api.Memory, stack []uint64) {
-	value, ok := w.outcome.Shape.Get(w.text(m, stack[0], stack[1]))
+	value, ok := w.outcome.ExtraHeaders.Get(w.text(m, stack[0], stack[1]))
 	stack[0] = writeResult(m, value, ok, stack[2], stack[3])
 }
 
@@ -102,16 +104,16 @@
 	name, value := w.text(m, stack[0], stack[1]), w.text(m, stack[2], stack[3])
 	why := rules.Phase
 	if w.call.Phase == Arrival {
-		w.outcome.Shape, why = w.outcome.Shape.Set(w.call.guard, &w.version.host.rules, name, value)
+		w.outcome.ExtraHeaders, why = w.outcome.ExtraHeaders.Set(w.call.frontRules, &w.version.host.rules, name, value)
 	}
 	stack[0] = w.refuse("header "+name, why)
 }
 
-// remove_header(name, size) -> refusal. To remove what is not there is no offence, and is not noted.
+// remove_header(name, size) -> refusal. Its refusals are not recorded: removing a header that is not set does no harm.
 func (w *worker) hostRemoveHeader(m api.Memory, stack []uint64) {
 	why := rules.Phase
 	if w.call.Phase == Arrival {
-		w.outcome.Shape, why = w.outcome.Shape.Remove(w.text(m, stack[0], stack[1]))
+		w.outcome.ExtraHeaders, why = w.outcome.ExtraHeaders.Remove(w.text(m, stack[0], stack[1]))
 	}
 	stack[0] = api.EncodeI32(int32(why))
 }
@@ -121,21 +123,21 @@
 	limits := &w.version.host.rules
 	body, why := w.boundedBytes(m, stack[0], stack[1], limits.BodySize+1), rules.Phase
 	if w.call.Phase == Arrival {
-		if why = rules.Rewrite(w.call.guard, limits, w.call.Body, body); why == rules.None {
+		if why = rules.CheckBody(w.call.frontRules, limits, w.call.Body, body); why == rules.None {
 			w.outcome.Body = append([]byte{}, body...)
 		}
 	}
 	stack[0] = w.refuse("body", why)
 }
 
-// reject(status, reason, size) -> refusal: the message is not taken on, and its client told so.
+// reject(status, reason, size) -> refusal: the message is not accepted, and its client is answered with status and reason.
 func (w *worker) hostReject(m api.Memory, stack []uint64) {
 	reason, why := w.text(m, stack[1], stack[2]), rules.None
 	switch status := api.DecodeI32(stack[0]); {
 	case w.call.Phase != Arrival:
 		why = rules.Phase
 	case status < 400 || status > 499 || status == statusTooManyRequests || status == statusRequestTimeout:
-		why = rules.Looser // a refusal is the module's to give
+		why = rules.Looser // a module may only reject for good
 	default:
 		w.outcome.Reject, w.outcome.Status = true, int(status)
 		w.outcome.Reason = truncate(reason, w.version.host.limits.PluginReason)
@@ -143,12 +145,12 @@
 	stack[0] = w.refuse("reject", why)
 }
 
-// wait(ms) -> refusal: nothing goes to this destination's partner for at least so long.
+// wait(ms) -> refusal: nothing is sent to this destination's partner for at least ms.
 func (w *worker) hostWait(_ api.Memory, stack []uint64) {
 	stack[0] = w.ask("wait", rules.Ask{RetryAfter: durationOfMs(stack[0])})
 }
 
-// refuse() -> refusal: the message is given up for good.
+// refuse() -> refusal: the message is not sent again.
 func (w *worker) hostRefuse(_ api.Memory, stack []uint64) {
 	stack[0] = w.ask("refuse", rules.Ask{Refuse: true})
 }
@@ -156,7 +158,7 @@
 // log(at, size)
 func (w *worker) hostLog(m api.Memory, stack []uint64) { w.log(w.text(m, stack[0], stack[1])) }
 
-// random() -> number, the same for the same seed, plug-in, phase and message
+// random() -> number: the sequence depends only on the seed, plug-in, phase and message.
 func (w *worker) hostRandom(_ api.Memory, stack []uint64) { stack[0] = w.rng.Uint64() }
 
 // store_get(key, size, at, capacity) -> size
@@ -165,7 +167,7 @@
 	stack[0] = writeResult(m, value, ok, stack[2], stack[3])
 }
 
-// store_set(key, size, value, size, ms) -> refusal: for so long, or with 0 for good
+// store_set(key, size, value, size, ms) -> refusal: the entry expires after ms; 0: never.
 func (w *worker) hostStoreSet(m api.Memory, stack []uint64) {
 	key, value := w.text(m, stack[0], stack[1]), w.boundedBytes(m, stack[2], stack[3], maxStoreValue)
 	stack[0] = w.refuse("store", storeRefusal(w.tx.Set(key, value, durationOfMs(stack[4]))))
@@ -176,12 +178,12 @@
 	w.tx.Delete(w.text(m, stack[0], stack[1]))
 }
 
-// durationOfMs is a time that a module hands over, within what there may be.
+// durationOfMs converts a duration that a module passed, clamped to 0..maxMs.
 func durationOfMs(ms uint64) time.Duration {
 	return time.Duration(min(max(int64(ms), 0), maxMs)) * time.Millisecond
 }
 
-// refuse notes what was not done, and returns the module's number for it.
+// refuse records a refusal, and returns the number that the module receives for it. rules.None is not recorded.
 func (w *worker) refuse(what string, why rules.Refusal) uint64 {
 	if why != rules.None && len(w.outcome.Refused) < maxRefusals {
 		w.outcome.Refused = append(w.outcome.Refused, Refused{truncate(what, maxRefusalText), why})
@@ -189,7 +191,7 @@
 	return api.EncodeI32(int32(why))
 }
 
-// ask notes what an answer's phase wants, if it may have it.
+// ask merges a request of the answer phase with those made earlier in the call, if the rules allow it.
 func (w *worker) ask(what string, more rules.Ask) uint64 {
 	if w.call.Phase != Answer {
 		return w.refuse(what, rules.Phase)
@@ -203,7 +205,7 @@
 	return w.refuse(what, why)
 }
 
-// log keeps a line for the relay's log.
+// log keeps a line for the relay's log until the call ends. Lines beyond PluginLines are dropped.
 func (w *worker) log(text string) {
 	if len(w.outcome.Logs) < w.version.host.limits.PluginLines {
 		w.outcome.Logs = append(w.outcome.Logs, truncate(text, w.version.host.limits.PluginReason))
--- a/internal/relay/plugin/hostile_test.go
+++ b/internal/relay/plugin/hostile_test.go
@@ -13,13 +13,13 @@
 	"mastusher/internal/relay/plugin/wasmtest"
 )
 
-// failsOnArrival is a module of ABI 2 whose arrival returns a status of its own.
+// failsOnArrival returns an ABI 2 module whose on_arrival returns a status.
 func failsOnArrival(status int32) []byte {
 	return wasmtest.Plugin(1, 1, 1).On("arrival", 0, wasmtest.Const(status)).Bytes()
 }
 
-// TestHost_HostileModule_MessagePasses: whatever a module does on arrival, the message passes as it came, the failure is counted, and the
-// well-behaved plug-in behind it has its say.
+// TestHost_HostileModule_MessagePasses: whatever a module does on arrival, the message is accepted unchanged, the failure is counted, and
+// the next plug-in is called.
 func TestHost_HostileModule_MessagePasses(t *testing.T) {
 	for name, c := range map[string]struct {
 		module []byte
@@ -31,17 +31,17 @@
 		"exit, as a panic in Go": {wasmtest.Exits(), true, ""},
 		"recursion without end":  {wasmtest.Recurses(), true, ""},
 		"recursion that fans out, without a loop": {wasmtest.Fans(), true, `"timeout": "50ms"`},
-		"as much memory as it can get":            {wasmtest.Hoards(), false, ""}, // it gets none beyond its limit, and may keep that
-		"status of its own":                       {failsOnArrival(9), true, ""},
+		"as much memory as it can get":            {wasmtest.Hoards(), false, ""}, // growing stops at the limit; using all of it is no failure
+		"failure status":                          {failsOnArrival(9), true, ""},
 		"pointer outside of memory":               {wasmtest.CallsWith("arrival", 1, "log", 65536, 1), true, ""},
 		"length outside of memory":                {wasmtest.CallsWith("arrival", 1, "log", 1, 65536), true, ""},
 		"length of 2^32-1":                        {wasmtest.CallsWith("arrival", 1, "log", 8, -1), true, ""},
 		"pointer at 2^32-1":                       {wasmtest.CallsWith("arrival", 1, "get", 0, -1, 8), true, ""},
-		"room for a result over the end":          {wasmtest.CallsWith("arrival", 1, "get", 4, 65535, 2), true, ""},
+		"result buffer past the end of memory":    {wasmtest.CallsWith("arrival", 1, "get", 4, 65535, 2), true, ""},
 		"name and value that overlap":             {wasmtest.CallsWith("arrival", 1, "set_header", 0, 4, 2, 4), false, ""},
-		"value of a key over the end":             {wasmtest.CallsWith("arrival", 1, "store_set", 0, 4, 65530, 100), true, ""},
-		"field that there is not":                 {wasmtest.CallsWith("arrival", 1, "get", 99, 0, 8), false, ""},
-		"alloc over the end":                      {wasmtest.ABI1(65530, 1), true, ""},
+		"store value past the end of memory":      {wasmtest.CallsWith("arrival", 1, "store_set", 0, 4, 65530, 100), true, ""},
+		"unknown field":                           {wasmtest.CallsWith("arrival", 1, "get", 99, 0, 8), false, ""},
+		"alloc past the end of memory":            {wasmtest.ABI1(65530, 1), true, ""},
 		"alloc at 2^32-1":                         {wasmtest.ABI1(-1, 1), true, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -51,10 +51,10 @@
 				t.Error(d)
 			}
 			if d := cmp.Diff([]string{"X-Desk", "sports"}, m.ExtraHeaders); d != "" {
-				t.Errorf("the plug-in behind it (-want +got)\n%s", d)
+				t.Errorf("headers set by the next plug-in (-want +got)\n%s", d)
 			}
 			if string(m.Body) != "body" {
-				t.Errorf("the body is %q", m.Body)
+				t.Errorf("the body is %q, want it unchanged", m.Body)
 			}
 			want := uint64(0)
 			if c.fails {
@@ -64,23 +64,23 @@
 				t.Errorf("%d failures, want %d", got, want)
 			}
 			if r := h.OnArrival("platform", message("n", 8)); r.Verdict != engine.Accepted { // on a new instance
-				t.Errorf("the next message: %+v", r)
+				t.Errorf("the next message: %+v, want it accepted", r)
 			}
 		})
 	}
 }
 
-// TestHost_FloodingModule_ReasonIsCut: a module that logs and rejects with a long reason, over and over, is taken at its word, of which as
-// much is kept as there may be.
+// TestHost_FloodingModule_ReasonIsCut: a module that keeps logging and rejecting with a long reason does reject the message, and its
+// reason is truncated to the limit.
 func TestHost_FloodingModule_ReasonIsCut(t *testing.T) {
 	h := newSetup(t).with("bad", wasmtest.Floods(), "").with("good", wasmtest.Header("X-Desk", "sports"), "").host()
 	r := h.OnArrival("platform", message("m", 7))
 	if r.Verdict != engine.Rejected || len(r.Reason) > h.limits.PluginReason {
-		t.Errorf("got %+v", r)
+		t.Errorf("got %+v, want a rejection with a reason of at most %d bytes", r, h.limits.PluginReason)
 	}
 }
 
-// TestCallOnce_FailedCall_TellsCause: who tries a plug-in out can tell why a call has failed, and reads it in one line.
+// TestCallOnce_FailedCall_TellsCause: CallOnce returns a distinct error for each cause of a failed call, in one line.
 func TestCallOnce_FailedCall_TellsCause(t *testing.T) {
 	for name, c := range map[string]struct {
 		module []byte
@@ -88,13 +88,13 @@
 		want   error
 		text   string
 	}{
-		"loop without end":           {wasmtest.Loops(1), `"timeout": "50ms"`, ErrTimeout, "plugin: it ran over its time"},
-		"status of its own":          {failsOnArrival(-9), "", ErrPluginFailure, "plugin: it returned a failure of its own: -9"},
-		"pointer outside of memory":  {wasmtest.CallsWith("arrival", 1, "log", 65536, 1), "", ErrOutOfBounds, "plugin: a pointer or length lies outside its memory"},
-		"alloc over the end, ABI 1":  {wasmtest.ABI1(65530, 1), "", ErrAllocFailed, "alloc gave no room"},
+		"loop without end":           {wasmtest.Loops(1), `"timeout": "50ms"`, ErrTimeout, "plugin: the call timed out"},
+		"failure status":             {failsOnArrival(-9), "", ErrPluginFailure, "plugin: the module returned a failure status: -9"},
+		"pointer outside of memory":  {wasmtest.CallsWith("arrival", 1, "log", 65536, 1), "", ErrOutOfBounds, "plugin: a pointer or length is outside the module's memory"},
+		"ABI 1, alloc past the end":  {wasmtest.ABI1(65530, 1), "", ErrAllocFailed, "alloc returned no usable buffer"},
 		"trap":                       {wasmtest.Traps(1), "", nil, "wasm error: unreachable"},
-		"trap without end of stack":  {wasmtest.Recurses(), "", nil, "wasm error: unreachable"},
-		"more copied than there may": {copiesTooMuch(), "", ErrCopyLimit, "plugin: it has had the relay copy more than one call may"},
+		"recursion without end":      {wasmtest.Recurses(), "", nil, "wasm error: unreachable"},
+		"more copied than the limit": {exceedsCopyLimit(), "", ErrCopyLimit, "plugin: the call passed more bytes to the relay than the limit allows"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newSetup(t).with("p", c.module, c.keys).host()
@@ -110,13 +110,14 @@
 	}
 }
 
-// copiesTooMuch is a module that logs 2 KB over and over.
-func copiesTooMuch() []byte {
+// exceedsCopyLimit returns a module that logs 2 KB in an endless loop.
+func exceedsCopyLimit() []byte {
 	p := wasmtest.Plugin(1, 1, 1, "log")
 	return p.On("arrival", 0, wasmtest.Loop(p.Do("log", wasmtest.Const(0), wasmtest.Const(2<<10)), wasmtest.Const(1), wasmtest.BrIf(0)), wasmtest.Const(0)).Bytes()
 }
 
-// TestHost_LoopAfterTheFact_IsNotAwaited: a plug-in that loops upon answers and ends holds nobody up, and the answer stands.
+// TestHost_LoopAfterTheFact_IsNotAwaited: a plug-in that loops in the answer and end phases does not change the answer, and the queue of
+// deferred calls stays bounded.
 func TestHost_LoopAfterTheFact_IsNotAwaited(t *testing.T) {
 	h := newSetup(t).with("bad", wasmtest.Loops(1), `"timeout": "50ms"`).host()
 	step := engine.NewAttempt(engine.Destination{Name: "s-1", Partner: 7}, h.SampleBytes("platform", 7, 0), engine.Item{ID: "m"})
@@ -130,34 +131,34 @@
 		h.OnEnd("platform", engine.End{ID: fmt.Sprint(i), Partner: 7, Result: "delivered"})
 	}
 	if v := versionAt(h, 0); v.counts.Dropped.Load() == 0 {
-		t.Error("ends pile up without bound")
+		t.Error("no call was dropped, want the queue of deferred calls bounded")
 	}
 }
 
-// TestHost_ModuleTraps_IsStartedAnew: a module that works until its thousandth call is started anew, and works again.
+// TestHost_ModuleTraps_IsStartedAnew: an instance that traps at its thousandth call is replaced by a new one, which works.
 func TestHost_ModuleTraps_IsStartedAnew(t *testing.T) {
 	h := newSetup(t).with("p", wasmtest.WorksUntil(999), `"instances": 1`).host()
 	for i := range 1500 {
 		h.OnArrival("platform", message(fmt.Sprint(i), 7))
 	}
 	if c := &versionAt(h, 0).counts; c.Failures.Load() != 1 || c.Calls.Load() != 1500 {
-		t.Errorf("%d calls, %d failures", c.Calls.Load(), c.Failures.Load())
+		t.Errorf("%d calls, want 1500; %d failures, want 1", c.Calls.Load(), c.Failures.Load())
 	}
 }
 
-// TestHost_Memory_IsBoundedAndGivenBack: what all instances hold together is bounded, and given back when they end.
+// TestHost_Memory_IsBoundedAndGivenBack: the memory of all instances together is bounded, and freed when the host is closed.
 func TestHost_Memory_IsBoundedAndGivenBack(t *testing.T) {
 	s := newSetup(t).with("a", wasmtest.Hoards(), "").with("b", wasmtest.Hoards(), "")
-	s.extra = `, "memory_mb": 3`
+	s.hostKeys = `, "memory_mb": 3`
 	h := s.host()
 	for i := range 8 {
 		h.OnArrival("platform", message(fmt.Sprint(i), i))
 	}
 	if n := h.memories.used.Load(); n > 3<<20 || n < 2<<20 {
-		t.Errorf("the instances hold %d bytes of 3 MB", n)
+		t.Errorf("the instances use %d bytes, want 2 to 3 MB", n)
 	}
 	h.Close()
 	if n := h.memories.used.Load(); n != 0 {
-		t.Errorf("%d bytes are not given back", n)
+		t.Errorf("%d bytes are still in use after Close, want 0", n)
 	}
 }
--- a/internal/relay/plugin/inspect.go
+++ b/internal/relay/plugin/inspect.go
@@ -8,11 +8,11 @@
 	"mastusher/internal/relay/plugin/rules"
 )
 
-// wantsNoAnswer is what SampleBytes returns where no plug-in wants to see an answer.
-const wantsNoAnswer = -1
+// noSample is the result of SampleBytes if no plug-in handles the answer.
+const noSample = -1
 
-// OnArrival lets the plug-ins see a message before it is taken on, in their order, and fixes what it is sent as: it
-// sets the message's ExtraHeaders and perhaps its Body. All plug-ins together have the configuration's PluginBudget.
+// OnArrival calls the plug-ins, in their order, for a message that is not accepted yet. It sets the message's ExtraHeaders, and its
+// Body if a plug-in has rewritten it. The time limit for all plug-ins together is PluginBudget.
 func (h *Host) OnArrival(front string, m *engine.Message) engine.Ruling {
 	g := h.acquire()
 	if g == nil {
@@ -30,32 +30,32 @@
 			deadline = now.Add(h.limits.PluginBudget)
 			base = h.arrivalCall(front, m)
 		}
-		// A call of its own for each: one that was left to itself may still read the last.
+		// Each plug-in gets its own copy, because an abandoned call may still read the previous one.
 		call := *base
 		call.Now, call.TimeLeft = now, m.Deadline.Sub(now)
 		outcome, err := v.attempt(&call, deadline)
-		if ruling, final := v.ruleArrival(&outcome, err); final {
+		if ruling, final := v.arrivalRuling(&outcome, err); final {
 			return ruling
 		}
 		if err == nil {
-			takeOver(base, m, &outcome)
+			applyChanges(base, m, &outcome)
 		}
 	}
 	if base != nil {
-		m.ExtraHeaders = base.Shape
+		m.ExtraHeaders = base.ExtraHeaders
 	}
 	return engine.Ruling{}
 }
 
-// arrivalCall is what plug-ins are told of a message that arrives. The body is copied, since a call that was left to itself may
-// read it when the engine has long gone on.
+// arrivalCall returns the input of the calls for a message on arrival. It copies the body, because an abandoned call may still read it
+// while the engine uses the message.
 func (h *Host) arrivalCall(front string, m *engine.Message) *Call {
 	return &Call{Phase: Arrival, Front: front, ID: m.ID, Key: m.Key, Partner: m.Partner, Class: m.Class,
-		ClassName: h.className(m.Class), Resubmitted: m.Resubmitted, In: m.Header, Body: bytes.Clone(m.Body), guard: h.guard(front)}
+		ClassName: h.className(m.Class), Resubmitted: m.Resubmitted, In: m.Header, Body: bytes.Clone(m.Body), frontRules: h.frontRules(front)}
 }
 
-// ruleArrival is what a call on arrival decides for the message; final: no further plug-in is asked.
-func (v *version) ruleArrival(outcome *Outcome, err error) (ruling engine.Ruling, final bool) {
+// arrivalRuling returns the ruling that follows from a call on arrival; final: no further plug-in is called.
+func (v *version) arrivalRuling(outcome *Outcome, err error) (ruling engine.Ruling, final bool) {
 	switch {
 	case err != nil && v.cfg.Reject:
 		ruling = engine.Ruling{Verdict: engine.Busy, Reason: "plug-in " + v.cfg.Name + " is out of order"}
@@ -68,39 +68,39 @@
 	return ruling, true
 }
 
-// takeOver makes what one plug-in has done to a message what the next is shown.
-func takeOver(base *Call, m *engine.Message, outcome *Outcome) {
-	base.Shape = outcome.Shape
+// applyChanges applies a plug-in's changes to the message, and to the input of the next plug-in's call.
+func applyChanges(base *Call, m *engine.Message, outcome *Outcome) {
+	base.ExtraHeaders = outcome.ExtraHeaders
 	if outcome.Body != nil {
 		base.Body = outcome.Body
 		m.Body = outcome.Body
 	}
 }
 
-// guard is what plug-ins may change at a front.
-func (h *Host) guard(front string) *rules.Front {
+// frontRules returns what plug-ins may change at a front. For an unknown front that is extra headers only.
+func (h *Host) frontRules(front string) *rules.Front {
 	if f := h.fronts[front]; f != nil {
 		return f
 	}
 	return &rules.Front{Name: front}
 }
 
-// SampleBytes is how many bytes of an answer's body some plug-in wants to see; below 0: none wants to see the answer.
+// SampleBytes returns how many bytes of an answer's body the plug-ins need; below 0: no plug-in handles the answer.
 func (h *Host) SampleBytes(front string, partner, class int) int {
 	g := h.current.Load()
 	if g == nil {
-		return wantsNoAnswer
+		return noSample
 	}
 	for _, v := range g.chain {
 		if v.applies(Answer, front, partner, class) {
 			return h.limits.PluginSample
 		}
 	}
-	return wantsNoAnswer
+	return noSample
 }
 
-// OnAnswer shows the plug-ins an answer and makes of its outcomes, one for each item of the attempt, what they may.
-// Answers of which nothing may be made they are shown later. All of it together has the configuration's PluginBudget.
+// OnAnswer calls the plug-ins for an answer, and applies what they request to outcomes, of which there is one for each item of the
+// attempt. Where the rules allow no change of an outcome, the call is deferred. The time limit for all calls together is PluginBudget.
 func (h *Host) OnAnswer(front string, attempt *engine.Attempt, outcomes []engine.Outcome) {
 	g := h.acquire()
 	if g == nil {
@@ -118,7 +118,7 @@
 	}
 }
 
-// answerCall is what plug-ins are told of the answer for one message.
+// answerCall returns the input of a call for the answer to one message.
 func (h *Host) answerCall(front string, attempt *engine.Attempt, item *engine.Item, outcome *engine.Outcome) *Call {
 	to, seen := &attempt.To, attempt.SampledAnswer()
 	return &Call{Phase: Answer, Front: front, ID: item.ID, Key: item.Key, Partner: to.Partner, Class: item.Class,
@@ -126,11 +126,11 @@
 		Answer: rules.Answer{Result: outcome.Result, RetryAfter: outcome.RetryAfter, Final: outcome.Final}, Now: time.Now()}
 }
 
-// answer shows the plug-in the answer for one message, and makes its outcome more careful where it asks for that. An
-// answer is never worse for a plug-in that fails.
+// answer calls the plug-in for the answer to one message, and applies a longer wait or a refusal that it requests to the outcome. A
+// call that fails leaves the outcome as it is.
 func (v *version) answer(c *Call, outcome *engine.Outcome, deadline time.Time) {
 	limits := &v.host.rules
-	// The smallest that could be asked for: where that is refused there is nothing to wait for.
+	// If even the smallest request would be refused, the plug-in can't change anything and need not be waited for.
 	smallest := rules.Ask{RetryAfter: c.Answer.RetryAfter + 1}
 	if _, why := rules.Tighten(c.Answer, smallest, limits); why != rules.None {
 		v.deferCall(c)
@@ -144,7 +144,7 @@
 	outcome.Result, outcome.RetryAfter = tightened.Result, tightened.RetryAfter
 }
 
-// OnEnd tells the plug-ins, later, that a message has ended.
+// OnEnd queues a call to each plug-in that handles the end of a message.
 func (h *Host) OnEnd(front string, e engine.End) {
 	g := h.acquire()
 	if g == nil {
--- a/internal/relay/plugin/load.go
+++ b/internal/relay/plugin/load.go
@@ -13,7 +13,7 @@
 	"mastusher/internal/relay/plugin/wasm"
 )
 
-// load checks, compiles and warms up a module. It takes processor time, on a thread that gives way.
+// load checks and compiles a module and starts its instances. That may take a second of processor time.
 func (h *Host) load(cfg config.Plugin, module []byte) (*version, error) {
 	pluginStore, err := h.storeOf(&cfg)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return v, nil
 }
 
-// compile bounds, compiles and checks a module, and makes the imports of its ABI known.
+// compile inserts the checks of package wasm into a module, compiles and checks it, and defines the host functions of its ABI.
 func (v *version) compile(module []byte) error {
 	bounded, err := wasm.Bounded(module, uint32(v.host.limits.PluginStack))
 	if err != nil {
@@ -56,12 +56,12 @@
 		return err
 	}
 	if v.abi == 1 {
-		return exportABI1(ctx, v.runtime)
+		return defineImportsABI1(ctx, v.runtime)
 	}
-	return exportABI2(ctx, v.runtime)
+	return defineImportsABI2(ctx, v.runtime)
 }
 
-// runtimeConfig has the engine stop calls at their deadlines, and switches off what package wasm can't bound.
+// runtimeConfig makes the engine stop calls at their deadlines, and disables SIMD, which package wasm does not support.
 func (h *Host) runtimeConfig() wazero.RuntimeConfig {
 	cfg := wazero.NewRuntimeConfig().WithCloseOnContextDone(true).WithDebugInfoEnabled(false).
 		WithCoreFeatures(api.CoreFeaturesV2.SetEnabled(api.CoreFeatureSIMD, false))
@@ -71,7 +71,7 @@
 	return cfg
 }
 
-// startWorkers starts the threads of the instances, which have no instance yet.
+// startWorkers starts one worker for each instance. The workers have no instance yet.
 func (v *version) startWorkers() {
 	for range v.cfg.Instances {
 		w := newWorker(v)
@@ -81,7 +81,7 @@
 	}
 }
 
-// startInstances starts each instance and asks it for its phases: what can't run is found before it is let in.
+// startInstances starts all instances and reads the module's phases, so that a module that can't start is refused here.
 func (v *version) startInstances() error {
 	for _, w := range v.workers {
 		now := time.Now()
--- a/internal/relay/plugin/load_test.go
+++ b/internal/relay/plugin/load_test.go
@@ -12,7 +12,7 @@
 	"mastusher/internal/relay/plugin/wasmtest"
 )
 
-// TestNew_UnusableModule_SaysWhy: what can't run is refused with a message that says why.
+// TestNew_UnusableModule_SaysWhy: a module that can't run is refused with an error that names the cause.
 func TestNew_UnusableModule_SaysWhy(t *testing.T) {
 	imports := wasmtest.New(1, 1)
 	imports.Import("mastusher_v2", "send", wasmtest.None)
@@ -23,18 +23,18 @@
 		module []byte
 		want   []string
 	}{
-		"no module":    {nil, []string{"wasm: invalid magic number"}},
-		"empty module": {[]byte("\x00asm\x01\x00\x00\x00"), []string{"export memory: missing", "export alloc: missing"}},
-		"version of the format that there is not": {[]byte("\x00asm\x0d\x00\x01\x00"), []string{"wasm: version 65549 of the format, want 1"}},
-		"ABI of a later relay":                    {wasmtest.Later(), []string{"ABI 3; this relay speaks 1 and 2"}},
-		"imports that there are not": {imports.Bytes(), []string{"env.abort: this relay has no module", "mastusher_v2.send: there is no such",
-			"mastusher_v2.log: it is (i32, i32) here, the module wants ()"}},
-		"too much memory":                {wasmtest.Plugin(1, 64, 64).On("arrival", 0, wasmtest.Const(0)).Bytes(), []string{"begins with 4.0 MB, memory_mb allows 2"}},
-		"no phase":                       {emptyPhase(0), []string{"it takes part in none of the phases that the configuration gives it"}},
-		"phase without its export":       {emptyPhase(3), []string{"mastusher_abi_2: the mask names a phase without its export on_answer"}},
-		"unknown phase":                  {emptyPhase(9), []string{"mastusher_abi_2: the mask 0x9 has phases that this relay does not know"}},
-		"loop at its start":              {wasmtest.LoopsAtStart(), []string{"start: plugin: it ran over its time"}},
-		"loop when asked for its phases": {wasmtest.LoopsInPhaseMask(), []string{"mastusher_abi_2: plugin: it ran over its time"}},
+		"no module":                            {nil, []string{"wasm: invalid magic number"}},
+		"empty module":                         {[]byte("\x00asm\x01\x00\x00\x00"), []string{"export memory: missing", "export alloc: missing"}},
+		"unknown version of the binary format": {[]byte("\x00asm\x0d\x00\x01\x00"), []string{"wasm: binary format version 65549, want 1"}},
+		"ABI of a later relay":                 {wasmtest.Later(), []string{"ABI 3; this relay speaks 1 and 2"}},
+		"unknown imports": {imports.Bytes(), []string{"env.abort: this relay has no module", "mastusher_v2.send: unknown function",
+			"mastusher_v2.log: want the signature (i32, i32), the module has ()"}},
+		"too much memory":            {wasmtest.Plugin(1, 64, 64).On("arrival", 0, wasmtest.Const(0)).Bytes(), []string{"the initial size is 4.0 MB, memory_mb allows 2"}},
+		"no phase":                   {passingWithMask(0), []string{"the module handles none of the configured phases"}},
+		"phase without its export":   {passingWithMask(3), []string{"mastusher_abi_2: the mask has a phase whose export on_answer is missing"}},
+		"unknown phase":              {passingWithMask(9), []string{"mastusher_abi_2: the mask 0x9 has unknown phases"}},
+		"loop in the start function": {wasmtest.LoopsAtStart(), []string{"start: plugin: the call timed out"}},
+		"loop in the mask of phases": {wasmtest.LoopsInPhaseMask(), []string{"mastusher_abi_2: plugin: the call timed out"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := newSetup(t).with("p", c.module, "").open(func(cfg *config.Config) {
@@ -42,7 +42,7 @@
 			})
 			var key *policy.KeyError
 			if !errors.As(err, &key) || key.Source != "config" || key.Key != "plugins.0" {
-				t.Fatalf("error %v, want one that names the key", err)
+				t.Fatalf("error %v, want one that names the key plugins.0", err)
 			}
 			for _, want := range c.want {
 				if !strings.Contains(err.Error(), want) {
@@ -53,7 +53,7 @@
 	}
 }
 
-// TestNew_ImportCalledAtStart_IsRefused: while a module starts there is no message that it could ask the relay for.
+// TestNew_ImportCalledAtStart_IsRefused: a module that calls the relay from its start function is refused, because there is no message yet.
 func TestNew_ImportCalledAtStart_IsRefused(t *testing.T) {
 	p := wasmtest.Plugin(1, 1, 1, "random").On("arrival", 0, wasmtest.Const(0))
 	p.Start(p.Func(wasmtest.None, 0, p.Do("random"), wasmtest.Drop))
@@ -71,7 +71,7 @@
 	}
 	_, err := ReadStatus(cfg)
 	var damaged *StatusFileError
-	if !errors.As(err, &damaged) || damaged.File != StatusFile(cfg) || err.Error() != "plugin: "+StatusFile(cfg)+" can't be read" {
+	if !errors.As(err, &damaged) || damaged.File != StatusFile(cfg) || err.Error() != "plugin: "+StatusFile(cfg)+" is not valid JSON" {
 		t.Errorf("error %v, want one that names the file", err)
 	}
 }
--- a/internal/relay/plugin/memory.go
+++ b/internal/relay/plugin/memory.go
@@ -5,34 +5,34 @@
 	"syscall"
 )
 
-// pageSize is the size of a page of a module's memory.
+// pageSize is the size in bytes of a page of WebAssembly memory.
 const pageSize = 1 << 16
 
-// memoryPool hands plug-ins their memory, from the system and not from the collected heap: what one has hoarded is
-// given back the moment its instance is closed, and the heap's target does not grow with it.
+// memoryPool allocates the plug-ins' memory by mmap and not from the Go heap. It is returned to the system as soon as an instance
+// is closed, and does not raise the target of the garbage collector.
 type memoryPool struct {
-	maxBytes int64        // that all instances may take together
-	used     atomic.Int64 // bytes that they have asked for
+	maxBytes int64        // limit for all instances together
+	used     atomic.Int64 // bytes that all instances use
 }
 
-// Allocate reserves addresses for the most that an instance may ever take; pages come as they are touched.
+// Allocate reserves address space for the maximum size of an instance's memory. The system backs pages when they are first touched.
 func (p *memoryPool) Allocate(maxBytes uint64) *memory {
 	region, err := syscall.Mmap(-1, 0, int(max(maxBytes, pageSize)), syscall.PROT_READ|syscall.PROT_WRITE,
 		syscall.MAP_PRIVATE|syscall.MAP_ANON|syscall.MAP_NORESERVE)
 	if err != nil {
-		region = nil // Reallocate says no, and the instance fails to start
+		region = nil // Reallocate fails then, and the instance does not start
 	}
 	return &memory{pool: p, region: region}
 }
 
-// memory is that of one instance: an experimental.LinearMemory of the engine. It is not safe for concurrent use.
+// memory is the memory of one instance and implements experimental.LinearMemory. It is not safe for concurrent use.
 type memory struct {
 	pool   *memoryPool
-	region []byte // reserved
-	size   int64  // bytes of it in use
+	region []byte // reserved address space
+	size   int64  // bytes in use
 }
 
-// Reallocate grows the memory in place, or returns nil where the plug-ins together would have too much.
+// Reallocate grows the memory in place. It returns nil if that exceeds the reserved size or the limit for all instances.
 func (m *memory) Reallocate(size uint64) []byte {
 	if size > uint64(len(m.region)) {
 		return nil
@@ -46,7 +46,7 @@
 	return m.region[:size:size]
 }
 
-// Free gives everything back. A second call does nothing.
+// Free returns the memory to the system. A second call does nothing.
 func (m *memory) Free() {
 	if m.region != nil {
 		_ = syscall.Munmap(m.region)
--- a/internal/relay/plugin/reload.go
+++ b/internal/relay/plugin/reload.go
@@ -9,8 +9,8 @@
 	"mastusher/internal/relay/config"
 )
 
-// Reload puts the plug-ins of a configuration in the place of those that run, at one point between messages. Those
-// that are the same go on as they are. If one can't be loaded nothing changes, and the error names its key.
+// Reload replaces the plug-ins that run by those of a configuration, all at once between two messages. Unchanged plug-ins keep
+// running. If one can't be loaded, nothing changes and the error names its configuration key.
 func (h *Host) Reload(cfg *config.Config) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -34,13 +34,13 @@
 	}
 	h.writeStatus(cfg, nil)
 	if fresh > 0 {
-		debug.FreeOSMemory() // to load a module takes many times what it keeps
+		debug.FreeOSMemory() // loading a module takes many times the memory that it needs afterwards
 	}
 	return nil
 }
 
-// Prepare loads the plug-ins of a configuration beside those that run, so that a Reload takes them over at once, or tells why
-// they can't run. What was prepared before and is not asked for again is dropped.
+// Prepare loads the plug-ins of a configuration without running them, so that a later Reload need not load them, or returns why they
+// can't be loaded. It closes versions from an earlier Prepare that the configuration no longer has.
 func (h *Host) Prepare(cfg *config.Config) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -52,8 +52,9 @@
 	return nil
 }
 
-// loadChain returns the versions of a configuration's plug-ins, in their order, each with one user more, and tells of each that
-// neither runs nor was prepared. If one can't be loaded the error names its key, and nothing is left. The lock is held.
+// loadChain returns the versions of a configuration's plug-ins in their order, and increments the user count of each. It calls
+// onFresh for each version that neither runs nor was prepared. If one can't be loaded, the error names its configuration key and the
+// others are released. The caller holds h.mu.
 func (h *Host) loadChain(cfg *config.Config, onFresh func(order int, v *version)) ([]*version, error) {
 	loaded := h.loaded()
 	var chain []*version
@@ -74,7 +75,7 @@
 	return chain, nil
 }
 
-// loaded is what runs or waits for a reload, by its key. The lock is held.
+// loaded returns the versions that run or are prepared, by version.key. The caller holds h.mu.
 func (h *Host) loaded() map[string]*version {
 	all := map[string]*version{}
 	for _, v := range h.prepared {
@@ -88,7 +89,8 @@
 	return all
 }
 
-// reuseOrLoad returns the version of a configuration, loaded anew unless the same is loaded already.
+// reuseOrLoad returns the version for a plug-in's configuration: one from loaded if module and configuration are the same, else a new
+// one.
 func (h *Host) reuseOrLoad(cfg config.Plugin, loaded map[string]*version) (*version, error) {
 	module, err := os.ReadFile(cfg.File)
 	if err != nil {
@@ -98,18 +100,18 @@
 	if v := loaded[same.key()]; v != nil {
 		return v, nil
 	}
-	return h.loadOnYieldingThread(cfg, module)
+	return h.loadAtLowPriority(cfg, module)
 }
 
-// loadOnYieldingThread loads a module, which may take a second of processor time, on a thread that gives way and ends
-// with its goroutine.
-func (h *Host) loadOnYieldingThread(cfg config.Plugin, module []byte) (v *version, err error) {
+// loadAtLowPriority loads a module, which may take a second of processor time. While the relay serves messages it does so on a
+// thread of lower priority, which ends with its goroutine.
+func (h *Host) loadAtLowPriority(cfg config.Plugin, module []byte) (v *version, err error) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		if h.serving && h.limits.PluginYields {
 			runtime.LockOSThread()
-			yieldToOthers()
+			lowerThreadPriority()
 		}
 		v, err = h.load(cfg, module)
 	}()
@@ -117,7 +119,7 @@
 	return v, err
 }
 
-// setPrepared puts what waits for a reload in the place of what did before. The lock is held.
+// setPrepared replaces the versions that are prepared for a reload, and releases the previous ones. The caller holds h.mu.
 func (h *Host) setPrepared(next []*version) {
 	for _, v := range h.prepared {
 		h.releaseVersion(v)
@@ -125,7 +127,7 @@
 	h.prepared = next
 }
 
-// releaseVersion ends one use of a version, and closes it with the last. The lock is held.
+// releaseVersion decrements a version's user count, and closes the version when no user is left. The caller holds h.mu.
 func (h *Host) releaseVersion(v *version) {
 	if v.users > 0 {
 		v.users--
--- a/internal/relay/plugin/reload_test.go
+++ b/internal/relay/plugin/reload_test.go
@@ -15,7 +15,8 @@
 	"mastusher/internal/relay/plugin/wasmtest"
 )
 
-// TestReload_NewVersion_TakesOverBetweenMessages: a new version takes over between messages; a faulty one changes nothing, and the same again is kept.
+// TestReload_NewVersion_TakesOverBetweenMessages: after a reload messages are handled by the new version. A faulty version changes
+// nothing, and an unchanged plug-in is not loaded again.
 func TestReload_NewVersion_TakesOverBetweenMessages(t *testing.T) {
 	s := newSetup(t).with("p", wasmtest.Header("X-Desk", "one"), "").with("q", wasmtest.Counts("n"), "")
 	h := s.host()
@@ -44,19 +45,19 @@
 			t.Errorf("%s: error %v, want one that names %q", c.name, err, c.key)
 		}
 		if got := desk(); got != c.want {
-			t.Errorf("%s: %q, want %q", c.name, got, c.want)
+			t.Errorf("%s: headers %q, want %q", c.name, got, c.want)
 		}
 		if st, err := ReadStatus(s.config()); err != nil || (st.Error == "") != (c.key == "") || len(st.Plugins) != 2 {
-			t.Errorf("%s: status %+v, %v", c.name, st, err)
+			t.Errorf("%s: status %+v, %v; want two plug-ins, and an error exactly if the load failed", c.name, st, err)
 		}
 	}
 	if versionAt(h, 1) != unchanged {
-		t.Error("a plug-in that has not changed was loaded anew")
+		t.Error("an unchanged plug-in was loaded again")
 	}
 }
 
-// TestReload_UnderLoad_LosesNothing: ten reloads in a row while messages and answers are under way; none is lost, each is shaped
-// by one whole generation, and what is replaced is closed.
+// TestReload_UnderLoad_LosesNothing: during ten reloads in a row every message is accepted and handled by a single generation, and
+// replaced versions are closed.
 func TestReload_UnderLoad_LosesNothing(t *testing.T) {
 	const reloads = 10
 	s := newSetup(t).with("p", wasmtest.Header("X-A", "0"), "").with("q", wasmtest.Header("X-B", "0"), "")
@@ -79,16 +80,16 @@
 	h.OnArrival("platform", m)
 	last := fmt.Sprint(reloads)
 	if d := cmp.Diff([]string{"X-A", last, "X-B", last}, m.ExtraHeaders); d != "" {
-		t.Errorf("the last version is not there (-want +got)\n%s", d)
+		t.Errorf("headers after the last reload (-want +got)\n%s", d)
 	}
 	h.Close()
 	if n := h.memories.used.Load(); n != 0 {
-		t.Errorf("%d bytes of versions that were replaced are still held", n)
+		t.Errorf("%d bytes are still in use after Close, want 0", n)
 	}
 }
 
-// sendUntil has messages of a partner arrive and end, one after another. Each is shaped by one generation of two plug-ins
-// that set headers of one value.
+// sendUntil passes messages for a partner to the host one after another, until stop is closed. Both plug-ins of a generation set a
+// header to the same value, so that different values show a message handled by two generations.
 func sendUntil(t *testing.T, h *Host, partner int, stop chan struct{}) {
 	t.Helper()
 	for i := 0; ; i++ {
@@ -99,21 +100,21 @@
 		}
 		m := message(fmt.Sprint(partner, i), partner)
 		if r := h.OnArrival("platform", m); r.Verdict != engine.Accepted {
-			t.Errorf("got %+v", r)
+			t.Errorf("got %+v, want the message accepted", r)
 		}
 		if len(m.ExtraHeaders) == 4 && m.ExtraHeaders[1] != m.ExtraHeaders[3] {
-			t.Errorf("shaped by two generations: %v", m.ExtraHeaders)
+			t.Errorf("headers of two generations: %v", m.ExtraHeaders)
 		}
 		h.OnEnd("platform", engine.End{ID: m.ID, Partner: partner, Result: "delivered"})
 	}
 }
 
-// TestStore_OutlivesVersionsAndProcess: the store outlives versions, and with a folder the process.
+// TestStore_OutlivesVersionsAndProcess: a plug-in's store keeps its entries when the version is replaced, and over a restart of the relay.
 func TestStore_OutlivesVersionsAndProcess(t *testing.T) {
 	s := newSetup(t).with("p", wasmtest.Counts("n"), "")
 	h := s.host()
 	h.OnArrival("platform", message("a", 7))
-	s.writeModule("p", emptyPhase(1))
+	s.writeModule("p", passingWithMask(1))
 	if err := h.Reload(s.config()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/plugin/rules/answer.go
+++ b/internal/relay/plugin/rules/answer.go
@@ -6,28 +6,29 @@
 	"mastusher/control"
 )
 
-// Answer is what the relay makes of a destination's answer for one message.
+// Answer is the relay's interpretation of a destination's answer for one message.
 type Answer struct {
 	Result     control.Result
-	RetryAfter time.Duration // the wait that the destination has told; 0: none
-	Final      bool          // the message is over
+	RetryAfter time.Duration // the wait that the destination requested; 0: none
+	Final      bool          // the message has ended
 }
 
-// Ask is what a plug-in wants made of it.
+// Ask is what a plug-in requests in the answer phase.
 type Ask struct {
-	RetryAfter time.Duration // a wait of at least so long; 0: none
-	Refuse     bool          // the message is given up for good
+	RetryAfter time.Duration // wait at least that long; 0: no request
+	Refuse     bool          // don't send the message again
 }
 
-// Tighten does what a plug-in asks as far as it makes the relay more careful; else it returns the answer as it is, and Looser.
+// Tighten applies a plug-in's request to an answer if that makes the relay more careful: it sends later, or no longer sends a message
+// that never ran. Else Tighten returns the answer unchanged, and Looser.
 //
-//	the answer         a longer wait   refusal for good
-//	delivered, over    no              no
-//	full, a wait told  yes             no: the wait binds all of the partner's messages, and would be lost
-//	full, none told    yes             yes: it never ran
-//	error (500, ...)   no              no: it may have run, and a refusal would claim that it did not
-//	refused for good   no              it is one
-//	anything else      no              no: no answer came
+//	the answer                  longer wait   refusal for good
+//	delivered, or ended         no            no
+//	throttled, with a wait      yes           no: the wait applies to all of the partner's messages, and would be lost
+//	throttled, without a wait   yes           yes: the message never ran
+//	error (500, ...)            no            no: the message may have run, and a refusal would claim that it did not
+//	refused for good            no            it is refused already
+//	anything else               no            no: there was no answer
 func Tighten(a Answer, ask Ask, limits *Limits) (Answer, Refusal) {
 	if ask == (Ask{}) {
 		return a, None
--- a/internal/relay/plugin/rules/message.go
+++ b/internal/relay/plugin/rules/message.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// framing belongs to HTTP itself, whatever the front.
+// framing lists the headers that belong to HTTP itself, which no plug-in may set at any front.
 var framing = []string{"Connection", "Content-Length", "Expect", "Host", "Keep-Alive", "Proxy-*", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade"}
 
-// Shape is what goes out with a message beside its protocol's own headers: pairs of name and value, names in canonical
-// form. Its methods change no Shape but return another.
-type Shape []string
+// ExtraHeaders are sent with a message in addition to the protocol's own headers. Names, in canonical form, and values alternate. The
+// methods don't modify their receiver but return a copy.
+type ExtraHeaders []string
 
-// separators are what a header takes on the wire beside its name and value.
+// separators are the bytes that a header takes on the wire in addition to its name and value.
 const separators = ": \r\n"
 
-// Set sets a header, in the place of one of that name. What is refused leaves the Shape as it was.
-func (s Shape) Set(f *Front, limits *Limits, name, value string) (Shape, Refusal) {
+// Set sets a header, and replaces one with the same name. If it is refused, the result is s unchanged.
+func (s ExtraHeaders) Set(f *Front, limits *Limits, name, value string) (ExtraHeaders, Refusal) {
 	if len(name) == 0 || !isToken(name) || !isFieldValue(value) {
 		return s, Unclean
 	}
@@ -29,7 +29,7 @@
 	if owns(framing, name) || owns(f.Owned, name) {
 		return s, Owned
 	}
-	next := slices.Clone(s) // of a call that fails nothing may stay
+	next := slices.Clone(s) // s must stay unchanged in case the call fails
 	if i := s.find(name); i >= 0 {
 		next[i+1] = value
 	} else {
@@ -41,8 +41,8 @@
 	return next, None
 }
 
-// wireSize is how many bytes the headers take on the wire.
-func (s Shape) wireSize() int {
+// wireSize returns the number of bytes that the headers take on the wire.
+func (s ExtraHeaders) wireSize() int {
 	size := 0
 	for i := 0; i < len(s); i += 2 {
 		size += len(s[i]) + len(s[i+1]) + len(separators)
@@ -50,8 +50,8 @@
 	return size
 }
 
-// Remove takes back a header that this plug-in or an earlier one has set; Absent: none has.
-func (s Shape) Remove(name string) (Shape, Refusal) {
+// Remove removes a header that this plug-in or an earlier one has set; Absent: none of them has set it.
+func (s ExtraHeaders) Remove(name string) (ExtraHeaders, Refusal) {
 	i := s.find(textproto.CanonicalMIMEHeaderKey(name))
 	if i < 0 {
 		return s, Absent
@@ -59,8 +59,8 @@
 	return slices.Delete(slices.Clone(s), i, i+2), None
 }
 
-// Get is the value of a header; false: no plug-in has set it.
-func (s Shape) Get(name string) (string, bool) {
+// Get returns the value of a header; false: no plug-in has set it.
+func (s ExtraHeaders) Get(name string) (string, bool) {
 	i := s.find(textproto.CanonicalMIMEHeaderKey(name))
 	if i < 0 {
 		return "", false
@@ -68,8 +68,8 @@
 	return s[i+1], true
 }
 
-// find is the index of a name in canonical form; -1: it is not there.
-func (s Shape) find(name string) int {
+// find returns the index of a name in canonical form; -1: there is no such header.
+func (s ExtraHeaders) find(name string) int {
 	for i := 0; i < len(s); i += 2 {
 		if s[i] == name {
 			return i
@@ -78,8 +78,8 @@
 	return -1
 }
 
-// Rewrite tells whether a front lets the body after take the place of before.
-func Rewrite(f *Front, limits *Limits, before, after []byte) Refusal {
+// CheckBody checks whether a front allows the body after to replace the body before.
+func CheckBody(f *Front, limits *Limits, before, after []byte) Refusal {
 	switch {
 	case f.Body == nil:
 		return Locked
@@ -91,7 +91,7 @@
 	return None
 }
 
-// owns tells whether a list of names, of which some may end with "*", has a name.
+// owns reports whether a list of names and of prefixes, which end with "*", matches a name.
 func owns(list []string, name string) bool {
 	return slices.ContainsFunc(list, func(owned string) bool {
 		head, isPrefix := strings.CutSuffix(owned, "*")
@@ -99,7 +99,7 @@
 	})
 }
 
-// isToken tells whether s is a token of RFC 9110, section 5.6.2, or empty.
+// isToken reports whether s is a token of RFC 9110, section 5.6.2, or empty.
 func isToken(s string) bool {
 	return !strings.ContainsFunc(s, func(r rune) bool { return !isTokenRune(r) })
 }
@@ -108,8 +108,8 @@
 	return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune("!#$%&'*+-.^_`|~", r)
 }
 
-// isFieldValue tells whether s can be a header's value (RFC 9110, section 5.5): printable ASCII and spaces, none at its
-// ends. What lies beyond ASCII is left out, since partners differ in how they read it.
+// isFieldValue reports whether s is valid as a header's value (RFC 9110, section 5.5): printable ASCII without spaces at the start or
+// end. Other characters are not allowed, because partners differ in how they decode them.
 func isFieldValue(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' || c > '~' {
--- a/internal/relay/plugin/rules/rules.go
+++ b/internal/relay/plugin/rules/rules.go
@@ -1,44 +1,44 @@
-// Package rules holds what a plug-in may do to a message and to an answer. It is pure: no clock, I/O or state; all of it
-// is safe for concurrent use. The tables of docs/plugins.md are these. Package plugin calls it for each wish of a plug-in,
-// fronts say what they let be changed.
+// Package rules decides what a plug-in may change of a message, and of the relay's reaction to an answer. It has no clock, I/O or
+// state, and is safe for concurrent use. docs/plugins.md has the same rules as tables. Package plugin calls it for each request of a
+// plug-in; each front provides a Front with what plug-ins may change there.
 //
-// rules.go has limits and refusals, message.go what goes out, answer.go what comes back.
+// rules.go has limits and refusals, message.go the rules for messages, answer.go those for answers.
 package rules
 
 import "time"
 
-// Limits bounds what a plug-in may ask for.
+// Limits are the limits on what a plug-in may request. Sizes are in bytes.
 type Limits struct {
-	Headers       int           // that go out with one message
-	NameSize      int           // bytes of a header's name
-	ValueSize     int           // bytes of its value
-	HeaderSize    int           // bytes of all of them together, as they stand on the wire
-	BodySize      int           // bytes of a body that takes another's place
-	MaxRetryAfter time.Duration // that an answer's phase may ask for; a longer wait is cut to it
+	Headers       int           // number of extra headers of one message
+	NameSize      int           // of a header's name
+	ValueSize     int           // of a header's value
+	HeaderSize    int           // of all extra headers of a message on the wire
+	BodySize      int           // of a new body
+	MaxRetryAfter time.Duration // longest wait that can be requested in the answer phase; a longer request is cut to it
 }
 
-// Front is what a front lets plug-ins change.
+// Front specifies what plug-ins may change at one front.
 type Front struct {
 	Name string
-	// Owned are the names of headers that the protocol owns, in canonical form; a "*" at the end stands for any rest.
+	// Owned lists the headers that the front's protocol sets, in canonical form; a name that ends with "*" is a prefix.
 	Owned []string
-	// Body checks that a body may take another's place; nil: no body may.
+	// Body reports whether the body after may replace the body before; nil: the body can't be changed.
 	Body func(before, after []byte) bool
 }
 
-// Refusal is why the host did not do what a plug-in asked. 0: it did.
+// Refusal is the reason why the host refused a plug-in's request; 0: it did not.
 type Refusal int32
 
-// The refusals; the numbers are part of the interface.
+// The refusals. Their numbers are part of the ABI.
 const (
 	None    Refusal = 0
 	Owned   Refusal = -1 // the protocol owns this header
-	Unclean Refusal = -2 // characters that a header can't hold: CR, LF and other controls
+	Unclean Refusal = -2 // the name is no token, or the value has a line break or other characters that a header can't have
 	Large   Refusal = -3 // over a limit on sizes or counts
 	Phase   Refusal = -4 // not in this phase
-	Locked  Refusal = -5 // this front lets no plug-in change that
+	Locked  Refusal = -5 // the front does not allow that change
 	Looser  Refusal = -6 // it would make the relay less careful
-	Absent  Refusal = -7 // there is no such thing
+	Absent  Refusal = -7 // there is no such header, field or key
 )
 
 var refusalTexts = map[Refusal]string{
@@ -52,5 +52,5 @@
 	Absent:  "absent",
 }
 
-// String is the refusal as tools print it.
+// String returns the refusal as tools print it.
 func (r Refusal) String() string { return refusalTexts[r] }
--- a/internal/relay/plugin/status.go
+++ b/internal/relay/plugin/status.go
@@ -11,15 +11,15 @@
 	"mastusher/internal/relay/config"
 )
 
-// Status is what a relay says of its plug-ins, in a file beside their stores, after each load.
+// Status describes a relay's plug-ins. The relay writes it to a file in the folder of the stores after each load.
 type Status struct {
-	Generation int       // counts loads, also those that failed
-	At         time.Time // when it was written
-	Error      string    // of the last load; what ran before goes on
+	Generation int       // number of loads, including failed ones
+	At         time.Time // when the status was written
+	Error      string    // of the last load; after a failed load the previous plug-ins keep running
 	Plugins    []StatusEntry
 }
 
-// StatusEntry is one plug-in that runs.
+// StatusEntry describes one plug-in that runs.
 type StatusEntry struct {
 	Name   string
 	File   string // of the module
@@ -28,7 +28,7 @@
 	Phases string // names, joined by commas
 }
 
-// append writes the status as JSON, a plug-in a line.
+// append appends the status as JSON, with one line for each plug-in.
 func (s *Status) append(b []byte) []byte {
 	b = fmt.Appendf(b, `{"generation":%d,"at":"%s","error":`, s.Generation, s.At.UTC().Format(time.RFC3339Nano))
 	b = append(gjson.AppendJSONString(b, s.Error), `,"plugins":[`...)
@@ -43,7 +43,7 @@
 	return append(b, "]}\n"...)
 }
 
-// ReadStatus reads what a relay has written last. An error is that of reading the file, or a *StatusFileError.
+// ReadStatus reads the status that a relay has written last. Its error is one of reading the file, or a *StatusFileError.
 func ReadStatus(cfg *config.Config) (Status, error) {
 	text, err := os.ReadFile(StatusFile(cfg))
 	if err != nil {
@@ -62,13 +62,13 @@
 	return s, nil
 }
 
-// StatusFile is where the status stands: in the folder of the stores.
+// StatusFile returns the path of the status file, which is in the folder of the stores.
 func StatusFile(cfg *config.Config) string {
 	return filepath.Join(cfg.PluginHost.Store, "plugins.status")
 }
 
-// writeStatus writes the status, with the error of the last load if it failed, where there is a folder for it. The lock
-// is held.
+// writeStatus writes the status file, unless no folder for stores is configured. loadErr is the error of the last load; nil: it
+// succeeded. The caller holds h.mu.
 func (h *Host) writeStatus(cfg *config.Config, loadErr error) {
 	if h.storeDir == "" {
 		return
--- a/internal/relay/plugin/store/snapshot.go
+++ b/internal/relay/plugin/store/snapshot.go
@@ -12,47 +12,47 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A snapshot is magic, which ends with the version, a checksum of the rest, and one CBOR value.
+// A snapshot file has the magic number, whose last byte is the format version, a checksum of the rest, and one CBOR value.
 const (
 	magic         = "MPS\x01"
 	versionOffset = len(magic) - 1
 	headerSize    = len(magic) + 8
 )
 
-// Why a snapshot was not loaded, beside *VersionError, *OwnerError and errors of reading the file.
+// Errors of loading a snapshot, beside *VersionError, *OwnerError and errors of reading the file.
 var (
-	ErrNoSnapshot = errors.New("store: not a snapshot")
-	ErrCorrupt    = errors.New("store: the snapshot is damaged")
+	ErrNoSnapshot = errors.New("store: the file is not a snapshot")
+	ErrCorrupt    = errors.New("store: the snapshot's checksum does not match")
 )
 
-// VersionError says that a snapshot has a version of the format that this program does not read.
+// VersionError is returned for a snapshot in a format version that this program does not read.
 type VersionError struct{ Version byte }
 
-// Error has both versions.
+// Error names both versions.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("store: a snapshot of version %d, this program reads %d", e.Version, magic[versionOffset])
+	return fmt.Sprintf("store: the snapshot has format version %d, want %d", e.Version, magic[versionOffset])
 }
 
-// OwnerError says that a snapshot is another plug-in's.
+// OwnerError is returned for a snapshot of another plug-in.
 type OwnerError struct{ Plugin string }
 
 // Error names the plug-in that has saved the snapshot.
 func (e *OwnerError) Error() string {
-	return fmt.Sprintf("store: the snapshot is of plug-in %q", e.Plugin)
+	return fmt.Sprintf("store: the snapshot belongs to plug-in %q", e.Plugin)
 }
 
-// snapshot is the CBOR value.
+// snapshot is the CBOR value of a snapshot file.
 type snapshot struct {
 	Plugin  string            `cbor:"1,keyasint"`
 	SavedAt int64             `cbor:"2,keyasint"` // Unix ms
 	Values  map[string][]byte `cbor:"3,keyasint"`
-	Left    map[string]int64  `cbor:"4,keyasint,omitempty"` // ms that a value was still good for
+	Left    map[string]int64  `cbor:"4,keyasint,omitempty"` // ms from SavedAt until a value expires; none: it never does
 }
 
-// File is where a plug-in's snapshot stands.
+// File returns the path of a plug-in's snapshot.
 func File(dir, plugin string) string { return filepath.Join(dir, plugin+".store") }
 
-// Save writes a snapshot in one step if anything has changed since the last. Where it fails, the next Save tries again.
+// Save writes a snapshot atomically if anything has changed since the last one. After an error the next Save tries again.
 func (s *Store) Save(file, plugin string, now time.Time) error {
 	snap, changed := s.takeSnapshot(plugin, now)
 	if !changed {
@@ -67,7 +67,7 @@
 	return err
 }
 
-// takeSnapshot returns what the store holds, and takes it for saved; false: nothing has changed.
+// takeSnapshot returns the store's content and marks it as saved; false: nothing has changed since the last snapshot.
 func (s *Store) takeSnapshot(plugin string, now time.Time) (*snapshot, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +86,7 @@
 	return snap, true
 }
 
-// write replaces a file by the snapshot.
+// write replaces a file by the snapshot atomically.
 func (snap *snapshot) write(file string) error {
 	body, err := cbor.Marshal(snap)
 	if err != nil {
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// decodeSnapshot checks and decodes a snapshot's file.
+// decodeSnapshot checks and decodes the content of a snapshot file.
 func decodeSnapshot(text []byte, plugin string) (*snapshot, error) {
 	switch {
 	case len(text) < headerSize || string(text[:versionOffset]) != magic[:versionOffset]:
@@ -124,9 +124,9 @@
 	return snap, nil
 }
 
-// Load takes a snapshot over, aged by the time since it was saved; where the clock went backwards the age is
-// unknown, and what was to last only for a time is dropped, as is what the quota has no room for. A file that is missing is no
-// error; one that is damaged or of another version is, and leaves the store empty. It is called on an empty store.
+// Load reads a snapshot into an empty store. The time since the snapshot was saved counts towards the expiry of its entries. If the
+// clock was set back that time is unknown, and entries with an expiry are dropped; so are entries beyond the quota. A missing file is
+// no error. After an error the store is empty.
 func (s *Store) Load(file, plugin string, now time.Time) error {
 	text, err := os.ReadFile(file)
 	if errors.Is(err, os.ErrNotExist) {
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// entry is what a key of the snapshot holds at a later time; false: it has expired, or may have.
+// entry returns the entry of a key at a time after the snapshot was saved; false: it has expired, or its age is unknown.
 func (snap *snapshot) entry(key string, now time.Time) (entry, bool) {
 	e := entry{value: snap.Values[key]}
 	if e.value == nil {
--- a/internal/relay/plugin/store/store_test.go
+++ b/internal/relay/plugin/store/store_test.go
@@ -17,7 +17,7 @@
 
 var t0 = time.Unix(1_000_000, 0)
 
-// put has a call of its own set a value.
+// put sets a value in a transaction of its own.
 func put(t testing.TB, s *Store, now time.Time, key, value string, ttl time.Duration) {
 	t.Helper()
 	tx := s.Begin(now)
@@ -29,13 +29,13 @@
 	}
 }
 
-// lookup is what a new call reads of a key: the value, and whether there is one.
+// lookup returns what a new transaction reads for a key, as text: the value, and whether there is one.
 func lookup(s *Store, now time.Time, key string) string {
 	value, ok := s.Begin(now).Get(key)
 	return fmt.Sprintf("%s %t", value, ok)
 }
 
-// testLimits are small enough for random calls to reach them.
+// testLimits are small enough for random transactions to reach them.
 var testLimits = Limits{Bytes: 400, Entries: 5, KeySize: 10, ValueSize: 100}
 
 func TestTx_BeforeCommit_SeenByItselfOnly(t *testing.T) {
@@ -43,14 +43,14 @@
 	tx := s.Begin(t0)
 	_ = tx.Set("a", []byte("1"), 0)
 	if got := lookup(s, t0, "a"); got != " false" {
-		t.Errorf("another call sees %q before it was committed", got)
+		t.Errorf("another transaction reads %q before the commit, want no value", got)
 	}
 	if value, ok := tx.Get("a"); !ok || string(value) != "1" {
-		t.Errorf("the call itself sees %q, %t", value, ok)
+		t.Errorf("the transaction itself reads %q, %t, want 1", value, ok)
 	}
 	tx.Delete("a")
 	if _, ok := tx.Get("a"); ok {
-		t.Error("seen after it was deleted")
+		t.Error("the transaction reads a key that it has deleted")
 	}
 }
 
@@ -58,7 +58,7 @@
 	s := New(testLimits)
 	put(t, s, t0, "a", "2", time.Second)
 	if lookup(s, t0, "a") != "2 true" || lookup(s, t0.Add(time.Second), "a") != " false" {
-		t.Error("want it for a second")
+		t.Error("want the value 2 at first, and none after a second")
 	}
 }
 
@@ -80,7 +80,8 @@
 	}
 }
 
-// TestTx_StoreFull_ExpiredMakesRoomFirstCommitWins: what has expired makes room; what another call took first does not.
+// TestTx_StoreFull_ExpiredMakesRoomFirstCommitWins: expired entries are removed to free space. Of two transactions that together exceed
+// the quota, the second commit fails.
 func TestTx_StoreFull_ExpiredMakesRoomFirstCommitWins(t *testing.T) {
 	s := New(testLimits)
 	put(t, s, t0, "expired", "2", time.Second)
@@ -95,14 +96,14 @@
 		t.Error(err)
 	}
 	if first.Commit() != nil || second.Commit() != ErrFull {
-		t.Error("want the second refused")
+		t.Error("want the first commit to succeed, and the second to fail with ErrFull")
 	}
 	if n, size := s.Len(); n != 5 || size != 5*(2+entryOverhead) {
-		t.Errorf("%d entries of %d bytes", n, size)
+		t.Errorf("%d entries of %d bytes, want 5 of %d", n, size, 5*(2+entryOverhead))
 	}
 }
 
-// TestTx_SetOverQuota_KeepsEarlierChange: a value that there is no room for leaves what the call has set before.
+// TestTx_SetOverQuota_KeepsEarlierChange: after a Set that fails for the quota, earlier changes of the transaction are unchanged.
 func TestTx_SetOverQuota_KeepsEarlierChange(t *testing.T) {
 	s := New(testLimits)
 	put(t, s, t0, "a", strings.Repeat("x", 100), 0)
@@ -118,14 +119,14 @@
 		}
 	}
 	if value, ok := tx.Get("d"); !ok || string(value) != "1" {
-		t.Errorf("the earlier value is %q, %t", value, ok)
+		t.Errorf("the earlier value is %q, %t, want 1", value, ok)
 	}
 	if _, ok := tx.Get("e"); ok {
-		t.Error("a value that was refused is seen")
+		t.Error("a value whose Set failed is read")
 	}
 }
 
-// TestStore_AnyCalls_KeepQuota: no run of calls takes a store over its quota, and its size is that of what is in it.
+// TestStore_AnyCalls_KeepQuota: no sequence of transactions exceeds the quota, and the store's size is the sum of its entries' sizes.
 func TestStore_AnyCalls_KeepQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, now := New(testLimits), t0
@@ -149,14 +150,14 @@
 				counted += entrySize(key, e)
 			}
 			if n > testLimits.Entries || size > testLimits.Bytes || size != counted {
-				t.Fatalf("%d entries, %d bytes, in truth %d", n, size, counted)
+				t.Fatalf("%d entries, %d bytes; the entries take %d", n, size, counted)
 			}
 		}
 	})
 }
 
-// savedStore saves a store with a value for good, an empty one and one for a minute from t0, ten seconds after t0, and
-// returns the snapshot.
+// savedStore returns the snapshot, saved ten seconds after t0, of a store with a value that never expires, an empty value, and one that
+// expires a minute after t0.
 func savedStore(t *testing.T) []byte {
 	t.Helper()
 	s := New(testLimits)
@@ -191,9 +192,9 @@
 		after time.Duration
 		want  string // of "minute"
 	}{
-		"before it expires":             {59 * time.Second, "2 true"},
-		"when it expires":               {60 * time.Second, " false"},
-		"with the clock gone backwards": {9 * time.Second, " false"}, // its age is unknown
+		"before it expires":            {59 * time.Second, "2 true"},
+		"when it expires":              {60 * time.Second, " false"},
+		"after the clock was set back": {9 * time.Second, " false"}, // the age is unknown
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := t0.Add(c.after)
@@ -210,17 +211,17 @@
 	}
 }
 
-// TestLoad_DamagedSnapshot_LeavesStoreEmpty: cut anywhere, or with any byte another, a snapshot is never loaded.
+// TestLoad_DamagedSnapshot_LeavesStoreEmpty: a snapshot that is truncated anywhere, or in which any byte is changed, is not loaded.
 func TestLoad_DamagedSnapshot_LeavesStoreEmpty(t *testing.T) {
 	snapshot := savedStore(t)
 	for i := range snapshot {
 		if s, err := loadStore(t, snapshot[:i], "p", t0); err == nil || lookup(s, t0, "good") != " false" {
-			t.Errorf("cut at %d: %v", i, err)
+			t.Errorf("truncated to %d bytes: error %v; want one, and an empty store", i, err)
 		}
 		damaged := bytes.Clone(snapshot)
 		damaged[i] ^= 0x10
 		if s, err := loadStore(t, damaged, "p", t0); err == nil || lookup(s, t0, "good") != " false" {
-			t.Errorf("byte %d another: %v", i, err)
+			t.Errorf("byte %d changed: error %v; want one, and an empty store", i, err)
 		}
 	}
 }
@@ -235,11 +236,11 @@
 		plugin   string
 		want     string
 	}{
-		"another file":                {[]byte("{}"), "p", "store: not a snapshot"},
-		"damaged":                     {damaged, "p", "store: the snapshot is damaged"},
-		"of a later version":          {later, "p", "store: a snapshot of version 2, this program reads 1"},
-		"of another plug-in":          {snapshot, "q", `store: the snapshot is of plug-in "p"`},
-		"without the CBOR it belongs": {emptyBody(), "p", "store: EOF"},
+		"another file":       {[]byte("{}"), "p", "store: the file is not a snapshot"},
+		"damaged":            {damaged, "p", "store: the snapshot's checksum does not match"},
+		"of a later version": {later, "p", "store: the snapshot has format version 2, want 1"},
+		"of another plug-in": {snapshot, "q", `store: the snapshot belongs to plug-in "p"`},
+		"without CBOR value": {emptyBody(), "p", "store: EOF"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := loadStore(t, c.snapshot, c.plugin, t0); err == nil || err.Error() != c.want {
@@ -249,7 +250,7 @@
 	}
 }
 
-// emptyBody is a snapshot whose checksum is right, but which has no value.
+// emptyBody returns a snapshot file that has a correct checksum but no CBOR value.
 func emptyBody() []byte { return binary.LittleEndian.AppendUint64([]byte(magic), xxhash.Sum64(nil)) }
 
 func TestLoad_MissingFile_IsNoError(t *testing.T) {
--- a/internal/relay/plugin/store/stored_format_test.go
+++ b/internal/relay/plugin/store/stored_format_test.go
@@ -11,10 +11,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// storedLimits hold all that testdata/*.store have.
+// storedLimits are large enough for all files of testdata/*.store.
 var storedLimits = Limits{Bytes: 1 << 10, Entries: 9, KeySize: 40, ValueSize: 100}
 
-// storedEntries are the entries of testdata/*.store, saved at t0 by the plug-in "demo".
+// storedEntries has the entries of each file of testdata/*.store. The files were saved at t0 by the plug-in "demo".
 var storedEntries = map[string]map[string]entry{
 	"one.store": {"expires": {value: []byte("after a minute"), expiresAt: t0.Add(time.Minute)}},
 	"several.store": {
@@ -24,7 +24,7 @@
 	},
 }
 
-// saveStored saves entries as a plug-in's calls do.
+// saveStored sets entries as a plug-in's calls do, and returns the saved snapshot.
 func saveStored(t *testing.T, entries map[string]entry) []byte {
 	t.Helper()
 	s := New(storedLimits)
@@ -46,8 +46,9 @@
 	return data
 }
 
-// TestStoredFormat_ReadsFilesOfEarlierVersions: a snapshot that an earlier version saved is read with each value in place, aged by the
-// time since then; and one entry is still written as the same bytes (of several the order is no part of the format).
+// TestStoredFormat_ReadsFilesOfEarlierVersions: a snapshot that an earlier version saved is read with all values and expiry times. A
+// snapshot of one entry is still written as the same bytes; with several entries only the size is compared, because the format does
+// not fix their order.
 func TestStoredFormat_ReadsFilesOfEarlierVersions(t *testing.T) {
 	for name, entries := range storedEntries {
 		t.Run(name, func(t *testing.T) {
@@ -73,7 +74,7 @@
 			}
 			written := saveStored(t, maps.Clone(entries))
 			if len(written) != len(stored) || len(entries) == 1 && !bytes.Equal(written, stored) {
-				t.Errorf("the same entries are written as other bytes:\n%q\nwant\n%q", written, stored)
+				t.Errorf("the entries are written as\n%q\nwant\n%q", written, stored)
 			}
 		})
 	}
--- a/internal/relay/plugin/store/tx.go
+++ b/internal/relay/plugin/store/tx.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// Tx is what one call reads and writes; nothing of it stays unless it is committed. It is not safe for concurrent use.
+// Tx is the transaction in which one call reads and changes a store. Its changes are lost unless it is committed. It is not safe for
+// concurrent use.
 type Tx struct {
 	store   *Store
 	now     time.Time
-	changes map[string]entry // nil value: deleted
+	changes map[string]entry // an entry with a nil value deletes the key
 }
 
-// Begin returns a transaction at a time, which decides what has expired.
+// Begin returns a transaction. Entries that have expired at now are not in it.
 func (s *Store) Begin(now time.Time) *Tx { return &Tx{store: s, now: now} }
 
-// Get returns a value, with the transaction's own changes; false: there is none. It must not be written to.
+// Get returns the value of a key, including the transaction's own changes; false: there is none. The caller must not modify the value.
 func (t *Tx) Get(key string) ([]byte, bool) {
 	if e, ok := t.changes[key]; ok {
 		return e.value, e.value != nil
@@ -26,8 +27,8 @@
 	return e.value, true
 }
 
-// Set notes a copy of a value, for a time or, with 0, for good. Its error is ErrKey, ErrValue or ErrFull, and then
-// nothing is noted. The quota is checked again by Commit, since others write meanwhile.
+// Set sets a key to a copy of a value that expires after ttl; 0: never. Its error is ErrKey, ErrValue or ErrFull, and then the
+// transaction is unchanged. Commit checks the quota again, since other transactions may have been committed meanwhile.
 func (t *Tx) Set(key string, value []byte, ttl time.Duration) error {
 	switch limits := &t.store.limits; {
 	case key == "" || len(key) > limits.KeySize:
@@ -51,10 +52,10 @@
 	return ErrFull
 }
 
-// Delete notes that a key is dropped, if it is there.
+// Delete deletes a key, if it exists.
 func (t *Tx) Delete(key string) { t.change(key, entry{}) }
 
-// change notes an entry, without a value a deletion.
+// change records the change of a key; an entry with a nil value deletes it.
 func (t *Tx) change(key string, e entry) {
 	if t.changes == nil {
 		t.changes = map[string]entry{}
@@ -62,7 +63,7 @@
 	t.changes[key] = e
 }
 
-// makeRoom tells whether the changes fit into the store, if need be after what has expired there is dropped.
+// makeRoom reports whether the store with the changes is within its limits. It removes expired entries if they are needed for that.
 func (t *Tx) makeRoom() bool {
 	t.store.mu.Lock()
 	defer t.store.mu.Unlock()
@@ -73,7 +74,7 @@
 	return t.store.limits.fits(t.lenAfterCommit())
 }
 
-// lenAfterCommit is what Store.Len would be with the changes. The store is locked.
+// lenAfterCommit returns what Store.Len would return after a commit. The caller holds t.store.mu.
 func (t *Tx) lenAfterCommit() (entries, size int) {
 	entries, size = len(t.store.entries), t.store.size
 	for key, e := range t.changes {
@@ -89,7 +90,8 @@
 	return entries, size
 }
 
-// Commit makes what was noted the store's; where others have filled it meanwhile nothing is, and the error is ErrFull.
+// Commit applies all changes to the store. If other transactions have filled the store meanwhile, Commit applies none and returns
+// ErrFull.
 func (t *Tx) Commit() error {
 	if len(t.changes) == 0 {
 		return nil
--- a/internal/relay/plugin/stores.go
+++ b/internal/relay/plugin/stores.go
@@ -8,15 +8,15 @@
 	"mastusher/internal/relay/plugin/store"
 )
 
-// Bounds of a plug-in's store that no setting has.
+// Limits of a plug-in's store that can't be configured.
 const (
-	storeKeySize       = 128     // bytes
-	storeValueSize     = 4 << 10 // bytes
-	storeBytesPerEntry = 64      // of the quota, for each entry that there may be
+	storeKeySize       = 128     // maximum, in bytes
+	storeValueSize     = 4 << 10 // maximum, in bytes
+	storeBytesPerEntry = 64      // a store may have one entry for each such part of its quota
 )
 
-// storeOf returns a plug-in's store, which outlives its versions. One that can't be read is put aside, and begins
-// empty. The lock is held.
+// storeOf returns a plug-in's store, which is kept when the version is replaced. If its file can't be read, the file is renamed and
+// the store begins empty. The caller holds h.mu.
 func (h *Host) storeOf(cfg *config.Plugin) (*store.Store, error) {
 	if s := h.stores[cfg.Name]; s != nil && h.storeConfigs[cfg.Name].StoreKB == cfg.StoreKB {
 		return s, nil
@@ -24,7 +24,7 @@
 	s := store.New(storeLimits(cfg))
 	if h.storeDir != "" && cfg.StoreKB > 0 {
 		file := store.File(h.storeDir, cfg.Name)
-		if old := h.stores[cfg.Name]; old != nil { // its quota is another now
+		if old := h.stores[cfg.Name]; old != nil { // the quota has changed
 			if err := old.Save(file, cfg.Name, time.Now()); err != nil {
 				return nil, err
 			}
@@ -60,7 +60,7 @@
 	}
 }
 
-// saveStores saves the stores that have changed, if there is a folder for them. The lock is held.
+// saveStores saves the stores that have changed, unless no folder for stores is configured. The caller holds h.mu.
 func (h *Host) saveStores(now time.Time) {
 	if h.storeDir == "" {
 		return
--- a/internal/relay/plugin/thread_other.go
+++ b/internal/relay/plugin/thread_other.go
@@ -6,7 +6,7 @@
 
 var started = time.Now()
 
-func yieldToOthers() {}
+func lowerThreadPriority() {}
 
-// threadTime falls back on the clock: a call is then charged for what it waited too.
-func threadTime() time.Duration { return time.Since(started) }
+// threadCPUTime uses the clock instead of the thread's processor time, so that a call's CPU time includes its waiting time.
+func threadCPUTime() time.Duration { return time.Since(started) }
--- a/internal/relay/plugin/transfer.go
+++ b/internal/relay/plugin/transfer.go
@@ -10,13 +10,15 @@
 	"mastusher/internal/relay/plugin/store"
 )
 
-// maxText is more than any name, value or reason may have, in bytes.
+// maxText bounds how many bytes of a text are copied. It is above the limits for names, header values and reasons, so that those
+// limits still apply to a text that was cut.
 const maxText = 2 << 10
 
-// copyOverhead is what each copy out of a module's memory counts beside its bytes.
+// copyOverhead is the number of bytes that each copy from a module's memory counts in addition to its size.
 const copyOverhead = 64
 
-// bytesAt is a part of the module's memory; it holds until the module runs on. Outside of the memory it traps.
+// bytesAt returns a slice of the module's memory, valid only until the module continues to run. It traps if the range is outside of
+// the memory.
 func bytesAt(m api.Memory, at, size uint64) []byte {
 	if m == nil {
 		panic(ErrOutOfBounds)
@@ -28,14 +30,13 @@
 	return b
 }
 
-// text is a text that a module hands over, or nearly: of one that is longer than anything it can be good for only
-// enough is copied to see that.
+// text copies a text from the module's memory, cut to maxText bytes.
 func (w *worker) text(m api.Memory, at, size uint64) string {
 	return string(w.boundedBytes(m, at, size, maxText))
 }
 
-// boundedBytes is the beginning of a part of memory that will be copied, which a call may only have so much of: the heap that
-// it is copied to is the relay's. Beyond that it traps.
+// boundedBytes returns the first maxBytes of a range of the module's memory, for the caller to copy to the relay's heap. It traps if
+// all copies of the call together exceed PluginCopyBytes.
 func (w *worker) boundedBytes(m api.Memory, at, size uint64, maxBytes int) []byte {
 	b := bytesAt(m, at, size)
 	b = b[:min(len(b), maxBytes)]
@@ -45,7 +46,7 @@
 	return b
 }
 
-// writeResult writes as much as fits into capacity bytes and returns the whole size, or that there is none.
+// writeResult writes as much of value as fits into capacity bytes and returns the full size of value, or rules.Absent if ok is false.
 func writeResult[T string | []byte](m api.Memory, value T, ok bool, at, capacity uint64) uint64 {
 	if !ok {
 		return api.EncodeI32(int32(rules.Absent))
@@ -54,7 +55,7 @@
 	return uint64(len(value))
 }
 
-// truncate shortens text and escapes what a log or a header line can't hold.
+// truncate cuts text to maxBytes, and escapes it if it has anything but printable ASCII, which logs and header lines can't hold.
 func truncate(text string, maxBytes int) string {
 	if len(text) > maxBytes {
 		text = text[:maxBytes]
@@ -68,7 +69,7 @@
 	return text
 }
 
-// storeRefusal is what a module is told of an error of its store.
+// storeRefusal returns the refusal that a module receives for an error of its store.
 func storeRefusal(err error) rules.Refusal {
 	switch {
 	case err == nil:
--- a/internal/relay/plugin/trial/case.go
+++ b/internal/relay/plugin/trial/case.go
@@ -12,29 +12,29 @@
 	"mastusher/internal/relay/plugin"
 )
 
-// maxLine is how long a line of a file of cases may be, in bytes.
+// maxLine is the maximum length in bytes of a line in a file of cases.
 const maxLine = 1 << 20
 
-// Case is one call and what is to come of it.
+// Case is one call and its expected result.
 type Case struct {
 	Name  string
-	Line  int  // of the file, where it begins
-	Fresh bool // it starts with a new instance and an empty store
+	Line  int  // number of the line where the case begins
+	Fresh bool // run with a new instance and an empty store
 	Call  plugin.Call
-	Want  []string // as Lines has it
+	Want  []string // the expected result, in the form that Lines returns
 }
 
-// Start is the clock of cases that name none.
+// Start is the time of calls in cases that don't set "now".
 var Start = time.Date(2026, 1, 3, 15, 0, 0, 0, time.UTC)
 
-// New returns a case with everything that it need not name.
+// New returns a case with the default value for each key.
 func New(name string) Case {
 	return Case{Name: name, Call: plugin.Call{Phase: plugin.Arrival, Front: "platform", ID: "message-1", Key: "key-1",
 		Partner: 1, ClassName: "match-event", TimeLeft: 10 * time.Second, Destination: "endpoint-1", Result: "delivered", Now: Start,
 		In: textproto.MIMEHeader{}}}
 }
 
-// Set sets one key of a case. Its error is a *KeyError or an *UnknownKeyError.
+// Set sets a key of a case to a value. Its error is a *KeyError or an *UnknownKeyError.
 func (c *Case) Set(key, value string) error {
 	set, ok := setters[key]
 	if !ok {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// setters set the keys of a case.
+// setters has the function that sets each key of a case.
 var setters = map[string]func(c *Case, value string) error{
 	"phase":   setPhase,
 	"front":   textSetter(func(c *Case) *string { return &c.Call.Front }),
@@ -120,7 +120,7 @@
 	return err
 }
 
-// setStatus sets the status of an answer and what the relay makes of it.
+// setStatus sets the status of an answer, and the result that the relay derives from the status.
 func setStatus(c *Case, value string) (err error) {
 	c.Call.Status, err = strconv.Atoi(value)
 	switch status := c.Call.Status; {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// Parse reads a file of cases. Its error is a *LineError, or that of reading.
+// Parse reads a file of cases. Its error is a *LineError, or an error of reading.
 func Parse(r io.Reader) ([]Case, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
@@ -152,10 +152,10 @@
 	return p.cases, scanner.Err()
 }
 
-// parser takes a file of cases line by line.
+// parser parses a file of cases line by line.
 type parser struct {
 	cases  []Case
-	inWant bool // the lines that come are the last case's Want, and not its keys
+	inWant bool // the next lines belong to the last case's Want, not to its keys
 }
 
 func (p *parser) line(number int, line string) error {
@@ -184,5 +184,5 @@
 	return p.last().Set(keyword, strings.TrimSpace(rest))
 }
 
-// last is the case that is being read.
+// last returns the case that is being read.
 func (p *parser) last() *Case { return &p.cases[len(p.cases)-1] }
--- a/internal/relay/plugin/trial/case_test.go
+++ b/internal/relay/plugin/trial/case_test.go
@@ -67,11 +67,11 @@
 	}{
 		"no case before the first line": {"wrong\n", 1, "line 1: want a case"},
 		"key before the first case":     {"\n  id a\n", 2, "line 2: want a case"},
-		"keyword that there is not":     {"case a\nthen\n", 2, "line 2: want case or want, or an indented line"},
-		"unknown key":                   {"case a\n  size 1\n", 2, `line 2: there is no key "size"`},
+		"unknown keyword":               {"case a\nthen\n", 2, `line 2: want "case", "want" or an indented line`},
+		"unknown key":                   {"case a\n  size 1\n", 2, `line 2: unknown key "size"`},
 		"unknown phase":                 {"case a\n  phase noon\n", 2, `line 2: phase: "noon" is none of arrival, answer, end`},
 		"header without a value":        {"case a\n\n  in X-Team\n", 3, "line 3: in: want NAME: VALUE"},
-		"number that is none":           {"case a\n  partner x\n", 2, `line 2: partner: strconv.Atoi: parsing "x": invalid syntax`},
+		"invalid number":                {"case a\n  partner x\n", 2, `line 2: partner: strconv.Atoi: parsing "x": invalid syntax`},
 		"time without a unit":           {"case a\n  left 5\n", 2, `line 2: left: time: missing unit in duration "5"`},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -88,10 +88,10 @@
 	c := New("a")
 	var key *KeyError
 	if err := c.Set("partner", "x"); !errors.As(err, &key) || key.Key != "partner" {
-		t.Errorf("error %v, want one that names partner", err)
+		t.Errorf("error %v, want one that names the key partner", err)
 	}
 	var unknown *UnknownKeyError
 	if err := c.Set("size", "1"); !errors.As(err, &unknown) || unknown.Key != "size" {
-		t.Errorf("error %v, want one that names size", err)
+		t.Errorf("error %v, want one that names the key size", err)
 	}
 }
--- a/internal/relay/plugin/trial/errors.go
+++ b/internal/relay/plugin/trial/errors.go
@@ -5,17 +5,17 @@
 	"fmt"
 )
 
-// Why a line of a file of cases can't be read, as the Err of a LineError.
+// Causes of a LineError.
 var (
 	errNoCase     = errors.New("want a case")
-	errNoKeyword  = errors.New("want case or want, or an indented line")
+	errNoKeyword  = errors.New(`want "case", "want" or an indented line`)
 	errHeaderForm = errors.New("want NAME: VALUE")
 )
 
-// LineError says which line of a file of cases can't be read.
+// LineError is returned for an invalid line in a file of cases.
 type LineError struct {
 	Line int   // from 1
-	Err  error // *KeyError where it is a key of a case
+	Err  error // *KeyError or *UnknownKeyError if the line sets a key
 }
 
 // Error names the line and the cause.
@@ -24,7 +24,7 @@
 // Unwrap returns the cause.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// KeyError says which key of a case has a value that it can't have.
+// KeyError is returned for an invalid value of a key of a case.
 type KeyError struct {
 	Key string
 	Err error
@@ -36,16 +36,16 @@
 // Unwrap returns the cause.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// UnknownKeyError says that cases have no such key.
+// UnknownKeyError is returned for a key that cases don't have.
 type UnknownKeyError struct{ Key string }
 
 // Error names the key.
-func (e *UnknownKeyError) Error() string { return fmt.Sprintf("there is no key %q", e.Key) }
+func (e *UnknownKeyError) Error() string { return fmt.Sprintf("unknown key %q", e.Key) }
 
-// PhaseError says that there is no such phase.
+// PhaseError is returned for the name of an unknown phase.
 type PhaseError struct{ Name string }
 
-// Error names the phases that there are.
+// Error names the unknown phase and the existing ones.
 func (e *PhaseError) Error() string {
 	return fmt.Sprintf("%q is none of arrival, answer, end", e.Name)
 }
--- a/internal/relay/plugin/trial/trial.go
+++ b/internal/relay/plugin/trial/trial.go
@@ -1,7 +1,7 @@
-// Package trial runs a plug-in outside of a relay, for its author: golden cases from a text file, one message's way
-// through, and a measurement.
+// Package trial runs a plug-in outside of a relay, so that its author can try single calls, measure them, and run test cases from a
+// text file.
 //
-// A file of cases:
+// An example of a file of cases:
 //
 //	# a comment
 //	case the header is set
@@ -13,9 +13,19 @@
 //	  pass
 //	  header X-Desk: sports
 //
-// The keys of a case are phase (arrival), front (platform), id, key, partner, class, body, in (a header that came in),
-// again, left, now, status, told (a wait), to, how (an end), and fresh, which starts with a new instance and an empty
-// store. What stands below want must be all that the plug-in did, in the order in which Lines tells it.
+// The keys of a case, with some defaults in parentheses:
+//
+//	phase (arrival), front (platform), id, key, partner, class, body, now
+//	in      a header of the request or answer, as NAME: VALUE
+//	again   whether the client has submitted the message before
+//	left    the time until the message's deadline
+//	status  the HTTP status of the destination's answer
+//	told    the wait that the destination requested
+//	to      the name of the destination
+//	how     how the message ended
+//	fresh   run the case with a new instance and an empty store
+//
+// The lines below "want" must be the complete result of the call, in the form and order of Lines.
 package trial
 
 import (
@@ -27,8 +37,8 @@
 	"mastusher/internal/relay/plugin/rules"
 )
 
-// Lines tells what came of a call, in a fixed order: pass, reject or failed; then headers, body, wait or refuse, what
-// was refused, and the log. Of a call that failed there is one line.
+// Lines describes the result of a call in a fixed order: pass or reject, then headers, body, wait or refuse, refused requests, and log
+// lines. The result of a failed call is a single line that begins with "failed".
 func Lines(c *plugin.Call, outcome plugin.Outcome, err error, limits *rules.Limits) []string {
 	if err != nil {
 		return []string{"failed " + err.Error()}
@@ -56,9 +66,9 @@
 	return strings.TrimSpace(fmt.Sprintf("reject %d %s", outcome.Status, outcome.Reason))
 }
 
-// messageLines are what a message goes out with.
+// messageLines describes the headers and the body that the plug-in has set.
 func messageLines(outcome *plugin.Outcome) (lines []string) {
-	for header := range slices.Chunk(outcome.Shape, 2) {
+	for header := range slices.Chunk(outcome.ExtraHeaders, 2) {
 		lines = append(lines, "header "+header[0]+": "+header[1])
 	}
 	if outcome.Body != nil {
@@ -67,7 +77,7 @@
 	return lines
 }
 
-// answerLines are what the relay makes of an answer beside what it would without the plug-in.
+// answerLines describes how the plug-in's request changes the relay's reaction to an answer.
 func answerLines(c *plugin.Call, outcome *plugin.Outcome, limits *rules.Limits) []string {
 	tightened, _ := rules.Tighten(c.Answer, outcome.Ask, limits)
 	switch {
@@ -79,17 +89,17 @@
 	return nil
 }
 
-// Host is what plays cases: a host that can be started anew. It is not safe for concurrent use; whoever has it calls
-// Close.
+// Host runs cases with a plugin.Host, which it opens when needed and replaces for fresh cases. It is not safe for concurrent use. The
+// user must call Close.
 type Host struct {
 	Open func() (*plugin.Host, error)
 	Name string // of the plug-in
 
-	host *plugin.Host // nil until it is needed
+	host *plugin.Host // nil until needed
 }
 
-// Play plays one case and returns what came of it, as Lines has it and as it is. An error is that of Open: a call that
-// fails is what came of the case.
+// Play runs one case and returns its result, both in the form of Lines and as the plug-in's outcome. An error is one of Open; a failed
+// call is not an error but a result.
 func (h *Host) Play(c *Case) ([]string, plugin.Outcome, error) {
 	if c.Fresh {
 		h.Close()
@@ -102,7 +112,7 @@
 	return Lines(&call, outcome, callErr, h.host.Rules()), outcome, nil
 }
 
-// Status is what runs; it opens the host if need be.
+// Status returns the status of the plugin.Host, which is opened if need be.
 func (h *Host) Status() (plugin.Status, error) {
 	if err := h.open(); err != nil {
 		return plugin.Status{}, err
@@ -110,7 +120,7 @@
 	return h.host.Status(), nil
 }
 
-// open opens the host, if there is none.
+// open opens the plugin.Host, unless it is open.
 func (h *Host) open() error {
 	if h.host != nil {
 		return nil
@@ -123,7 +133,7 @@
 	return nil
 }
 
-// Close ends the host, if there is one. What is asked for afterwards opens another.
+// Close closes the plugin.Host, if it is open. Play and Status open another one afterwards.
 func (h *Host) Close() {
 	if h.host != nil {
 		h.host.Close()
--- a/internal/relay/plugin/trial/trial_test.go
+++ b/internal/relay/plugin/trial/trial_test.go
@@ -28,11 +28,11 @@
 		want    []string
 	}{
 		"nothing done": {plugin.Call{Phase: plugin.End}, plugin.Outcome{}, nil, []string{"pass"}},
-		"failed call":  {plugin.Call{Phase: plugin.Arrival}, plugin.Outcome{Logs: []string{"a"}}, plugin.ErrTimeout, []string{"failed plugin: it ran over its time"}},
-		"rejected message": {plugin.Call{Phase: plugin.Arrival}, plugin.Outcome{Reject: true, Status: 422, Reason: "why", Shape: rules.Shape{"X-A", "b"}}, nil,
+		"failed call":  {plugin.Call{Phase: plugin.Arrival}, plugin.Outcome{Logs: []string{"a"}}, plugin.ErrTimeout, []string{"failed plugin: the call timed out"}},
+		"rejected message": {plugin.Call{Phase: plugin.Arrival}, plugin.Outcome{Reject: true, Status: 422, Reason: "why", ExtraHeaders: rules.ExtraHeaders{"X-A", "b"}}, nil,
 			[]string{"reject 422 why"}},
 		"rejected without a reason": {plugin.Call{Phase: plugin.Arrival}, plugin.Outcome{Reject: true, Status: 400}, nil, []string{"reject 400"}},
-		"shaped message": {plugin.Call{Phase: plugin.Arrival}, plugin.Outcome{Shape: rules.Shape{"X-A", "b", "X-C", "d"}, Body: []byte("new"),
+		"shaped message": {plugin.Call{Phase: plugin.Arrival}, plugin.Outcome{ExtraHeaders: rules.ExtraHeaders{"X-A", "b", "X-C", "d"}, Body: []byte("new"),
 			Refused: []plugin.Refused{{What: "header Host", Why: rules.Owned}}, Logs: []string{"said"}}, nil,
 			[]string{"pass", "header X-A: b", "header X-C: d", "body new", "refused header Host: the protocol owns it", "log said"}},
 		"longer wait":      {plugin.Call{Phase: plugin.Answer, Answer: throttled}, plugin.Outcome{Ask: rules.Ask{RetryAfter: time.Second}}, nil, []string{"pass", "wait 1s"}},
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// A loaded machine proves nothing: no time may run out.
+	// On a loaded machine calls may be slow: no time limit may be exceeded.
 	cfg.Limits.PluginStart, cfg.Limits.PluginGrace, cfg.Limits.PluginBurst = time.Minute, time.Minute, time.Hour
 	cfg.Plugins[0].Timeout = time.Minute
 	opened = new(int)
@@ -83,7 +83,7 @@
 		}
 	}
 	if *opened != 2 {
-		t.Errorf("opened %d times, want once, and once more for the fresh case", *opened)
+		t.Errorf("opened %d times, want 2: once at first, and once for the fresh case", *opened)
 	}
 }
 
@@ -98,7 +98,7 @@
 	}
 }
 
-// TestHost_UnknownPlugin_FailsTheCase: a name that no plug-in has is what comes of the case.
+// TestHost_UnknownPlugin_FailsTheCase: with the name of an unknown plug-in the result of the case is a failed call.
 func TestHost_UnknownPlugin_FailsTheCase(t *testing.T) {
 	host, _ := newTrialHost(t, wasmtest.Passing())
 	host.Name = "other"
@@ -107,7 +107,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff([]string{"failed plugin: none is called other"}, got); d != "" {
+	if d := cmp.Diff([]string{"failed plugin: unknown plug-in other"}, got); d != "" {
 		t.Errorf("(-want +got)\n%s", d)
 	}
 	status, err := host.Status()
@@ -116,6 +116,6 @@
 	}
 	var unknown *plugin.UnknownPluginError
 	if _, err := host.host.CallOnce("other", c.Call); !errors.As(err, &unknown) || unknown.Name != "other" {
-		t.Errorf("error %v, want one that names the plug-in", err)
+		t.Errorf("error %v, want one that names the plug-in other", err)
 	}
 }
--- a/internal/relay/plugin/wasm/bound.go
+++ b/internal/relay/plugin/wasm/bound.go
@@ -36,12 +36,12 @@
 			}
 		}
 	}
-	out := make([]byte, 0, grown(len(module)))
+	out := make([]byte, 0, rewrittenCapacity(len(module)))
 	return w.appendModule(out, sections, code), nil
 }
 
-// grown is a capacity that most rewritten code fits in.
-func grown(size int) int { return size + size/4 }
+// rewrittenCapacity is a capacity that most rewritten code fits in.
+func rewrittenCapacity(size int) int { return size + size/4 }
 
 // rewriter rewrites one module.
 type rewriter struct {
--- a/internal/relay/plugin/wasm/bound_test.go
+++ b/internal/relay/plugin/wasm/bound_test.go
@@ -129,7 +129,7 @@
 	}{
 		"no header":                  {nil, wasm.ParseError{Reason: "invalid magic number"}},
 		"another file":               {[]byte("\x7fELF\x01\x00\x00\x00"), wasm.ParseError{Reason: "invalid magic number"}},
-		"another version":            {[]byte("\x00asm\x0d\x00\x01\x00"), wasm.ParseError{Offset: 4, Reason: "version 65549 of the format, want 1"}},
+		"another version":            {[]byte("\x00asm\x0d\x00\x01\x00"), wasm.ParseError{Offset: 4, Reason: "binary format version 65549, want 1"}},
 		"section over the end":       {of(1, 9), wasm.ParseError{Offset: 10, Reason: "cut short"}},
 		"type that is no function's": {of(1, 2, 1, 0x5f), wasm.ParseError{Section: wasm.SectionType, Offset: 12, Reason: "a type that is no function's"}},
 		"import of unknown kind":     {of(2, 4, 1, 0, 0, 9), wasm.ParseError{Section: wasm.SectionImport, Offset: 14, Reason: "an import of unknown kind"}},
--- a/internal/relay/plugin/wasm/function.go
+++ b/internal/relay/plugin/wasm/function.go
@@ -16,7 +16,7 @@
 		r.failParse("functions and their code differ in number")
 		return nil, r.err
 	}
-	out := binary.AppendUvarint(make([]byte, 0, grown(len(r.data))), uint64(count))
+	out := binary.AppendUvarint(make([]byte, 0, rewrittenCapacity(len(r.data))), uint64(count))
 	var function []byte // used for one after another
 	for i := range count {
 		body := r.vector()
--- a/internal/relay/plugin/wasm/sections.go
+++ b/internal/relay/plugin/wasm/sections.go
@@ -55,7 +55,7 @@
 	}
 	if string(module[:len(Magic)]) != Magic {
 		version := binary.LittleEndian.Uint32(module[magicSize:])
-		return nil, &ParseError{Offset: magicSize, Reason: fmt.Sprintf("version %d of the format, want 1", version)}
+		return nil, &ParseError{Offset: magicSize, Reason: fmt.Sprintf("binary format version %d, want 1", version)}
 	}
 	r := &reader{span: span{data: module}, pos: len(Magic)}
 	var all []section
--- a/internal/relay/plugin/worker.go
+++ b/internal/relay/plugin/worker.go
@@ -17,41 +17,41 @@
 	"mastusher/internal/relay/plugin/store"
 )
 
-// phaseStart is the phase of the job that starts an instance and reads its phases; no message belongs to it.
+// phaseStart is the phase of the job that starts an instance and reads its mask of phases. That job has no message.
 const phaseStart Phase = 0
 
-// worker runs one instance, on a thread of its own that gives way to the relay's. A call that fails ends the
-// instance: nothing that it has left behind is seen by the next.
+// worker runs one instance on a thread of its own, which has a lower priority than the relay's. The instance is closed when a call
+// fails, so that the next call finds nothing that the failed one has left behind.
 type worker struct {
 	version *version
-	jobs    chan *job // closed by the version's close, which ends the goroutine
+	jobs    chan *job // closed by version.close, which ends the worker's goroutine
 
-	// Of the worker's goroutine. The instance, if there is one:
-	ctx       context.Context // hands the host functions their worker
+	// The fields below belong to the worker's goroutine. The instance, if there is one:
+	ctx       context.Context // passes the worker to the host functions
 	module    api.Module
 	memory    *memory
 	functions map[Phase]api.Function
-	alloc     api.Function // of ABI 1
+	alloc     api.Function // ABI 1 only
 	stack     [2]uint64    // parameters and results of a call into the module
 
-	// The call under way, if there is one:
+	// The call in progress, if there is one:
 	call    *Call
 	outcome Outcome
 	tx      *store.Tx
 	now     time.Time
 	rng     *rand.Rand
-	copied  int // bytes of the module's memory that were copied to the relay's heap
+	copied  int // bytes copied from the module's memory to the relay's heap, with copyOverhead for each copy
 }
 
-// job is one call on its way through a worker.
+// job is one call that is passed to a worker.
 type job struct {
 	call     *Call
 	deadline time.Time
 	ticket   gate.Ticket
-	done     chan jobResult // holds one: the worker never waits for whoever asked
+	done     chan jobResult // with capacity 1, so that the worker never waits for the caller
 }
 
-// jobResult is how a job ended. Of a call that failed the outcome has only processor time and logs.
+// jobResult is the result of a job. After a failed call the outcome has only CPU and Logs.
 type jobResult struct {
 	outcome Outcome
 	err     error
@@ -61,10 +61,10 @@
 	return &job{call: c, deadline: deadline, done: make(chan jobResult, 1)}
 }
 
-// workerKey is the key of a worker in the context of its calls.
+// workerKey is the context key under which a call's context has its worker.
 type workerKey struct{}
 
-// newWorker starts a worker; it ends when its jobs are closed.
+// newWorker starts a worker, which ends when its jobs channel is closed.
 func newWorker(v *version) *worker {
 	w := &worker{version: v, jobs: make(chan *job)}
 	allocate := func(_, maxBytes uint64) experimental.LinearMemory {
@@ -79,11 +79,11 @@
 
 func workerOf(ctx context.Context) *worker { return ctx.Value(workerKey{}).(*worker) }
 
-// run serves jobs until there are no more to come. The thread is not used for anything else afterwards.
+// run serves jobs until the channel is closed. Its thread then ends with the goroutine and is not reused by the runtime.
 func (w *worker) run() {
 	runtime.LockOSThread()
 	if w.version.host.limits.PluginYields {
-		yieldToOthers()
+		lowerThreadPriority()
 	}
 	for j := range w.jobs {
 		result := w.serve(j)
@@ -94,11 +94,11 @@
 	w.version.workersDone.Done()
 }
 
-// serve does one job and forgets its call.
+// serve runs one job, and clears the worker's state of the call afterwards.
 func (w *worker) serve(j *job) jobResult {
-	from := threadTime()
+	from := threadCPUTime()
 	err := w.do(j)
-	w.outcome.CPU = threadTime() - from
+	w.outcome.CPU = threadCPUTime() - from
 	outcome := w.outcome
 	if err != nil {
 		outcome = Outcome{CPU: w.outcome.CPU, Logs: w.outcome.Logs}
@@ -108,10 +108,10 @@
 	return jobResult{outcome, err}
 }
 
-// do makes the call of a job, in an instance that is started if there is none.
+// do makes the call of a job. It starts an instance first if there is none.
 func (w *worker) do(j *job) error {
-	w.call, w.outcome, w.now, w.copied = j.call, Outcome{Shape: j.call.Shape}, j.call.Now, 0
-	if w.module != nil && w.module.IsClosed() { // its last call ended just as its time did
+	w.call, w.outcome, w.now, w.copied = j.call, Outcome{ExtraHeaders: j.call.ExtraHeaders}, j.call.Now, 0
+	if w.module != nil && w.module.IsClosed() { // the last call succeeded, but its deadline passed just then and closed the instance
 		w.dropInstance()
 	}
 	if w.module == nil {
@@ -147,7 +147,7 @@
 	return w.callABI2(ctx, function)
 }
 
-// readPhases finds which phases the module takes part in; it is called while the version is warmed up.
+// readPhases sets the version's mask of phases to those that the module handles. It is called while the version is being loaded.
 func (w *worker) readPhases(deadline time.Time) error {
 	if w.version.abi == 1 {
 		w.version.phases |= w.phasesABI1()
@@ -163,15 +163,15 @@
 	return nil
 }
 
-// seed makes all that is random in a call depend on the relay's seed, the plug-in, the phase and the message, so
-// that a run can be repeated exactly on whichever instance; a start has no message, and phaseStart.
+// seed makes a call's random numbers depend only on the relay's seed, the plug-in, the phase and the message, so that a run can be
+// repeated exactly, with any instance. When an instance is started the message id is "" and the phase is phaseStart.
 func (w *worker) seed(id string, phase Phase) {
 	ofPlugin := w.version.host.seed ^ xxhash.Sum64String(w.version.cfg.Name)
 	ofCall := xxhash.Sum64String(id) ^ uint64(phase)
 	w.rng = rand.New(rand.NewPCG(ofPlugin, ofCall))
 }
 
-// Read is the source of random bytes that WASI hands out.
+// Read fills b with the random bytes that WASI functions return. It implements io.Reader.
 func (w *worker) Read(b []byte) (int, error) {
 	for i := range b {
 		b[i] = byte(w.rng.Uint32())
@@ -179,7 +179,7 @@
 	return len(b), nil
 }
 
-// start makes an instance, within the time for that.
+// start creates an instance, within the time limit PluginStart.
 func (w *worker) start() error {
 	ctx, cancel := context.WithTimeout(w.ctx, w.version.host.limits.PluginStart)
 	defer cancel()
@@ -201,14 +201,14 @@
 	return nil
 }
 
-// moduleConfig gives an instance the clock and the random numbers of its calls.
+// moduleConfig makes an instance use the clock and the random numbers of the worker's call.
 func (w *worker) moduleConfig() wazero.ModuleConfig {
 	return wazero.NewModuleConfig().WithName("").WithStartFunctions("_initialize").WithRandSource(w).
 		WithWalltime(func() (int64, int32) { return w.now.Unix(), int32(w.now.Nanosecond()) }, wasys.ClockResolution(1)).
 		WithNanotime(func() int64 { return w.now.UnixNano() }, wasys.ClockResolution(1))
 }
 
-// dropInstance ends the instance and gives its memory back, also where the engine has left that to a call that never came.
+// dropInstance closes the instance and frees its memory, in case the engine has not done so itself.
 func (w *worker) dropInstance() {
 	if w.module != nil {
 		_ = w.module.Close(context.Background())
