--- a/examples/plugins/goal-rate/main.go
+++ b/examples/plugins/goal-rate/main.go
@@ -1,8 +1,8 @@
 //go:build wasip1
 
-// Command goal-rate is a plug-in that watches the ends of messages: when more than three of one partner's in a minute
-// were not delivered, it logs an alert, once a minute at most. Its counts stand in the store, so that all instances share
-// them and a restart does not reset them.
+// Command goal-rate is a plug-in that logs an alert when more than three messages for one partner were lost within a minute. It logs at
+// most one alert per partner and minute. The times of the losses are kept in the store, so that all instances share them and a restart
+// does not reset them.
 package main
 
 import (
@@ -14,10 +14,10 @@
 )
 
 const (
-	// maxLost is how many messages of one partner may be lost within the window before there is an alert.
+	// maxLost is the maximum number of lost messages for one partner within the window that causes no alert.
 	maxLost = 3
 	window  = time.Minute
-	// timeSize is how many bytes a time takes in the store.
+	// timeSize is the size in bytes of a time in the store.
 	timeSize = 8
 )
 
@@ -27,7 +27,7 @@
 
 func main() {}
 
-// watch counts a message that was lost, and logs an alert when it is one too many.
+// watch records the loss of a message, and logs an alert if there were more than maxLost within the window.
 func watch(e pluginsdk.Ended) {
 	if e.How() == "delivered" || e.How() == "withdrawn" {
 		return
@@ -37,7 +37,7 @@
 	stored, _ := pluginsdk.Get(lostKey)
 	lost := appendTime(recentTimes(stored, now), now)
 	if excess := len(lost)/timeSize - maxLost; excess > 0 {
-		lost = lost[timeSize*(excess-1):] // no more is needed to know of the next that it is one too many
+		lost = lost[timeSize*(excess-1):] // keep the last maxLost+1 times, which suffice to detect the next excess
 		alert(partner)
 	}
 	if err := pluginsdk.Set(lostKey, lost, window); err != nil {
@@ -52,10 +52,10 @@
 		return
 	}
 	pluginsdk.Log("alert: partner " + partner + " lost more than " + strconv.Itoa(maxLost) + " messages in a minute")
-	_ = pluginsdk.Set(alertKey, []byte{1}, window) // where the store is full an alert too many is better than none
+	_ = pluginsdk.Set(alertKey, []byte{1}, window) // if the store is full, repeated alerts are better than none
 }
 
-// recentTimes drops the times, oldest first, that lie outside of the window.
+// recentTimes returns the times that are within the window. times is sorted, oldest first.
 func recentTimes(times []byte, now time.Time) []byte {
 	var recent []byte
 	for ; len(times) >= timeSize; times = times[timeSize:] {
--- a/examples/plugins/rejected-field/main.go
+++ b/examples/plugins/rejected-field/main.go
@@ -1,8 +1,8 @@
 //go:build wasip1
 
-// Command rejected-field is a plug-in for a club site that takes no field "minute" beyond 120 and chokes on
-// "attendance": the first is turned away with a reason, the second, where the front lets a body be rewritten, left out. A
-// 503 whose body says "maintenance" is taken for a wait of ten seconds.
+// Command rejected-field is a plug-in for a club site that accepts no "minute" above 120 and fails for messages with the field
+// "attendance". The plug-in rejects the former with a reason, and removes the field "attendance" from the latter if the front allows a
+// new body. After a 503 whose body contains "maintenance" it requests a wait of ten seconds.
 package main
 
 import (
@@ -26,7 +26,7 @@
 
 func main() {}
 
-// checkFields turns away what the site would not take, or leaves it out.
+// checkFields rejects a message with an invalid minute, and removes the field "attendance".
 func checkFields(m pluginsdk.Message) {
 	object := gjson.ParseBytes(m.Body())
 	if minute := object.Get("minute"); minute.Exists() && (minute.Num < 0 || minute.Num > maxMinute) {
@@ -39,11 +39,11 @@
 		return
 	}
 	if err := m.SetBody(without(object, "attendance")); err != nil {
-		pluginsdk.Log("attendance stays: " + err.Error())
+		pluginsdk.Log("attendance not removed: " + err.Error())
 	}
 }
 
-// without is a JSON object without a field; the others stay as they were written.
+// without returns the text of a JSON object without a field. The other fields are copied as they were written.
 func without(object gjson.Result, field string) []byte {
 	rest := []byte{'{'}
 	object.ForEach(func(key, value gjson.Result) bool {
@@ -61,7 +61,7 @@
 	return append(rest, '}')
 }
 
-// waitForMaintenance asks for a wait where the answer says so in words only.
+// waitForMaintenance requests a wait if the answer announces maintenance in its body, but no wait that is long enough.
 func waitForMaintenance(a pluginsdk.Answer) {
 	maintenance := a.Status() == 503 && bytes.Contains(a.Sample(), []byte("maintenance"))
 	if !maintenance || a.Told() >= maintenanceWait {
--- a/examples/plugins/required-header/main.go
+++ b/examples/plugins/required-header/main.go
@@ -1,7 +1,7 @@
 //go:build wasip1
 
-// Command required-header is a plug-in for a newspaper group that files what it gets by desk: each message must carry X-Desk,
-// which depends on the sport that the body names. The settings are {"desks": {"football": "fb-12"}, "otherwise": "sports"}.
+// Command required-header is a plug-in for a newspaper group that sorts messages by editorial desk. It sets the header X-Desk of each
+// message according to the sport named in the body. Example settings: {"desks": {"football": "fb-12"}, "otherwise": "sports"}.
 package main
 
 import (
@@ -16,7 +16,7 @@
 
 func main() {}
 
-// setDesk sets the header, if there is a desk for the message.
+// setDesk sets the header X-Desk, if the settings have a desk for the message.
 func setDesk(m pluginsdk.Message) {
 	sport := gjson.GetBytes(m.Body(), "sport").String()
 	desk := deskOf(sport, gjson.Parse(pluginsdk.Config()))
@@ -28,7 +28,7 @@
 	}
 }
 
-// deskOf is the desk of a sport, or the one for all others; "": the settings have neither.
+// deskOf returns the desk for a sport, or the default desk; "": the settings have neither.
 func deskOf(sport string, settings gjson.Result) string {
 	if sport != "" {
 		if desk := settings.Get("desks").Get(gjson.Escape(sport)); desk.Exists() {
--- a/internal/relay/plugin/wasm/bound.go
+++ b/internal/relay/plugin/wasm/bound.go
@@ -1,21 +1,20 @@
-// Package wasm rewrites WebAssembly modules so that no code in them can run without end or deepen the call
-// stack without bound. It is a pure function from bytes to bytes, safe for concurrent use; package plugin calls it once
-// for each module that it loads.
+// Package wasm rewrites WebAssembly modules so that the engine can stop their code at any time, and so that their call stack is
+// bounded. It has no state and is safe for concurrent use. Package plugin calls it once for each module that it loads.
 //
-// The engine checks for a time-out at the head of each loop only, and lets a call stack grow to 50 MB. A module
-// that recurses without a loop is therefore given, at the start of each function, an empty loop (which brings the
-// engine's check with it) and a count of the stack that all open calls may take, kept in a global of its own.
+// The engine checks for a time-out only at the head of each loop, and lets a call stack grow to 50 MB. A module that recurses without a
+// loop would be bounded by neither. Therefore each function gets, at its start, an empty loop, which makes the engine check for a
+// time-out, and code that counts the stack used by all active calls in an added global and traps beyond a limit.
 //
 // Source: WebAssembly Core Specification 2.0, chapter 5 (binary format).
 package wasm
 
 import "encoding/binary"
 
-// Bounded returns module with the checks in place; stack is how many values of eight bytes all open calls
-// together may take. Custom sections are left out: nothing that runs needs them. A module that uses what the
-// engine here has switched off (threads, vectors, tail calls) is refused by name.
+// Bounded returns module with the checks inserted. stack is the limit for all active calls together, in values of eight bytes. Custom
+// sections are removed, because running the module does not need them. A module that uses threads, vector instructions or tail calls,
+// which are disabled in the engine, is refused with an error that names the feature.
 //
-// Errors are *ParseError and *FunctionError. Code is not validated beyond what rewriting it needs: the engine does that.
+// Errors are *ParseError and *FunctionError. Code is validated only as far as rewriting requires; the engine does the rest.
 func Bounded(module []byte, stack uint32) ([]byte, error) {
 	sections, err := readSections(module)
 	if err != nil {
@@ -27,7 +26,7 @@
 			return nil, err
 		}
 	}
-	// Code comes first: its blocks may need further types.
+	// The code is rewritten before the type section is written, because it may add types.
 	var code []byte
 	for i := range sections {
 		if s := &sections[i]; s.id == SectionCode {
@@ -40,7 +39,7 @@
 	return w.appendModule(out, sections, code), nil
 }
 
-// rewrittenCapacity is a capacity that most rewritten code fits in.
+// rewrittenCapacity returns the capacity of a buffer that most code of a size fits in after rewriting.
 func rewrittenCapacity(size int) int { return size + size/4 }
 
 // rewriter rewrites one module.
@@ -48,20 +47,19 @@
 	declarations
 	maxStack   uint32            // values of eight bytes
 	addedTypes []byte            // function types that the module does not have
-	addedIndex map[string]uint32 // of each of them, by its results
+	addedIndex map[string]uint32 // index of each added type, by its encoded results
 }
 
-// stackGlobal is the index of the global that counts the stack, added behind the module's own.
+// stackGlobal returns the index of the added global that counts the stack. It follows the module's own globals.
 func (w *rewriter) stackGlobal() uint64 { return uint64(w.globals) }
 
-// appendModule puts the module together again. The global section is written even where the module has none.
+// appendModule appends the rewritten module. If there are functions, it writes a global section even where the module has none.
 func (w *rewriter) appendModule(out []byte, sections []section, code []byte) []byte {
 	out = append(out, Magic...)
 	wroteGlobals := len(w.functions) == 0
 	for i := range sections {
 		s := &sections[i]
-		// Sections stand in the order of their ids, but for one with the number of data segments (12), which
-		// goes before the code.
+		// Sections are ordered by their ids, except the data count section (12), which precedes the code section.
 		if s.id >= SectionGlobal && !wroteGlobals {
 			out = appendSection(out, SectionGlobal, w.globalSection())
 			wroteGlobals = true
@@ -69,7 +67,7 @@
 		switch s.id {
 		case SectionType:
 			out = appendSection(out, s.id, w.typeSection())
-		case SectionGlobal: // done
+		case SectionGlobal: // written above
 		case SectionCode:
 			out = appendSection(out, s.id, code)
 		default:
--- a/internal/relay/plugin/wasm/bound_test.go
+++ b/internal/relay/plugin/wasm/bound_test.go
@@ -13,7 +13,7 @@
 	w "mastusher/internal/relay/plugin/wasmtest"
 )
 
-// run calls "f" of a module that was rewritten.
+// run rewrites a module and calls its export "f".
 func run(t *testing.T, m *w.Module, stack uint32, args ...uint64) ([]uint64, error) {
 	t.Helper()
 	b, err := wasm.Bounded(m.Bytes(), stack)
@@ -29,7 +29,8 @@
 	return i.ExportedFunction("f").Call(t.Context(), args...)
 }
 
-// TestBounded_Functions_ReturnTheSame: what a function returns is what it returned before, by whichever way it leaves.
+// TestBounded_Functions_ReturnTheSame: a rewritten function returns the same results as the original, whether it returns at its end, by a
+// return or by a branch.
 func TestBounded_Functions_ReturnTheSame(t *testing.T) {
 	two := w.Sig{Results: []byte{w.I32, w.I64}}
 	for name, c := range map[string]struct {
@@ -66,22 +67,22 @@
 	}
 }
 
-// TestBounded_Recursion_EndsAtStackLimit: recursion ends where the stack that it was given does, and what has returned is given back.
+// TestBounded_Recursion_EndsAtStackLimit: recursion traps at the stack limit, and calls that have returned no longer count.
 func TestBounded_Recursion_EndsAtStackLimit(t *testing.T) {
 	m := w.New(1, 1)
 	self := m.Next()
 	m.Func(w.I32s(1), 0, w.Get(0), w.Eqz, w.If(w.Const(0), w.Return), w.Get(0), w.Const(1), w.Sub, w.Call(self), w.Const(1), w.Add)
-	// Twice the same depth, one after another: the second must find the whole stack again.
+	// Two recursions of the same depth, one after the other: the second must have the whole stack available again.
 	m.Export("f", m.Func(w.I32s(1), 0, w.Get(0), w.Call(self), w.Get(0), w.Call(self), w.Add))
 	if got, err := run(t, m, 4000, 100); err != nil || got[0] != 200 {
-		t.Errorf("%v, %v", got, err)
+		t.Errorf("result %v, %v; want 200", got, err)
 	}
 	if _, err := run(t, m, 4000, 1000); err == nil || !strings.Contains(err.Error(), "unreachable") {
 		t.Errorf("error %v, want a trap", err)
 	}
 }
 
-// TestBounded_CutModule_NeverPanics: wherever a module is cut short, there is an error or a module.
+// TestBounded_CutModule_NeverPanics: Bounded does not panic for a module that is truncated anywhere.
 func TestBounded_CutModule_NeverPanics(*testing.T) {
 	module := w.Hoards()
 	for size := range module {
@@ -99,7 +100,7 @@
 		"atomic instruction":             {[]byte{0xfe, 0}, "wasm: function 1: threads are not supported"},
 		"unknown instruction":            {[]byte{0xff}, "wasm: function 1: unknown instruction 0xff"},
 		"unknown instruction of a group": {[]byte{0xfc, 18}, "wasm: function 1: unknown instruction fc 18"},
-		"instruction after the last end": {[]byte{0x0b, 0x0b}, "wasm: function 1: code after its end"},
+		"instruction after the last end": {[]byte{0x0b, 0x0b}, "wasm: function 1: code after the function's end"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := w.New(1, 1)
@@ -112,10 +113,10 @@
 			}
 			var code *wasm.CodeError
 			if !errors.As(err, &code) {
-				t.Fatalf("error %#v, want one of the code", function.Err)
+				t.Fatalf("error %#v, want a *CodeError", function.Err)
 			}
 			if name != "instruction after the last end" && m.Bytes()[code.Offset] != c.code[0] {
-				t.Errorf("byte %#x stands at offset %d, want the instruction", m.Bytes()[code.Offset], code.Offset)
+				t.Errorf("the error's offset %d has byte %#x, want the instruction", code.Offset, m.Bytes()[code.Offset])
 			}
 		})
 	}
@@ -130,12 +131,12 @@
 		"no header":                  {nil, wasm.ParseError{Reason: "invalid magic number"}},
 		"another file":               {[]byte("\x7fELF\x01\x00\x00\x00"), wasm.ParseError{Reason: "invalid magic number"}},
 		"another version":            {[]byte("\x00asm\x0d\x00\x01\x00"), wasm.ParseError{Offset: 4, Reason: "binary format version 65549, want 1"}},
-		"section over the end":       {of(1, 9), wasm.ParseError{Offset: 10, Reason: "cut short"}},
-		"type that is no function's": {of(1, 2, 1, 0x5f), wasm.ParseError{Section: wasm.SectionType, Offset: 12, Reason: "a type that is no function's"}},
+		"section past the end":       {of(1, 9), wasm.ParseError{Offset: 10, Reason: "unexpected end or invalid number"}},
+		"type that is no function's": {of(1, 2, 1, 0x5f), wasm.ParseError{Section: wasm.SectionType, Offset: 12, Reason: "a type that is not a function type"}},
 		"import of unknown kind":     {of(2, 4, 1, 0, 0, 9), wasm.ParseError{Section: wasm.SectionImport, Offset: 14, Reason: "an import of unknown kind"}},
-		"function without a type":    {of(3, 2, 1, 7), wasm.ParseError{Section: wasm.SectionFunction, Offset: 12, Reason: "a function of no type"}},
+		"function without a type":    {of(3, 2, 1, 7), wasm.ParseError{Section: wasm.SectionFunction, Offset: 12, Reason: "a function with an undefined type index"}},
 		"code without a function": {of(10, 1, 1),
-			wasm.ParseError{Section: wasm.SectionCode, Offset: 11, Reason: "functions and their code differ in number"}},
+			wasm.ParseError{Section: wasm.SectionCode, Offset: 11, Reason: "the function and code sections differ in length"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := wasm.Bounded(c.module, 1000)
@@ -153,17 +154,18 @@
 	}
 }
 
-// TestBounded_CodeCutShort_NamesFunction: where a function's code has no end, the error names the function and wraps the place.
+// TestBounded_CodeCutShort_NamesFunction: for a function whose code has no end, the error names the function, and wraps a ParseError with
+// the offset.
 func TestBounded_CodeCutShort_NamesFunction(t *testing.T) {
 	module := append([]byte(wasm.Magic), 1, 4, 1, 0x60, 0, 0, 3, 2, 1, 0, 10, 5, 1, 3, 0, 0x41, 0x80)
 	_, err := wasm.Bounded(module, 1000)
 	var parse *wasm.ParseError
-	if !errors.As(err, &parse) || parse.Offset != len(module) || err.Error() != "wasm: function 0: wasm: cut short" {
-		t.Errorf("error %v (%+v), want one at the module's end", err, parse)
+	if !errors.As(err, &parse) || parse.Offset != len(module) || err.Error() != "wasm: function 0: wasm: unexpected end or invalid number" {
+		t.Errorf("error %v (%+v), want one of function 0 at the module's end", err, parse)
 	}
 }
 
-// FuzzBounded: no input makes it panic, and what it makes of a module that is valid is valid too.
+// FuzzBounded: no input makes Bounded panic, and a valid module is still valid after rewriting.
 func FuzzBounded(f *testing.F) {
 	for _, m := range [][]byte{w.Hoards(), w.Fans(), w.Floods(), w.Header("X-A", "b"), w.ABI1(1, 2), w.LoopsAtStart()} {
 		f.Add(m)
@@ -179,7 +181,7 @@
 		defer r.Close(ctx)
 		if _, err := r.CompileModule(ctx, b); err == nil {
 			if _, err := r.CompileModule(ctx, out); err != nil {
-				t.Errorf("it was valid, and is not now: %v", err)
+				t.Errorf("a valid module is invalid after rewriting: %v", err)
 			}
 		}
 	})
--- a/internal/relay/plugin/wasm/errors.go
+++ b/internal/relay/plugin/wasm/errors.go
@@ -2,30 +2,29 @@
 
 import "fmt"
 
-// ParseError says what is wrong with the structure of a module, and where.
+// ParseError is returned for a module with an invalid structure.
 type ParseError struct {
-	Section Section // SectionCustom where no other section is being read: in the header, or between sections
+	Section Section // the section that was being read; SectionCustom: the header, or between sections
 	Offset  int     // where reading ended, in bytes from the beginning of the module
 	Reason  string
 }
 
-// Error is the reason alone, without the place.
+// Error returns the reason without the section and offset.
 func (e *ParseError) Error() string { return "wasm: " + e.Reason }
 
-// CodeError says which instruction of a function is not supported, or what else is wrong with its code. Bounded
-// returns it inside a FunctionError.
+// CodeError is returned, inside a FunctionError, for code that is invalid or has an unsupported instruction.
 type CodeError struct {
 	Offset int // of the instruction, in bytes from the beginning of the module
 	Reason string
 }
 
-// Error is the reason alone, without the place.
+// Error returns the reason without the offset.
 func (e *CodeError) Error() string { return e.Reason }
 
-// FunctionError names the function whose code can't be rewritten.
+// FunctionError is returned for a function whose code can't be rewritten.
 type FunctionError struct {
-	Index uint32 // among the functions that the module defines; imported ones do not count
-	Err   error  // *CodeError, or *ParseError where the code is cut short or has an invalid number
+	Index uint32 // among the functions that the module defines, not counting imported ones
+	Err   error  // *CodeError, or *ParseError if the code is truncated or has an invalid number
 }
 
 // Error names the function and the cause.
--- a/internal/relay/plugin/wasm/function.go
+++ b/internal/relay/plugin/wasm/function.go
@@ -2,22 +2,22 @@
 
 import "encoding/binary"
 
-// maxLocals is how many local variables a function may have. All of them are set to 0 at each call.
+// maxLocals is the maximum number of local variables of a function. It is limited because all of them are set to 0 at each call.
 const maxLocals = 50000
 
-// frameOverhead is what a call takes of the stack beside its locals, in values of eight bytes.
+// frameOverhead is the stack that a call takes in addition to its locals, in values of eight bytes.
 const frameOverhead = 16
 
-// rewriteCode returns the code section with each function bounded.
+// rewriteCode returns the code section with the checks inserted into each function.
 func (w *rewriter) rewriteCode(s *section) ([]byte, error) {
 	r := s.reader()
 	count := r.u32()
 	if r.err == nil && int(count) != len(w.functions) {
-		r.failParse("functions and their code differ in number")
+		r.failParse("the function and code sections differ in length")
 		return nil, r.err
 	}
 	out := binary.AppendUvarint(make([]byte, 0, rewrittenCapacity(len(r.data))), uint64(count))
-	var function []byte // used for one after another
+	var function []byte // buffer, reused for each function
 	for i := range count {
 		body := r.vector()
 		if r.err != nil {
@@ -33,8 +33,8 @@
 	return out, r.err
 }
 
-// appendFunction appends one function, its body in a block between a prologue that takes stack and an epilogue that
-// gives it back.
+// appendFunction appends a rewritten function: a prologue that adds the call's stack size to the global counter, the body in a block,
+// and an epilogue that subtracts it again.
 func (w *rewriter) appendFunction(out []byte, body span, typeIndex uint32) ([]byte, error) {
 	r := &reader{span: body, section: SectionCode}
 	locals := r.readLocals()
@@ -42,7 +42,7 @@
 		return nil, r.err
 	}
 	out = append(out, r.data[:r.pos]...)
-	// What a call takes of the machine's stack: its locals, and some of what it computes.
+	// An estimate of the machine stack that a call takes: its locals, and a share of its code size for intermediate values.
 	size := int64(frameOverhead+locals) + int64(len(r.data)/8)
 	out = w.appendPrologue(out, size, typeIndex)
 	out, err := appendBody(out, r)
@@ -52,7 +52,7 @@
 	return w.appendEpilogue(out, size), nil
 }
 
-// readLocals reads the declarations of local variables and returns how many there are.
+// readLocals reads the declarations of local variables and returns the number of variables.
 func (r *reader) readLocals() (locals uint64) {
 	for range r.u32() {
 		locals += uint64(r.u32())
@@ -67,8 +67,8 @@
 	return locals
 }
 
-// appendPrologue takes size from the stack, traps where that is over the limit, and opens the block that the body
-// stands in. The empty loop makes the engine check for a time-out.
+// appendPrologue appends code that adds size to the stack counter and traps beyond the limit, an empty loop, which makes the engine
+// check for a time-out, and the start of the block that encloses the body.
 func (w *rewriter) appendPrologue(out []byte, size int64, typeIndex uint32) []byte {
 	out = w.appendStackChange(out, opI32Add, size)
 	out = w.appendStackGet(out)
@@ -79,13 +79,13 @@
 	return append(out, w.blockType(typeIndex)...)
 }
 
-// appendEpilogue gives size back to the stack and ends the function.
+// appendEpilogue appends code that subtracts size from the stack counter, and the function's end.
 func (w *rewriter) appendEpilogue(out []byte, size int64) []byte {
 	out = w.appendStackChange(out, opI32Sub, size)
 	return append(out, opEnd)
 }
 
-// appendStackChange adds size to the global that counts the stack, or subtracts it.
+// appendStackChange appends code that changes the stack counter by size; operation is opI32Add or opI32Sub.
 func (w *rewriter) appendStackChange(out []byte, operation byte, size int64) []byte {
 	out = w.appendStackGet(out)
 	out = appendSigned(append(out, opI32Const), size)
@@ -97,8 +97,8 @@
 	return binary.AppendUvarint(append(out, opGlobalGet), w.stackGlobal())
 }
 
-// appendBody appends a function's code to its last end, which closes the block of the prologue. A return becomes a
-// branch to that end.
+// appendBody appends a function's code including its final end, which closes the block that the prologue opened. Each return is
+// replaced by a branch to that end, so that the epilogue is run.
 func appendBody(out []byte, r *reader) ([]byte, error) {
 	depth, copied := uint32(0), r.pos
 	for {
@@ -110,7 +110,7 @@
 		case opEnd:
 			if depth == 0 {
 				if !r.done() {
-					r.failCode(r.pos, "code after its end")
+					r.failCode(r.pos, "code after the function's end")
 				}
 				return append(out, r.data[copied:r.pos]...), r.err
 			}
@@ -127,8 +127,8 @@
 	}
 }
 
-// blockType is the type of a block with the results of a function type. One type may stand there as it is; for several
-// a function type without parameters is added.
+// blockType returns the encoded type of a block with the results of a function type. A block type can be empty or a single value type;
+// for several results a function type without parameters is added to the module.
 func (w *rewriter) blockType(typeIndex uint32) []byte {
 	results := w.results[typeIndex]
 	switch count := results[0]; count {
--- a/internal/relay/plugin/wasm/instructions.go
+++ b/internal/relay/plugin/wasm/instructions.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Instructions that are read, or written, by name; chapter 5.4 of the specification has them all.
+// Opcodes of the instructions that are used here. Chapter 5.4 of the specification lists all.
 const (
 	opUnreachable        = 0x00
 	opNop                = 0x01
@@ -26,19 +26,19 @@
 	opGlobalGet          = 0x23
 	opGlobalSet          = 0x24
 	opTableSet           = 0x26
-	opI32Load            = 0x28 // the first that reads or writes memory
-	opI64Store32         = 0x3e // the last
+	opI32Load            = 0x28 // the first of the loads and stores
+	opI64Store32         = 0x3e // the last of the loads and stores
 	opMemorySize         = 0x3f
 	opMemoryGrow         = 0x40
 	opI32Const           = 0x41
 	opI64Const           = 0x42
 	opF32Const           = 0x43
 	opF64Const           = 0x44
-	opI32Eqz             = 0x45 // the first that only computes
+	opI32Eqz             = 0x45 // the first of the numeric instructions
 	opI32GtU             = 0x4b
 	opI32Add             = 0x6a
 	opI32Sub             = 0x6b
-	opI64Extend32S       = 0xc4 // the last that only computes
+	opI64Extend32S       = 0xc4 // the last of the numeric instructions
 	opRefNull            = 0xd0
 	opRefIsNull          = 0xd1
 	opRefFunc            = 0xd2
@@ -47,9 +47,9 @@
 	opPrefixThreads      = 0xfe
 )
 
-// Instructions behind opPrefixMisc.
+// Second opcodes of the instructions with opPrefixMisc.
 const (
-	miscI64TruncSatF64U = 7 // the last that only computes
+	miscI64TruncSatF64U = 7 // the last numeric one
 	miscMemoryInit      = 8
 	miscDataDrop        = 9
 	miscMemoryCopy      = 10
@@ -62,11 +62,11 @@
 	miscTableFill       = 17
 )
 
-// skipImmediates skips the immediate arguments of an instruction. It refuses what the engine has switched off.
+// skipImmediates skips the immediate arguments of an instruction. It fails for instructions that are disabled in the engine.
 func (r *reader) skipImmediates(opcode byte) {
 	switch {
 	case opcode >= opI32Eqz && opcode <= opI64Extend32S:
-	case opcode >= opBlock && opcode <= opIf: // the type of a block
+	case opcode >= opBlock && opcode <= opIf: // block type
 		r.skipSigned(maxLEB32)
 	case opcode >= opLocalGet && opcode <= opTableSet:
 		r.u32()
@@ -78,7 +78,7 @@
 	}
 }
 
-// skipOtherImmediates does skipImmediates' work for the instructions outside of the ranges that share a shape.
+// skipOtherImmediates is skipImmediates for the instructions that are not in a range with the same kind of arguments.
 func (r *reader) skipOtherImmediates(opcode byte) {
 	at := r.pos - 1
 	switch opcode {
@@ -124,7 +124,7 @@
 	}
 }
 
-// skipMiscImmediates skips an instruction behind opPrefixMisc.
+// skipMiscImmediates skips the second opcode and the arguments of an instruction with opPrefixMisc.
 func (r *reader) skipMiscImmediates() {
 	at := r.pos - 1
 	opcode := r.u32()
--- a/internal/relay/plugin/wasm/reader.go
+++ b/internal/relay/plugin/wasm/reader.go
@@ -2,23 +2,23 @@
 
 import "encoding/binary"
 
-// Longest encodings of signed numbers in LEB128, in bytes.
+// Maximum lengths in bytes of numbers of 32 and 64 bits in LEB128.
 const (
 	maxLEB32 = 5
 	maxLEB64 = 10
 )
 
-// span is a part of a module and where it begins there.
+// span is a part of a module.
 type span struct {
 	data   []byte
-	offset int // bytes from the beginning of the module
+	offset int // of data, in bytes from the beginning of the module
 }
 
-// reader decodes a span. Its first error sticks: from then on all reads return zero values.
+// reader decodes a span. After the first error, which it keeps, all reads return zero values.
 type reader struct {
 	span
 	section Section // for errors
-	pos     int     // of the next byte, in the span
+	pos     int     // index of the next byte in the span
 	err     error
 }
 
@@ -29,19 +29,19 @@
 	}
 }
 
-// failParse records an error at the position reached.
+// failParse records a ParseError at the current position.
 func (r *reader) failParse(reason string) {
 	r.fail(&ParseError{Section: r.section, Offset: r.offset + r.pos, Reason: reason})
 }
 
-// failCode records an error of the code at a position in the span.
+// failCode records a CodeError at a position in the span.
 func (r *reader) failCode(pos int, reason string) {
 	r.fail(&CodeError{Offset: r.offset + pos, Reason: reason})
 }
 
-func (r *reader) failTruncated() { r.failParse("cut short") }
+func (r *reader) failTruncated() { r.failParse("unexpected end or invalid number") }
 
-// done tells whether all has been read.
+// done reports whether the whole span has been read.
 func (r *reader) done() bool { return r.pos >= len(r.data) }
 
 func (r *reader) byte() byte {
@@ -53,7 +53,7 @@
 	return r.data[r.pos-1]
 }
 
-// u32 reads an unsigned number in LEB128.
+// u32 reads an unsigned 32-bit number in LEB128.
 func (r *reader) u32() uint32 {
 	value, size := binary.Uvarint(r.data[min(r.pos, len(r.data)):])
 	if r.err != nil || size <= 0 || size > maxLEB32 || value > 1<<32-1 {
@@ -84,7 +84,7 @@
 	return r.data[r.pos-int(size) : r.pos]
 }
 
-// vector returns the bytes of a vector of bytes, which its size precedes.
+// vector reads a vector of bytes, which is preceded by its size.
 func (r *reader) vector() span {
 	size := r.u32()
 	offset := r.offset + r.pos
--- a/internal/relay/plugin/wasm/sections.go
+++ b/internal/relay/plugin/wasm/sections.go
@@ -5,16 +5,16 @@
 	"fmt"
 )
 
-// Magic is how each module begins, with the version of the binary format.
+// Magic is the header of a module: the magic number and the version of the binary format.
 const Magic = "\x00asm\x01\x00\x00\x00"
 
-// magicSize is the size of the part of Magic before the version.
+// magicSize is the size in bytes of the magic number, which the version follows.
 const magicSize = 4
 
-// Section is the id of a section of a module.
+// Section is the id of a module's section.
 type Section byte
 
-// The sections that are read or rewritten here; the others are copied.
+// The sections that are read, rewritten or removed; others are copied.
 const (
 	SectionCustom   Section = 0
 	SectionType     Section = 1
@@ -40,7 +40,7 @@
 	emptyBlock   = 0x40 // type of a block without results
 )
 
-// section is one section as it stands in a module.
+// section is one section of a module.
 type section struct {
 	id   Section
 	body span
@@ -48,7 +48,7 @@
 
 func (s *section) reader() *reader { return &reader{span: s.body, section: s.id} }
 
-// readSections splits a module into its sections and leaves out custom ones.
+// readSections splits a module into its sections, without custom ones.
 func readSections(module []byte) ([]section, error) {
 	if len(module) < len(Magic) || string(module[:magicSize]) != Magic[:magicSize] {
 		return nil, &ParseError{Reason: "invalid magic number"}
@@ -74,17 +74,17 @@
 	return append(b, body...)
 }
 
-// declarations is what a module declares before its code, as far as the rewritten functions need it.
+// declarations has what a module declares in the sections before its code, as far as rewriting needs it.
 type declarations struct {
-	results       [][]byte // of each function type, encoded as a vector
-	types         []byte   // all function types as they stand, without their count
-	functions     []uint32 // type of each function that the module defines
-	globals       uint32   // imported and defined
-	ownGlobals    uint32   // defined
-	ownGlobalBody []byte   // those as they stand, without their count
+	results       [][]byte // results of each function type, encoded as a vector
+	types         []byte   // all function types, encoded, without their count
+	functions     []uint32 // type index of each function that the module defines
+	globals       uint32   // number of imported and defined globals
+	ownGlobals    uint32   // number of defined globals
+	ownGlobalBody []byte   // defined globals, encoded, without their count
 }
 
-// read takes in one section; those that declare nothing of use are passed over.
+// read reads the declarations of one section. It ignores sections that have none.
 func (d *declarations) read(s *section) error {
 	r := s.reader()
 	switch s.id {
@@ -105,7 +105,7 @@
 	start := r.pos
 	for range count {
 		if r.byte() != functionType || r.err != nil {
-			r.failParse("a type that is no function's")
+			r.failParse("a type that is not a function type")
 			return
 		}
 		r.vector() // parameters
@@ -147,7 +147,7 @@
 	for range r.u32() {
 		typeIndex := r.u32()
 		if r.err == nil && int(typeIndex) >= len(d.results) {
-			r.failParse("a function of no type")
+			r.failParse("a function with an undefined type index")
 		}
 		if r.err != nil {
 			return
--- a/internal/relay/plugin/wasmtest/asm.go
+++ b/internal/relay/plugin/wasmtest/asm.go
@@ -1,8 +1,7 @@
-// Package wasmtest is a small assembler for WebAssembly modules and a set of hostile plug-ins made with it: stand-ins
-// for what authors may hand in, for tests and for cmd/plugin-benchmark. It shares no code with package wasm, which it
-// tests. Modules are valid only if their code is: nothing is checked here.
+// Package wasmtest has a small assembler for WebAssembly modules, and plug-ins made with it, many of them hostile, for tests and for
+// cmd/plugin-benchmark. It shares no code with package wasm, whose tests use it. It does not check the code that it assembles.
 //
-// asm.go has modules, instructions.go what code is made of, plugins.go the plug-ins.
+// asm.go has modules, instructions.go instructions, plugins.go the plug-ins.
 package wasmtest
 
 import (
@@ -10,7 +9,7 @@
 	"slices"
 )
 
-// Types of values.
+// Value types.
 const (
 	I32 byte = 0x7f
 	I64 byte = 0x7e
@@ -26,10 +25,10 @@
 	ToI64 = Sig{nil, []byte{I64}}
 )
 
-// I32s is the type of a function of n i32 that returns one.
+// I32s returns the type of a function with n parameters of type i32 and one i32 result.
 func I32s(n int) Sig { return Sig{slices.Repeat([]byte{I32}, n), []byte{I32}} }
 
-// I32sOut is the type of a function of n i32 that returns nothing.
+// I32sOut returns the type of a function with n parameters of type i32 and no result.
 func I32sOut(n int) Sig { return Sig{slices.Repeat([]byte{I32}, n), nil} }
 
 // Ids of sections.
@@ -54,24 +53,24 @@
 // noStart is Module.start where there is no start function.
 const noStart = -1
 
-// Module is one that is being put together. Imports come before functions.
+// Module is a module that is being assembled. All imports must be added before the first function.
 type Module struct {
 	types     []Sig
 	imports   []byte
 	importNo  uint32
-	functions []uint32 // their types
+	functions []uint32 // type index of each function
 	bodies    [][]byte // of the functions
 	exports   []byte
 	exportNo  uint32
 	globals   uint32
-	pages     uint32 // of 64 KB, that the memory begins with
+	pages     uint32 // initial size of the memory in pages of 64 KB
 	maxPages  uint32
 	data      []byte
 	dataNo    uint32
-	start     int // number of a function, or noStart
+	start     int // index of the start function, or noStart
 }
 
-// New returns a module with a memory of pages of 64 KB, of maxPages at most, exported as "memory".
+// New returns a module that exports a memory as "memory". Its initial and maximum sizes are in pages of 64 KB.
 func New(pages, maxPages uint32) *Module {
 	m := &Module{pages: pages, maxPages: maxPages, start: noStart}
 	m.exports = append(appendName(m.exports, "memory"), kindMemory, 0)
@@ -84,7 +83,7 @@
 	return append(binary.AppendUvarint(b, uint64(len(name))), name...)
 }
 
-// typeIndex is the index of a signature among the module's types, where it is added if need be.
+// typeIndex returns the index of a signature among the module's types. It adds the signature if need be.
 func (m *Module) typeIndex(s Sig) uint32 {
 	for i, t := range m.types {
 		if slices.Equal(t.Params, s.Params) && slices.Equal(t.Results, s.Results) {
@@ -95,7 +94,7 @@
 	return uint32(len(m.types) - 1)
 }
 
-// Import adds an import and returns its number.
+// Import adds an imported function and returns its index.
 func (m *Module) Import(module, fn string, s Sig) uint32 {
 	m.imports = append(appendName(appendName(m.imports, module), fn), kindFunction)
 	m.imports = binary.AppendUvarint(m.imports, uint64(m.typeIndex(s)))
@@ -103,7 +102,7 @@
 	return m.importNo - 1
 }
 
-// Func adds a function with i32 locals and returns its number; the code needs no end.
+// Func adds a function with a number of i32 locals, and returns its index. The final end instruction is added to the code.
 func (m *Module) Func(s Sig, locals uint32, code ...[]byte) uint32 {
 	body := []byte{0}
 	if locals > 0 {
@@ -115,7 +114,7 @@
 	return m.Next() - 1
 }
 
-// Next is the number that the next function will have.
+// Next returns the index that the next function will have.
 func (m *Module) Next() uint32 { return m.importNo + uint32(len(m.functions)) }
 
 // Export exports a function.
@@ -125,7 +124,7 @@
 	return m
 }
 
-// Global adds a variable i32 that starts at 0 and returns its number.
+// Global adds a mutable i32 global with the value 0 and returns its index.
 func (m *Module) Global() uint32 {
 	m.globals++
 	return m.globals - 1
@@ -137,7 +136,7 @@
 	return m
 }
 
-// Data puts text at a place in memory and returns the place and size as constants.
+// Data adds text as a data segment at an address, and returns code that pushes the address and the size.
 func (m *Module) Data(at int32, text string) []byte {
 	const activeInMemory0 = 0
 	m.data = append(append(append(m.data, activeInMemory0), Const(at)...), opEnd)
@@ -146,7 +145,7 @@
 	return slices.Concat(Const(at), Const(int32(len(text))))
 }
 
-// Bytes is the module in the binary format.
+// Bytes returns the module in the binary format.
 func (m *Module) Bytes() []byte {
 	out := []byte("\x00asm\x01\x00\x00\x00")
 	out = appendSection(out, sectionType, uint32(len(m.types)), m.typeBodies())
@@ -163,7 +162,7 @@
 	return appendSection(out, sectionData, m.dataNo, m.data)
 }
 
-// appendSection appends a section of so many elements; without any there is none.
+// appendSection appends a section with a number of elements, unless that number is 0.
 func appendSection(out []byte, id byte, elements uint32, body []byte) []byte {
 	if elements == 0 {
 		return out
--- a/internal/relay/plugin/wasmtest/instructions.go
+++ b/internal/relay/plugin/wasmtest/instructions.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Opcodes of instructions with arguments, and the type of a block without results.
+// Opcodes of instructions with arguments, and the block type without results.
 const (
 	opLoop      = 0x03
 	opIf        = 0x04
@@ -46,16 +46,16 @@
 // Get pushes local n.
 func Get(n uint32) []byte { return binary.AppendUvarint([]byte{opLocalGet}, uint64(n)) }
 
-// Set pops local n.
+// Set pops a value into local n.
 func Set(n uint32) []byte { return binary.AppendUvarint([]byte{opLocalSet}, uint64(n)) }
 
 // GetGlobal pushes global n.
 func GetGlobal(n uint32) []byte { return binary.AppendUvarint([]byte{opGlobalGet}, uint64(n)) }
 
-// SetGlobal pops global n.
+// SetGlobal pops a value into global n.
 func SetGlobal(n uint32) []byte { return binary.AppendUvarint([]byte{opGlobalSet}, uint64(n)) }
 
-// Single instructions.
+// Instructions without variable arguments.
 var (
 	Unreachable = []byte{0x00}
 	Return      = []byte{0x0f}
@@ -72,18 +72,18 @@
 	Load8       = []byte{0x2d, 0, 0}
 )
 
-// Forever loops without end.
+// Forever is an endless loop.
 var Forever = []byte{opLoop, emptyBlock, opBr, 0, opEnd}
 
-// If runs then if the i32 on top is not 0.
+// If pops an i32 and runs the code in then if it is not 0.
 func If(then ...[]byte) []byte {
 	return slices.Concat([]byte{opIf, emptyBlock}, slices.Concat(then...), []byte{opEnd})
 }
 
-// Loop repeats its body; BrIf within it, outside of inner blocks, goes back to its head.
+// Loop is a loop block: BrIf(0) in its body, outside of inner blocks, branches to its head.
 func Loop(body ...[]byte) []byte {
 	return slices.Concat([]byte{opLoop, emptyBlock}, slices.Concat(body...), []byte{opEnd})
 }
 
-// BrIf branches to the head of the loop that it stands in, depth blocks out, if the i32 on top is not 0.
+// BrIf pops an i32 and, if it is not 0, branches to the label of the enclosing block at a nesting depth; 0: the innermost.
 func BrIf(depth byte) []byte { return []byte{opBrIf, depth} }
--- a/pluginsdk/answer.go
+++ b/pluginsdk/answer.go
@@ -4,34 +4,34 @@
 
 import "time"
 
-// Answer is what a destination has answered to an attempt. It is valid in OnAnswer's handler. A plug-in may only make
-// the relay more careful: docs/plugins.md has the table of what may be asked for upon which answer.
+// Answer is a destination's answer to an attempt to deliver the message. It is valid while OnAnswer's handler runs. A plug-in may only
+// make the relay more careful: docs/plugins.md has a table of what may be requested for which answer.
 type Answer struct{ call }
 
-// Status is the answer's HTTP status.
+// Status returns the answer's HTTP status.
 func (Answer) Status() int { return int(hostNumber(numberStatus)) }
 
-// Destination is the name of the endpoint that answered.
+// Destination returns the name of the endpoint that answered.
 func (Answer) Destination() string { return string(field(fieldDestination)) }
 
-// Header is the first value of a header of the answer, whatever the case of the name; false: it has none.
+// Header returns the first value of a header of the answer; false: there is no such header. The case of the name does not matter.
 func (Answer) Header(name string) (string, bool) { return header(name) }
 
-// Sample is a copy of the beginning of the answer's body, 512 bytes at most.
+// Sample returns a copy of the beginning of the answer's body, at most 512 bytes.
 func (Answer) Sample() []byte { return field(fieldBody) }
 
-// Told is the wait that the destination has told, in whole milliseconds; 0: none.
+// Told returns the wait that the destination requested, in whole milliseconds; 0: none.
 func (Answer) Told() time.Duration { return milliseconds(numberRetryAfter) }
 
-// Wait has the relay send nothing to the partner for at least d, which is cut to whole milliseconds, and to a minute at
-// most. Of several calls the longest counts. d of 0 or less asks for nothing.
+// Wait makes the relay send nothing to the partner for at least d, which is truncated to whole milliseconds and limited to one
+// minute. Of several calls the longest wait counts. If d is 0 or less, Wait does nothing.
 //
-// The errors are ErrLooser, where the destination has told a longer wait, or the answer allows none, or a Refuse has been
-// granted; and in another phase ErrPhase.
+// The error is ErrLooser if the destination has requested a longer wait, if this answer allows no wait, or after a successful
+// Refuse. In another phase it is ErrPhase.
 func (Answer) Wait(d time.Duration) error { return refusalError(hostWait(d.Milliseconds())) }
 
-// Refuse has the message given up for good.
+// Refuse makes the relay give up the message: it is not sent again.
 //
-// The errors are ErrLooser, where the message may have run, or the destination has told a wait, or a Wait has been granted; and
-// in another phase ErrPhase.
+// The error is ErrLooser if the message may have run, if the destination has requested a wait, or after a successful Wait. In another
+// phase it is ErrPhase.
 func (Answer) Refuse() error { return refusalError(hostRefuse()) }
--- a/pluginsdk/ended.go
+++ b/pluginsdk/ended.go
@@ -2,8 +2,8 @@
 
 package pluginsdk
 
-// Ended is the end of a message that was taken on. It is valid in OnEnd's handler.
+// Ended is the end of an accepted message. It is valid while OnEnd's handler runs.
 type Ended struct{ call }
 
-// How is what the message ended as: delivered, handed_back, given_up or withdrawn.
+// How returns how the message ended: delivered, handed_back, given_up or withdrawn.
 func (Ended) How() string { return string(field(fieldResult)) }
--- a/pluginsdk/environment.go
+++ b/pluginsdk/environment.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Config is the JSON that the configuration has for this plug-in; "": none.
+// Config returns the JSON that the relay's configuration has for this plug-in; "": none.
 func Config() string { return string(field(fieldConfig)) }
 
-// Name is the plug-in's name in the configuration.
+// Name returns the plug-in's name in the relay's configuration.
 func Name() string { return string(field(fieldName)) }
 
-// Now is the relay's clock, in whole milliseconds. It stands still during a call.
+// Now returns the relay's time, in whole milliseconds. It does not change during a call.
 func Now() time.Time { return time.UnixMilli(hostNumber(numberNow)) }
 
-// Random is a random number. Its sequence is the same whenever this plug-in sees this message again in this phase, under
-// the same seed of the relay.
+// Random returns a random number. The sequence of numbers in a call depends only on the relay's seed, the plug-in, the phase and the
+// message, so that a repeated call gets the same numbers.
 func Random() uint64 { return hostRandom() }
 
-// Log writes a line to the relay's log, when the handler has ended; also if the call fails. Of a line 256 bytes are kept, and
-// what is not printable ASCII is escaped. There may be 10 lines a call, and 10 a second; further ones are dropped.
+// Log writes a line to the relay's log when the call has ended, also if the call fails. The line is truncated to 256 bytes and escaped
+// if it has anything but printable ASCII. A plug-in may log 10 lines per call and 10 per second; further lines are dropped.
 func Log(text string) {
 	pointer, size := pointerTo(text)
 	hostLog(pointer, size)
--- a/pluginsdk/errors_test.go
+++ b/pluginsdk/errors_test.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/relay/plugin/rules"
 )
 
-// TestRefusalError_RelaysNumbers_HaveTheirErrors: each refusal of the relay comes back as the error that stands for it.
+// TestRefusalError_RelaysNumbers_HaveTheirErrors: each refusal of package rules is converted to the error for it.
 func TestRefusalError_RelaysNumbers_HaveTheirErrors(t *testing.T) {
 	for refusal, want := range map[rules.Refusal]error{
 		rules.None:    nil,
@@ -23,21 +23,21 @@
 		rules.Absent:  ErrAbsent,
 	} {
 		if got := refusalError(int32(refusal)); !errors.Is(got, want) {
-			t.Errorf("%v (%d) is %v, want %v", refusal, refusal, got, want)
+			t.Errorf("refusal %v (%d): error %v, want %v", refusal, refusal, got, want)
 		}
 	}
 }
 
-// TestRefusalError_UnknownNumber_IsAnError: a number that this version does not know is never taken for success.
+// TestRefusalError_UnknownNumber_IsAnError: a number that this version of the SDK does not know is an error and not success.
 func TestRefusalError_UnknownNumber_IsAnError(t *testing.T) {
 	for _, number := range []int32{1, -8, -100, math.MaxInt32, math.MinInt32} {
 		if err := refusalError(number); err == nil || err.Error() != "pluginsdk: refused" {
-			t.Errorf("%d is %v", number, err)
+			t.Errorf("refusal %d: error %v, want errUnknownRefusal", number, err)
 		}
 	}
 }
 
-// TestPackage_ForWebAssembly_Vets: what is built for plug-ins only, examples included, compiles and vets.
+// TestPackage_ForWebAssembly_Vets: the files that are built for WebAssembly only, including the examples in tests, pass go vet.
 func TestPackage_ForWebAssembly_Vets(t *testing.T) {
 	vet := exec.CommandContext(t.Context(), "go", "vet", ".")
 	vet.Env = append(os.Environ(), "GOOS=wasip1", "GOARCH=wasm", "CGO_ENABLED=0")
--- a/pluginsdk/example_test.go
+++ b/pluginsdk/example_test.go
@@ -9,7 +9,7 @@
 	"mastusher/pluginsdk"
 )
 
-// A header for some messages only, and what to do where the relay refuses it.
+// Sets a header for one class of messages, and logs a refusal.
 func ExampleMessage_SetHeader() {
 	pluginsdk.OnArrival(func(m pluginsdk.Message) {
 		if m.Class() != "match-event" {
@@ -17,12 +17,12 @@
 		}
 		err := m.SetHeader("X-Desk", pluginsdk.Config())
 		if errors.Is(err, pluginsdk.ErrUnclean) {
-			pluginsdk.Log("the settings are no header: " + err.Error())
+			pluginsdk.Log("the settings are not a valid header: " + err.Error())
 		}
 	})
 }
 
-// A message that no attempt can deliver, turned away before it is taken on.
+// Rejects a message that can't be delivered, before the relay accepts it.
 func ExampleMessage_Reject() {
 	pluginsdk.OnArrival(func(m pluginsdk.Message) {
 		if len(m.Body()) == 0 {
@@ -33,7 +33,7 @@
 	})
 }
 
-// A wait that a destination tells in its body and not in a header.
+// Waits if a destination requests that in the body and not in a header.
 func ExampleAnswer_Wait() {
 	pluginsdk.OnAnswer(func(a pluginsdk.Answer) {
 		if a.Status() == 503 && string(a.Sample()) == "busy" {
@@ -44,7 +44,7 @@
 	})
 }
 
-// An alert that is logged once a minute at most, whichever instance comes upon its cause.
+// Logs an alert at most once a minute, in all instances together.
 func ExampleSet() {
 	pluginsdk.OnEnd(func(e pluginsdk.Ended) {
 		if e.How() != "given_up" {
--- a/pluginsdk/handlers.go
+++ b/pluginsdk/handlers.go
@@ -2,23 +2,23 @@
 
 package pluginsdk
 
-// The handlers; nil: the plug-in takes no part in the phase.
+// The handlers; nil: the plug-in does not handle the phase.
 var (
 	arrivalHandler func(Message)
 	answerHandler  func(Answer)
 	endHandler     func(Ended)
 )
 
-// OnArrival registers what is done when a message arrives, before its client has an answer: the time that the handler takes
-// is the client's. It is called in init; a further call takes the place of the first.
+// OnArrival registers the handler for messages that arrive. The client waits for its answer while the handler runs. OnArrival must be
+// called in init; a second call replaces the handler.
 func OnArrival(do func(Message)) { arrivalHandler = do }
 
-// OnAnswer registers what is done when a destination has answered. Where the plug-in may ask for nothing it is called later,
-// and holds nothing up. It is called in init; a further call takes the place of the first.
+// OnAnswer registers the handler for answers of destinations. If the answer allows no request of the plug-in, the handler is called
+// later and nothing waits for it. OnAnswer must be called in init; a second call replaces the handler.
 func OnAnswer(do func(Answer)) { answerHandler = do }
 
-// OnEnd registers what is done when a message is over. It is called some time afterwards, and not at all when too many such
-// calls wait already. It is called in init; a further call takes the place of the first.
+// OnEnd registers the handler for messages that have ended. The handler is called some time after the end, and not at all if too many
+// such calls are queued. OnEnd must be called in init; a second call replaces the handler.
 func OnEnd(do func(Ended)) { endHandler = do }
 
 // Bits of the mask of phases.
@@ -28,7 +28,7 @@
 	phaseEnd
 )
 
-// phaseMask tells the relay, when an instance has started, which phases the plug-in takes part in.
+// phaseMask returns the mask of the phases that the plug-in handles. The relay calls it when an instance has started.
 //
 //go:wasmexport mastusher_abi_2
 func phaseMask() (mask uint32) {
@@ -44,7 +44,7 @@
 	return mask
 }
 
-// statusOK is what a phase returns to the relay; a handler that fails panics, and does not return.
+// statusOK is the status that a phase function returns. There is no other, since a handler that fails panics and does not return.
 const statusOK = 0
 
 //go:wasmexport on_arrival
--- a/pluginsdk/hostfunctions.go
+++ b/pluginsdk/hostfunctions.go
@@ -4,8 +4,8 @@
 
 import "unsafe"
 
-// The relay's functions, ABI 2. Those that return a size return that of the whole even where only a part fits; below 0
-// there is no such thing. Those that return a refusal return 0 for success.
+// The relay's host functions of ABI 2. A returned size is that of the whole value, even if only a part of it fits into the buffer, or
+// negative if there is no such value. A returned refusal is 0 for success.
 
 //go:wasmimport mastusher_v2 get
 func hostGet(field uint32, at unsafe.Pointer, capacity uint32) (size int32)
@@ -52,7 +52,7 @@
 //go:wasmimport mastusher_v2 store_delete
 func hostStoreDelete(key unsafe.Pointer, keySize uint32)
 
-// Texts of a call, by their numbers in the interface.
+// Numbers of the text fields of a call, as the ABI defines them.
 const (
 	fieldFront = iota
 	fieldID
@@ -65,7 +65,7 @@
 	fieldName
 )
 
-// Numbers of a call, by their numbers in the interface.
+// Numbers of the numeric fields of a call, as the ABI defines them.
 const (
 	numberPhase = iota
 	numberPartner
--- a/pluginsdk/message.go
+++ b/pluginsdk/message.go
@@ -7,54 +7,55 @@
 	"time"
 )
 
-// call is what all phases know of a message.
+// call has the methods that are common to all phases.
 type call struct{}
 
-// Front is the name of the front that the message came by: platform or activitypub.
+// Front returns the name of the front that received the message: platform or activitypub.
 func (call) Front() string { return string(field(fieldFront)) }
 
-// ID is the message's id.
+// ID returns the message's id.
 func (call) ID() string { return string(field(fieldID)) }
 
-// Key is the message's idempotency key; "": it has none.
+// Key returns the message's idempotency key; "": it has none.
 func (call) Key() string { return string(field(fieldKey)) }
 
-// Class is the name of the message's class.
+// Class returns the name of the message's class.
 func (call) Class() string { return string(field(fieldClass)) }
 
-// Partner is the number of the partner that the message is for.
+// Partner returns the number of the partner that the message is for.
 func (call) Partner() int { return int(hostNumber(numberPartner)) }
 
-// Message is a message that has arrived and is not taken on yet. It is valid in OnArrival's handler.
+// Message is a message that has arrived and is not accepted yet. It is valid while OnArrival's handler runs.
 type Message struct{ call }
 
-// Body is a copy of the message's body, as the plug-ins before, and SetBody, have left it.
+// Body returns a copy of the message's body, with the changes of earlier plug-ins and of SetBody.
 func (Message) Body() []byte { return field(fieldBody) }
 
-// Header is the first value of a header of the client's request, whatever the case of the name; false: it has none.
+// Header returns the first value of a header of the client's request; false: there is no such header. The case of the name does not
+// matter.
 func (Message) Header(name string) (string, bool) { return header(name) }
 
-// header is the first value of a header of the request on arrival, of the answer upon an answer.
+// header returns the first value of a header: of the client's request on arrival, of the destination's answer in the answer phase.
 func header(name string) (string, bool) {
 	value, ok := readNamed(name, hostGetHeader)
 	return string(value), ok
 }
 
-// Out is the value of a header that will go out with the message, as this plug-in or one before has set it; false: none
-// has.
+// Out returns the value of a header that this plug-in or an earlier one has set, and that will be sent with the message; false: none
+// of them has set it.
 func (Message) Out(name string) (string, bool) {
 	value, ok := readNamed(name, hostOutHeader)
 	return string(value), ok
 }
 
-// Again tells whether the client has handed the message in before.
+// Again reports whether the client has submitted the message before.
 func (Message) Again() bool { return hostNumber(numberResubmitted) != 0 }
 
-// Left is the time until the message's deadline, in whole milliseconds; below 0: it has passed.
+// Left returns the time until the message's deadline, in whole milliseconds; below 0: the deadline has passed.
 func (Message) Left() time.Duration { return milliseconds(numberTimeLeft) }
 
-// SetHeader sets a header that goes out with the message each time that it is sent, in the place of one of that name.
-// There may be 16 of them, 4,096 bytes in all; a name may have 64 bytes, a value 1,024.
+// SetHeader sets an extra header, which is sent with the message in each attempt. It replaces an extra header with the same name. A
+// message may have 16 extra headers with 4,096 bytes in all; a name may have 64 bytes and a value 1,024.
 //
 // The errors are ErrOwned, ErrUnclean and ErrLarge, and in another phase ErrPhase.
 func (Message) SetHeader(name, value string) error {
@@ -66,9 +67,9 @@
 	return err
 }
 
-// RemoveHeader takes back a header that this plug-in or one before has set. Headers of the protocol can't be removed.
+// RemoveHeader removes an extra header that this plug-in or an earlier one has set. Headers of the protocol can't be removed.
 //
-// The errors are ErrAbsent, where no plug-in has set it, and in another phase ErrPhase.
+// The errors are ErrAbsent, if no plug-in has set the header, and in another phase ErrPhase.
 func (Message) RemoveHeader(name string) error {
 	namePointer, nameSize := pointerTo(name)
 	err := refusalError(hostRemoveHeader(namePointer, nameSize))
@@ -76,8 +77,8 @@
 	return err
 }
 
-// SetBody rewrites the body, where the front allows that: activitypub does, up to 64 KB, if the body is one JSON object
-// whose id, actor, type and endTime stay as they are and stand there once.
+// SetBody replaces the body, if the front allows that. The front activitypub allows a body of up to 64 KB that is one JSON object, in
+// which id, actor, type and endTime are unchanged and occur once.
 //
 // The errors are ErrLocked, ErrLarge and ErrOwned, and in another phase ErrPhase.
 func (Message) SetBody(body []byte) error {
@@ -87,12 +88,12 @@
 	return err
 }
 
-// Reject has the message turned away: it is not taken on, its client is answered with status, and no further plug-in is
-// asked. status is 400 to 499, but neither 408 nor 429, which would have the client send it again. why is the reason that the
-// client is told, of which 256 bytes are kept; what is not printable ASCII is escaped. The handler goes on to run, and a
-// second Reject takes the place of the first.
+// Reject makes the relay reject the message: it is not accepted, the client is answered with status, and no further plug-in is called.
+// status must be in 400 to 499, except 408 and 429, which would make the client send the message again. why is the reason that the
+// client receives. It is truncated to 256 bytes, and escaped if it has anything but printable ASCII. The handler continues to run, and
+// a second Reject replaces the first.
 //
-// The errors are ErrLooser for another status, and in another phase ErrPhase.
+// The errors are ErrLooser for any other status, and in another phase ErrPhase.
 func (Message) Reject(status int, why string) error {
 	pointer, size := pointerTo(why)
 	err := refusalError(hostReject(int32(status), pointer, size))
--- a/pluginsdk/store.go
+++ b/pluginsdk/store.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// The store is shared by all instances of the plug-in. What a call sets and deletes is seen by that call at once, and by
-// others when its handler has returned; of a call that fails nothing is kept. Calls of several instances that change the
-// same key at once are not isolated from each other: the last to return wins.
+// The store is shared by all instances of the plug-in. A call reads its own changes at once; other calls read them after its handler
+// has returned. The changes of a call that fails are lost. Concurrent calls in several instances that change the same key are not
+// isolated from each other: the handler that returns last wins.
 
-// Get is a copy of the value of a key in the plug-in's store; false: there is none, or its time is over.
+// Get returns a copy of the value of a key in the plug-in's store; false: there is none, or it has expired.
 func Get(key string) ([]byte, bool) { return readNamed(key, hostStoreGet) }
 
-// Set sets the value of a key in the plug-in's store, for ttl, cut to whole milliseconds; less than one, as 0, is for
-// good. A key has 1 to 128 bytes, a value 4,096 at most; the quota is 64 KB, which each entry takes 32 bytes of beside key and
-// value, and one entry for each 64 bytes of it.
+// Set sets the value of a key in the plug-in's store. The entry expires after ttl, which is truncated to whole milliseconds; with less
+// than one millisecond it never expires. A key has 1 to 128 bytes, and a value at most 4,096. The quota is 64 KB, of which each entry
+// takes 32 bytes in addition to its key and value; the store may have one entry for each 64 bytes of the quota.
 //
-// The error is ErrLarge. Where other calls fill the store before the handler returns nothing that it set is kept, which
-// the relay counts as refused.
+// The error is ErrLarge. If other calls fill the store before the handler returns, all of the handler's changes to the store are lost,
+// which the relay counts as a refused request.
 func Set(key string, value []byte, ttl time.Duration) error {
 	keyPointer, keySize := pointerTo(key)
 	valuePointer, valueSize := pointerToBytes(value)
@@ -29,7 +29,7 @@
 	return err
 }
 
-// Delete removes a key from the plug-in's store, if it is there.
+// Delete deletes a key from the plug-in's store, if it exists.
 func Delete(key string) {
 	pointer, size := pointerTo(key)
 	hostStoreDelete(pointer, size)
