--- a/internal/relay/plugin/abi1.go
+++ b/internal/relay/plugin/abi1.go
@@ -67,14 +67,14 @@
 // callABI1 calls a phase function of an ABI 1 module and takes over its verdict.
 func (w *worker) callABI1(ctx context.Context, function api.Function) error {
 	text := callJSON(w.call)
-	place, err := w.alloc.Call(ctx, uint64(len(text)))
+	address, err := w.alloc.Call(ctx, uint64(len(text)))
 	if err != nil {
 		return engineError(err)
 	}
-	if len(place) != 1 || !w.module.Memory().Write(uint32(place[0]), text) {
+	if len(address) != 1 || !w.module.Memory().Write(uint32(address[0]), text) {
 		return ErrAllocFailed
 	}
-	verdict, err := function.Call(ctx, place[0], uint64(len(text)))
+	verdict, err := function.Call(ctx, address[0], uint64(len(text)))
 	if err != nil {
 		return engineError(err)
 	}
--- a/internal/relay/plugin/gate/breaker.go
+++ b/internal/relay/plugin/gate/breaker.go
@@ -14,8 +14,8 @@
 // timeoutExtraFailures is the number of additional failures that a timed-out call counts as.
 const timeoutExtraFailures = 1
 
-// resetFactor is how many times as long as it was open a breaker must have been closed for its next opening to be as
-// short as the first.
+// resetFactor determines when the time that a breaker opens for is reset to Limits.OpenFor: after it has been closed for resetFactor
+// times the time that it was open before.
 const resetFactor = 10
 
 // breaker is a circuit breaker. Failures need not be consecutive to open it: a plug-in that fails for every third message is as
--- a/internal/relay/plugin/gate/gate.go
+++ b/internal/relay/plugin/gate/gate.go
@@ -24,9 +24,9 @@
 	FailureDecay          float64       // subtracted from the failures by each successful call
 	OpenFor               time.Duration // how long a breaker stays open at first; doubles with each failed trial
 	MaxOpenFor            time.Duration
-	HalfOpenTrials        int // good calls in a row, one at a time, that close a breaker
-	MaxPartners           int // partners with a breaker, the least recently used is forgotten first
-	OpenPartnersThreshold int // breakers of partners that, not closed at once, count failures against the plug-in's own
+	HalfOpenTrials        int // successful trial calls in a row, one at a time, that close a half-open breaker
+	MaxPartners           int // maximum number of partners whose state is kept; the least recently used one is forgotten first
+	OpenPartnersThreshold int // failures count for the plug-in's own breaker if at least this many partners' breakers are not closed
 }
 
 // PerPartner returns the maximum number of concurrent calls for one partner. If there are several instances, one partner can't
@@ -61,8 +61,8 @@
 // Ticket identifies an admitted call. Each must be passed to Leave exactly once.
 type Ticket struct {
 	partner     int
-	trial       bool // of the partner's breaker
-	pluginTrial bool // of the plug-in's own
+	trial       bool // the call is a trial of the partner's breaker
+	pluginTrial bool // the call is a trial of the plug-in's own breaker
 }
 
 // Gate decides for one plug-in. It is not safe for concurrent use.
--- a/internal/relay/plugin/gate/gate_test.go
+++ b/internal/relay/plugin/gate/gate_test.go
@@ -181,7 +181,7 @@
 	for partner := range maxPartner + 1 {
 		ticket, verdict := l.gate.Enter(later, partner)
 		if verdict != Admitted {
-			t.Fatalf("partner %d after an hour: verdict %v, want %v", partner, verdict, Admitted)
+			t.Fatalf("partner %d after an hour: verdict %v, want the call admitted", partner, verdict)
 		}
 		l.gate.Leave(later, ticket, 0, Succeeded)
 	}
--- a/internal/relay/plugin/host.go
+++ b/internal/relay/plugin/host.go
@@ -21,7 +21,7 @@
 // Limits of the circuit breakers that can't be configured.
 const (
 	failureDecay          = 0.05 // subtracted from the failure count by each successful call
-	openPartnersThreshold = 4    // from this many partners' breakers not closed on, failures count against the whole plug-in
+	openPartnersThreshold = 4    // failures count for the plug-in's breaker if at least this many partners' breakers are not closed
 )
 
 // Host runs all plug-ins. Its methods are safe for concurrent use, except Close.
--- a/internal/relay/plugin/hostile_test.go
+++ b/internal/relay/plugin/hostile_test.go
@@ -76,7 +76,7 @@
 	h := newSetup(t).with("bad", wasmtest.Floods(), "").with("good", wasmtest.Header("X-Desk", "sports"), "").host()
 	r := h.OnArrival("platform", message("m", 7))
 	if r.Verdict != engine.Rejected || len(r.Reason) > h.limits.PluginReason {
-		t.Errorf("got %+v, want a rejection with a reason of at most %d bytes", r, h.limits.PluginReason)
+		t.Errorf("got %+v, want a rejection with a reason of at most PluginReason bytes", r)
 	}
 }
 
@@ -116,9 +116,9 @@
 	return p.On("arrival", 0, wasmtest.Loop(p.Do("log", wasmtest.Const(0), wasmtest.Const(2<<10)), wasmtest.Const(1), wasmtest.BrIf(0)), wasmtest.Const(0)).Bytes()
 }
 
-// TestHost_LoopAfterTheFact_IsNotAwaited: a plug-in that loops in the answer and end phases does not change the answer, and the queue of
+// TestHost_LoopInAnswerOrEndPhase_IsNotAwaited: a plug-in that loops in the answer and end phases does not change the answer, and the queue of
 // deferred calls stays bounded.
-func TestHost_LoopAfterTheFact_IsNotAwaited(t *testing.T) {
+func TestHost_LoopInAnswerOrEndPhase_IsNotAwaited(t *testing.T) {
 	h := newSetup(t).with("bad", wasmtest.Loops(1), `"timeout": "50ms"`).host()
 	step := engine.NewAttempt(engine.Destination{Name: "s-1", Partner: 7}, h.SampleBytes("platform", 7, 0), engine.Item{ID: "m"})
 	step.ObserveAnswer(503, nil, nil)
--- a/internal/relay/plugin/inspect_test.go
+++ b/internal/relay/plugin/inspect_test.go
@@ -99,7 +99,7 @@
 		m := message("m", c.partner)
 		m.Class = c.class
 		if h.OnArrival(c.front, m); len(m.ExtraHeaders) != c.want {
-			t.Errorf("%+v: names and values of headers %v, want %d of them", c, m.ExtraHeaders, c.want)
+			t.Errorf("%+v: headers %v, want as many names and values as the case's last number", c, m.ExtraHeaders)
 		}
 	}
 }
@@ -126,7 +126,7 @@
 		})
 		m := message("m", 7)
 		if r := h.OnArrival("platform", m); r.Verdict != want || len(m.ExtraHeaders) > 0 {
-			t.Errorf("%s: %+v, headers %v; want verdict %v without headers", keys, r, m.ExtraHeaders, want)
+			t.Errorf("%s: %+v, headers %v; want the verdict of on_failure and no headers", keys, r, m.ExtraHeaders)
 		}
 		if c := &versionAt(h, 0).counts; c.Skipped.Load() != 1 || c.Calls.Load() != 0 {
 			t.Errorf("%s: %d calls skipped, want 1; %d made, want 0", keys, c.Skipped.Load(), c.Calls.Load())
--- a/internal/relay/plugin/reload.go
+++ b/internal/relay/plugin/reload.go
@@ -15,9 +15,9 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.generationNo++
-	fresh := 0
+	newVersions := 0
 	chain, err := h.loadChain(cfg, func(order int, v *version) {
-		fresh++
+		newVersions++
 		h.log.Info("plug-in ready", "plugin", v.cfg.Name, "order", order, "abi", v.abi, "module", v.moduleName(),
 			"phases", phaseNames(v.phases), "instances", v.cfg.Instances)
 	})
@@ -29,11 +29,11 @@
 	before := h.current.Swap(newGeneration(h.generationNo, chain))
 	h.release(before)
 	h.setPrepared(nil)
-	if h.cacheDir != "" && fresh > 0 {
+	if h.cacheDir != "" && newVersions > 0 {
 		h.trimCache()
 	}
 	h.writeStatus(cfg, nil)
-	if fresh > 0 {
+	if newVersions > 0 {
 		debug.FreeOSMemory() // loading a module takes many times the memory that it needs afterwards
 	}
 	return nil
@@ -53,9 +53,9 @@
 }
 
 // loadChain returns the versions of a configuration's plug-ins in their order, and increments the user count of each. It calls
-// onFresh for each version that neither runs nor was prepared. If one can't be loaded, the error names its configuration key and the
+// onNew for each version that neither runs nor was prepared. If one can't be loaded, the error names its configuration key and the
 // others are released. The caller holds h.mu.
-func (h *Host) loadChain(cfg *config.Config, onFresh func(order int, v *version)) ([]*version, error) {
+func (h *Host) loadChain(cfg *config.Config, onNew func(order int, v *version)) ([]*version, error) {
 	loaded := h.loaded()
 	var chain []*version
 	for order, c := range cfg.Plugins {
@@ -67,7 +67,7 @@
 			return nil, config.NewKeyError(c.Key, fmt.Sprintf("plug-in %s: %v", c.Name, err))
 		}
 		if loaded[v.key()] != v {
-			onFresh(order, v)
+			onNew(order, v)
 		}
 		v.users++
 		chain = append(chain, v)
--- a/internal/relay/plugin/store/store_test.go
+++ b/internal/relay/plugin/store/store_test.go
@@ -99,7 +99,7 @@
 		t.Error("want the first commit to succeed, and the second to fail with ErrFull")
 	}
 	if n, size := s.Len(); n != 5 || size != 5*(2+entryOverhead) {
-		t.Errorf("%d entries of %d bytes, want 5 of %d", n, size, 5*(2+entryOverhead))
+		t.Errorf("%d entries of %d bytes in all, want the first transaction's 5 entries only", n, size)
 	}
 }
 
--- a/internal/relay/plugin/wasm/bound_test.go
+++ b/internal/relay/plugin/wasm/bound_test.go
@@ -116,7 +116,7 @@
 				t.Fatalf("error %#v, want a *CodeError", function.Err)
 			}
 			if name != "instruction after the last end" && m.Bytes()[code.Offset] != c.code[0] {
-				t.Errorf("the error's offset %d has byte %#x, want the instruction", code.Offset, m.Bytes()[code.Offset])
+				t.Errorf("byte %#x is at the error's offset %d, want the instruction", m.Bytes()[code.Offset], code.Offset)
 			}
 		})
 	}
--- a/internal/relay/plugin/worker.go
+++ b/internal/relay/plugin/worker.go
@@ -166,9 +166,9 @@
 // seed makes a call's random numbers depend only on the relay's seed, the plug-in, the phase and the message, so that a run can be
 // repeated exactly, with any instance. When an instance is started the message id is "" and the phase is phaseStart.
 func (w *worker) seed(id string, phase Phase) {
-	ofPlugin := w.version.host.seed ^ xxhash.Sum64String(w.version.cfg.Name)
-	ofCall := xxhash.Sum64String(id) ^ uint64(phase)
-	w.rng = rand.New(rand.NewPCG(ofPlugin, ofCall))
+	pluginSeed := w.version.host.seed ^ xxhash.Sum64String(w.version.cfg.Name)
+	callSeed := xxhash.Sum64String(id) ^ uint64(phase)
+	w.rng = rand.New(rand.NewPCG(pluginSeed, callSeed))
 }
 
 // Read fills b with the random bytes that WASI functions return. It implements io.Reader.
