--- a/internal/relay/plugin/gate/breaker.go
+++ b/internal/relay/plugin/gate/breaker.go
@@ -25,8 +25,8 @@
 	failures     float64       // while closed: failures less FailureDecay for each success
 	openUntil    time.Time     // while open
 	openFor      time.Duration // how long it is open, or was open the last time
-	trialRunning bool          // while half open: a trial is under way
-	successes    int           // while half open: trials in a row
+	trialRunning bool          // while half open: a trial is in progress
+	successes    int           // while half open: successful trials in a row
 	closedAt     time.Time     // when it last closed; zero: never
 }
 
--- a/internal/relay/plugin/hostile_test.go
+++ b/internal/relay/plugin/hostile_test.go
@@ -116,8 +116,8 @@
 	return p.On("arrival", 0, wasmtest.Loop(p.Do("log", wasmtest.Const(0), wasmtest.Const(2<<10)), wasmtest.Const(1), wasmtest.BrIf(0)), wasmtest.Const(0)).Bytes()
 }
 
-// TestHost_LoopInAnswerOrEndPhase_IsNotAwaited: a plug-in that loops in the answer and end phases does not change the answer, and the queue of
-// deferred calls stays bounded.
+// TestHost_LoopInAnswerOrEndPhase_IsNotAwaited: a plug-in that loops in the answer and end phases does not change the answer, and the
+// queue of deferred calls stays bounded.
 func TestHost_LoopInAnswerOrEndPhase_IsNotAwaited(t *testing.T) {
 	h := newSetup(t).with("bad", wasmtest.Loops(1), `"timeout": "50ms"`).host()
 	step := engine.NewAttempt(engine.Destination{Name: "s-1", Partner: 7}, h.SampleBytes("platform", 7, 0), engine.Item{ID: "m"})
