--- a/cmd/simulator-adapter/errors.go
+++ b/cmd/simulator-adapter/errors.go
@@ -12,7 +12,7 @@
 type recordError struct {
 	index int   // in the batch, from 0
 	code  uint8 // its event code
-	err   error // the reason
+	err   error // why it is invalid
 }
 
 // Error names the record and the reason.
@@ -20,7 +20,7 @@
 	return fmt.Sprintf("record %d (code %d): %v", e.index, e.code, e.err)
 }
 
-// Unwrap returns the reason.
+// Unwrap returns why the record is invalid, for errors.Is and errors.As.
 func (e *recordError) Unwrap() error { return e.err }
 
 // unknownListError is returned for an endpoint list that no record has defined.
--- a/control/endpoint.go
+++ b/control/endpoint.go
@@ -42,7 +42,7 @@
 	resetStreak      int           // consecutive connection resets
 	neverRan         bool          // the last failure proved that the call had no effect
 	inFlight         int           // messages in flight
-	lateCalls        int           // messages in flight that are late
+	lateCalls        int           // messages in flight whose calls are late; see countLateCalls
 	newestDelivered  time.Duration // sending time of the newest delivered message
 	deliveries       rateMeter
 	sends            rateMeter // messages sent
--- a/control/events.go
+++ b/control/events.go
@@ -31,7 +31,7 @@
 	NotProcessed        // recalled, or handed back by the endpoint without processing
 	Rejected            // refused permanently: another attempt would be refused too
 	Malformed           // an answer that can't be parsed
-	Unknown             // the outcome is not known
+	Unknown             // none of the other results; the attempt may have had an effect
 )
 
 // NeverRan reports whether r proves that the attempt had no effect.
--- a/control/outcome.go
+++ b/control/outcome.go
@@ -93,7 +93,8 @@
 
 func (s *Sender) recordDelivery(msg *message, endpoint *endpointState, took float64) {
 	route := endpoint.route
-	// An endpoint may answer a repeat without doing the work again. Such fast answers are not counted as call times.
+	// If an earlier attempt may have run, the endpoint may answer this one without doing the work again. So answers faster than the
+	// 10th percentile are not counted as call times.
 	if msg.ranOn == nil || took >= endpoint.pooled.quantile(s.bounds, 0.1) {
 		endpoint.own.observe(s.now, s.bounds, took)
 		endpoint.destination.latencies.observe(s.now, s.bounds, took)
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -28,7 +28,8 @@
 	ejectionResets = 4
 	// ejectionRefusals is the number of consecutive refusals, decreaseInterval apart, that eject a route with few calls.
 	ejectionRefusals = 2
-	// ejectionNoDelivery is the time without a delivery after which a single failure, or the refusals above, eject a route.
+	// ejectionNoDelivery is the time without a delivery after which a route is ejected by a single failure of a call that may have had an
+	// effect, or by ejectionRefusals consecutive refusals (more for a route with many calls).
 	ejectionNoDelivery = 3 * time.Second
 	// outageRetryAfter is the wait above which a route that asks for it is considered down, not just busy.
 	outageRetryAfter = 2500 * time.Millisecond
--- a/control/planner_test.go
+++ b/control/planner_test.go
@@ -42,7 +42,7 @@
 	// When they are pooled.
 	p.Pool(0, common, tables)
 
-	// Then both are known, the second by the calls of the first.
+	// Then both tables are known: the calls to the first endpoint also fill the table of the second.
 	if !called.Known() || !fresh.Known() {
 		t.Fatalf("known: called %v, fresh %v; want both", called.Known(), fresh.Known())
 	}
--- a/control/rate_limit.go
+++ b/control/rate_limit.go
@@ -50,7 +50,7 @@
 		return
 	}
 	previous := min(route.sends.rate(s.now), cmp.Or(route.rateLimit, math.Inf(1)))
-	if fair := s.fairRate(route, route.reportedLimit); fair > 0 { // the route may be down, and then recover
+	if fair := s.fairRate(route, route.reportedLimit); fair > 0 { // the route may be down: decrease as far as the rate for a recovering one
 		recovered := slowStartMargin * s.settings.OverloadMultiple * s.settings.SlowStartShare
 		route.rateLimit = max(reportedDecrease*previous,
 			fair*max(recovered, multiplicativeDecrease*math.Pow(reportedDecrease, float64(route.refusalStreak-1))))
--- a/control/restart_plan.go
+++ b/control/restart_plan.go
@@ -76,13 +76,13 @@
 // known reports whether the endpoint's pooled table has enough calls to plan with.
 func (e *endpointState) known() bool { return e.pooled.total >= minTableCalls-1e-6 }
 
-// poolLatencies computes the pooled tables of dest's endpoints: calls to the endpoint itself, supplemented with calls to its destination,
-// then with all calls of this sender, shifted to match the destination's median. The less specific data only make up for missing calls.
-// They let the recursion decide even for an endpoint that is called once an hour.
+// poolLatencies computes the pooled tables of dest's endpoints. A table holds the calls to the endpoint itself. If these are fewer than
+// minTableCalls, calls to its destination make up for the missing ones, then calls of this sender to any destination, shifted to match
+// the destination's median. So the plan can include even an endpoint that is called once an hour.
 func (s *Sender) poolLatencies(dest *destinationState) {
 	near, far := &dest.latencies, &s.allLatencies
 	near.decay(s.now)
-	shift := 0 // buckets from the sender's median to the destination's, weighted by how well the latter is known
+	shift := 0 // buckets from the sender's median to the destination's; less if the destination has few calls
 	if far.total >= minTableCalls {
 		distance := math.Log(near.quantile(s.bounds, 0.5)/far.quantile(s.bounds, 0.5)) / math.Log(bucketRatio)
 		shift = int(math.Round(distance * near.total / (near.total + minTableCalls)))
--- a/internal/relay/simulator/event.go
+++ b/internal/relay/simulator/event.go
@@ -8,7 +8,7 @@
 	a, b int32
 }
 
-// eventKind says what happens, and what a and b of the event are.
+// eventKind is the kind of an event. It determines what the numbers a and b of the event refer to.
 type eventKind uint8
 
 const (
@@ -25,8 +25,8 @@
 	eventNextMessage                      // the next message is drawn
 	eventOverloadEnd                      // endpoint a comes back after a collapse
 	eventQuotaRequestDue                  // relay a sends a quota request to the leader
-	eventQuotaRequest                     // envelope a, a request, reaches the leader
-	eventQuotaGrant                       // envelope a, a grant, reaches its relay
+	eventQuotaRequest                     // the quota request in envelope a reaches the leader
+	eventQuotaGrant                       // the quota grant in envelope a reaches its relay
 )
 
 // schedule queues an event for a virtual time. Events at the same time are processed in the order in which they were scheduled.
--- a/internal/relay/simulator/fleet_stats.go
+++ b/internal/relay/simulator/fleet_stats.go
@@ -23,7 +23,7 @@
 	turn                              time.Duration // time of the last turn
 	senders, maxSenders               int           // relays that sent in that turn, and the most that sent in any turn
 	deliveredBySecond                 []int32
-	messagesByRelay, deliveredByRelay []float64 // by first relay
+	messagesByRelay, deliveredByRelay []float64 // by the relay that a message was first submitted to
 }
 
 // recordTurn counts the relays that send in the same turn.
--- a/internal/relay/simulator/fleet_stats_test.go
+++ b/internal/relay/simulator/fleet_stats_test.go
@@ -59,7 +59,7 @@
 			res := run(policy.ByName["module"])
 			stats := res.Fleet
 			t.Logf("value %.3f, %+v", res.Value, stats)
-			for rule, n := range res.ViolationCounts { // no single call makes a cold endpoint collapse: docs/design/fleet.md counts these
+			for rule, n := range res.ViolationCounts { // many calls, each allowed by itself, can make a cold endpoint collapse; docs/design/fleet.md gives the counts
 				if rule != "cold returns" || n > 2 {
 					t.Errorf("rule %q violated %d times: %v", rule, n, res.ViolationSamples)
 				}
--- a/internal/relay/simulator/loadtest/loadtest.go
+++ b/internal/relay/simulator/loadtest/loadtest.go
@@ -162,7 +162,7 @@
 	l.cmd = exec.Command(l.relay, "serve", "--config", l.configFile)
 	l.cmd.Stdout, l.cmd.Stderr = log, log
 	if err := l.cmd.Start(); err != nil {
-		return fmt.Errorf("the relay's program: %w", err)
+		return fmt.Errorf("starting the relay's program: %w", err)
 	}
 	if standin.WaitUntilServing(context.Background(), l.addr) {
 		return nil
--- a/internal/relay/simulator/run.go
+++ b/internal/relay/simulator/run.go
@@ -11,7 +11,8 @@
 	"mastusher/internal/virtualtime"
 )
 
-// Constants of all worlds, in accordance with the relay's rules.
+// Parameters that are the same in all worlds. Relays get slowStartShare, overloadWindow and overloadMultiple in their
+// settings.
 const (
 	clockStart       = 24 * time.Hour         // virtual time at the start, large enough that no time computed by subtraction is negative
 	slowStartShare   = 0.21                   // share of its capacity that an endpoint has when its slow start begins
--- a/internal/relay/simulator/simulator_test.go
+++ b/internal/relay/simulator/simulator_test.go
@@ -100,7 +100,7 @@
 				t.Fatal(err)
 			}
 			for rule, n := range res.ViolationCounts {
-				if rule != "cold returns" { // no single call makes a cold endpoint collapse
+				if rule != "cold returns" { // many calls, each allowed by itself, can make a cold endpoint collapse
 					t.Errorf("seed %d, %s: rule %q violated %d times, first %s", seed, name, rule, n, res.ViolationSamples[0])
 				}
 			}
--- a/internal/relay/simulator/stats.go
+++ b/internal/relay/simulator/stats.go
@@ -30,7 +30,7 @@
 	Resubmitted Series // submissions after a refusal
 	Calls       Series // calls that were sent
 	Throttled   Series // throttled calls
-	Failed      Series // calls that failed otherwise
+	Failed      Series // calls that failed for reasons other than throttling
 	Pending     Series // messages that are pending at the end of each bucket
 
 	world         *World
--- a/internal/tier/balancer/balancer_test.go
+++ b/internal/tier/balancer/balancer_test.go
@@ -141,12 +141,12 @@
 	if d := balancer.Select(now, atMostOnceRequest()); !d.UntilDeadline || d.Timeout != 2*time.Second {
 		t.Errorf("at most once: timeout %v, until deadline %v; want 2s, the time left", d.Timeout, d.UntilDeadline)
 	}
-	// And so may one whose program's budget doesn't pay for another attempt.
+	// And so may a retryable request whose program's budget doesn't pay for another attempt.
 	r := retryableRequest()
 	if r.AffordableAttempts = 1; !balancer.Select(now, r).UntilDeadline {
 		t.Error("the only attempt that the program's budget pays for has a planned timeout")
 	}
-	// And so may one for which only one endpoint is left.
+	// And so may a retryable request that has excluded all endpoints but one.
 	r.AffordableAttempts = 0
 	r.Excluded = []string{"feeds-0", "feeds-1"}
 	if d := balancer.Select(now, r); !d.UntilDeadline {
--- a/internal/tier/balancer/cost.go
+++ b/internal/tier/balancer/cost.go
@@ -6,8 +6,8 @@
 	tieBreakPenalty     = 0.03 // at most; keeps proxies without call times from all starting with the same endpoint
 	affinitySaving      = 0.25 // of the predicted work, saved by an endpoint that recently served the same affinity key
 	prefillWeight       = 1.5  // of the prefill time of a prefix that isn't cached; above 1 because prefill delays other requests too
-	prefillInterference = 0.5  // of the cost of a cache miss, for each request in flight at the endpoint
-	preferredMissShare  = 0.5  // of the cost of a cache miss, at the preferred endpoint if another one is known to have served the prefix
+	prefillInterference = 0.5  // fraction of the cost of a cache miss that each request in flight at the endpoint adds to it; streams only
+	preferredMissShare  = 0.5  // fraction of the cost of a cache miss charged to the preferred endpoint if another one is known to have served the prefix
 )
 
 // cost returns the expected time of the request at an endpoint plus all penalties, in seconds.
--- a/internal/tier/balancer/healthchecks.go
+++ b/internal/tier/balancer/healthchecks.go
@@ -7,7 +7,7 @@
 	minProbeInterval      = 250 * time.Millisecond
 	maxProbeInterval      = 4 * time.Second
 	atMostOnceProbeFactor = 3               // multiple of the interval after which a request that must not run twice may be a probe
-	retryableAbsence      = 5 * time.Second // without a retryable request, after which other requests may be probes
+	retryableAbsence      = 5 * time.Second // time without retryable requests after which a request that isn't retryable may be a probe
 )
 
 // scheduleProbe schedules the first probe.
--- a/internal/tier/balancer/load.go
+++ b/internal/tier/balancer/load.go
@@ -83,7 +83,7 @@
 	return float64(len(e.inFlight)+abandoned) + others
 }
 
-// congestion returns the fraction of the expected time that the calls in flight at the endpoint add to it.
+// congestion returns how much the calls in flight at the endpoint add to the expected time of another call, as a fraction of that time.
 func (e *endpoint) congestion(inFlight float64) float64 {
 	capacity := float64(e.capacity())
 	if capacity <= 0 {
--- a/internal/tier/balancer/outlier.go
+++ b/internal/tier/balancer/outlier.go
@@ -33,9 +33,9 @@
 	backoffUntil time.Duration // until then the endpoint gets no attempts
 }
 
-// recordRejection starts a backoff of base seconds, doubled for each earlier rejection that hasn't decayed, and randomized by draw so
-// that proxies don't return at the same moment. Rejections of calls sent before the last counted rejection belong to the same overload
-// and don't count again.
+// recordRejection starts a backoff of base seconds, doubled for each earlier rejection in the decaying count. draw, from 0 to 1,
+// adds jitter so that proxies don't return at the same moment. A rejected call that was sent before the last counted rejection belongs to
+// the same overload and is ignored.
 func (h *health) recordRejection(now, sentAt time.Duration, base, draw float64) {
 	if h.everRejected && sentAt < h.rejectedAt {
 		return
--- a/internal/tier/balancer/queue_test.go
+++ b/internal/tier/balancer/queue_test.go
@@ -14,7 +14,7 @@
 	q.Push(QueuedRequest{ID: 1, Priority: 1, Deadline: 100, ExpiresAt: 50})
 	q.Push(QueuedRequest{ID: 2, Priority: 0, Deadline: 300, ExpiresAt: 50})
 	q.Push(QueuedRequest{ID: 3, Priority: 0, Deadline: 200, ExpiresAt: 50})
-	// When they are popped, then by priority, and within a priority by deadline.
+	// When they are popped, then they are ordered by priority, and within a priority by deadline.
 	var got []uint64
 	for w, ok := q.Pop(); ok; w, ok = q.Pop() {
 		got = append(got, w.ID)
--- a/internal/tier/balancer/selection.go
+++ b/internal/tier/balancer/selection.go
@@ -8,8 +8,8 @@
 
 // Limits of a selection.
 const (
-	maxShareHealthy      = 0.75 // of MaxInFlight, that one healthy endpoint may hold
-	maxShareUnhealthy    = 0.5  // of MaxInFlight, that an endpoint whose calls are overdue or fail may hold
+	maxShareHealthy      = 0.75 // fraction of MaxInFlight that may be in flight to one healthy endpoint
+	maxShareUnhealthy    = 0.5  // fraction of MaxInFlight that may be in flight to an endpoint whose calls are overdue or fail
 	probeTimeoutFactor   = 3.0  // multiple of the pooled median that a retryable probe may last
 	minRetryAfter        = 50 * time.Millisecond
 	noEndpointRetryAfter = 500 * time.Millisecond
--- a/internal/tier/dedup/window.go
+++ b/internal/tier/dedup/window.go
@@ -8,7 +8,7 @@
 // clockSkew is the largest difference allowed for between the wall clocks of two machines, including one that was set wrong.
 const clockSkew = 5 * time.Second
 
-// AcceptedOrder is an order that was accepted.
+// AcceptedOrder identifies an accepted order, which may be retried until its window is over.
 type AcceptedOrder struct {
 	Index        uint64 // index of its entry in the group's log
 	AcceptedAtMs int64  // wall-clock time at which the leader accepted it, Unix ms
--- a/internal/tier/placement/balance.go
+++ b/internal/tier/placement/balance.go
@@ -10,9 +10,10 @@
 // difference any smaller.
 const minImbalance = 2
 
-// Balance returns the placement with one replica moved if a move reduces the number of replicas above the policy's limits for zones
-// and regions, or else evens out two stores whose numbers of replicas differ by at least minImbalance without raising the number
-// above the limits. Repeated calls therefore reach a placement that stays unchanged. No store may be lost, missing or draining.
+// Balance moves at most one replica and returns the resulting placement. It prefers a move that reduces the number of replicas above
+// the policy's limits for zones and regions. Otherwise it moves a replica between two stores whose numbers of replicas differ by at
+// least minImbalance, unless more replicas would then be above the limits. Repeated calls therefore reach a placement that stays
+// unchanged. It must not be called while a store is lost, missing or draining.
 func Balance(shards []view.ShardPlacement, inputs Inputs) (next []view.ShardPlacement, changed bool) {
 	usable := sorted(inputs.Stores)
 	load := loadOf(shards)
--- a/internal/tier/placement/tracker.go
+++ b/internal/tier/placement/tracker.go
@@ -65,7 +65,8 @@
 	t.lastObservation = now
 }
 
-// observe records one member.
+// observe records when a member was first seen, and since when its name has been dead or missing. A member that is alive is no longer
+// lost.
 func (t *Tracker) observe(now time.Time, m membership.Member) {
 	t.names[m.ID] = m.Name
 	setSince(t.firstSeen, m.ID, now, true)
--- a/internal/tier/program/budget_test.go
+++ b/internal/tier/program/budget_test.go
@@ -40,7 +40,7 @@
 	machine.Apply(abandoned)
 	// when the retention of a turn in flight and the margin have passed
 	passTime(machine, 0, 151)
-	// then its end comes too late, its input has expired and its reservation still counts
+	// then its end is rejected, its input has expired, and its reservation still counts against the budget
 	if got := machine.Apply(endTurn("a", true, 1, "[out a]", 152)).Verdict; got != UnknownTurn {
 		t.Errorf("verdict on the late end: %s, want unknown_turn", got)
 	}
@@ -56,11 +56,11 @@
 }
 
 func TestTokens_SumExceedsMaximum_Saturates(t *testing.T) {
-	// given a program without a budget whose reservations exceed the largest number
+	// given a program without a budget whose reservations add up to more than math.MaxInt64
 	machine := New()
 	machine.Apply(beginTurn("a", "p", 0, math.MaxInt64))
 	machine.Apply(beginTurn("b", "p", 0, math.MaxInt64))
-	// when a turn gives the largest budget, then no token fits into it
+	// when another turn sets the largest possible budget, then not even one token is left in it
 	if got := machine.Apply(beginTurn("c", "p", math.MaxInt64, 1)).Verdict; got != BudgetExceeded {
 		t.Errorf("verdict %s, want budget_spent", got)
 	}
--- a/internal/tier/program/chunk.go
+++ b/internal/tier/program/chunk.go
@@ -42,8 +42,8 @@
 	Output         []byte `json:"output,omitempty"`
 }
 
-// contentRecord is a fragment of the input and output of a turn that is too large for one chunk. It is appended to the fragments
-// before.
+// contentRecord is a fragment of the input and output of a turn whose content is too large for one chunk. Its content follows that in
+// the chunks before.
 type contentRecord struct {
 	Input  []byte `json:"input,omitempty"`
 	Output []byte `json:"output,omitempty"`
--- a/internal/tier/program/machine_test.go
+++ b/internal/tier/program/machine_test.go
@@ -10,7 +10,7 @@
 
 const startMs = 1_700_000_000_000
 
-// beginTurn returns a BeginTurn of a turn that isn't remembered.
+// beginTurn returns a BeginTurn of a turn whose input and output aren't stored.
 func beginTurn(turn, program string, budget, maxTokens int64) Command {
 	return Command{Begin: &BeginTurn{Turn: turn, Program: program, Budget: budget, MaxTokens: maxTokens, AtMs: startMs}}
 }
--- a/internal/tier/programclient/prefix_cache.go
+++ b/internal/tier/programclient/prefix_cache.go
@@ -135,7 +135,7 @@
 }
 
 // errPrefixNotCached is returned if a store omitted a prefix that the request didn't list. Only a faulty store does so.
-var errPrefixNotCached = errors.New("store omitted a prefix that the request did not list")
+var errPrefixNotCached = errors.New("store omitted a cached prefix whose index is not in the request's list")
 
 // joinPrefix returns the whole chain of a response, with the cached prefix that the store omitted, if any.
 func joinPrefix(cached [][]byte, response wire.BeginTurnResponse) ([]byte, error) {
--- a/internal/tier/proxy/api.go
+++ b/internal/tier/proxy/api.go
@@ -88,7 +88,7 @@
 // The results of an attempt.
 const (
 	Succeeded          Result = iota + 1 // complete response with a 2xx status
-	ErrorResponse                        // complete response with another status
+	ErrorResponse                        // complete response with a status other than 2xx
 	NotRun                               // the endpoint declared that it did not run the request, or all connections to it are in use
 	NeverSent                            // no byte was sent
 	IncompleteResponse                   // sent, but no complete response was received
--- a/internal/tier/proxy/eventscanner.go
+++ b/internal/tier/proxy/eventscanner.go
@@ -63,7 +63,8 @@
 	return buffer[:complete]
 }
 
-// keepPending makes the bytes of buffer from complete on pending. It copies them, so that the returned events stay valid too.
+// keepPending makes buffer[complete:] the pending bytes. It copies them if buffer is the caller's, or if scan returns the events before
+// them, which must stay valid.
 func (s *eventScanner) keepPending(buffer []byte, complete int) {
 	s.scannedBytes -= complete
 	rest := buffer[complete:]
--- a/internal/tier/proxy/headers.go
+++ b/internal/tier/proxy/headers.go
@@ -31,8 +31,8 @@
 	subjectCookie        = "X-Subject"
 )
 
-// isHopByHop reports whether a field applies to one connection only (RFC 9110 section 7.6.1). Content-Length and Host are written
-// anew; Expect has been answered by the time a body is forwarded.
+// isHopByHop reports whether a field isn't forwarded because it applies to one connection only (RFC 9110 section 7.6.1). It includes
+// Content-Length and Host, which are written anew, and Expect, which has been answered by the time a body is forwarded.
 func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
--- a/internal/tier/proxy/requestbody.go
+++ b/internal/tier/proxy/requestbody.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// readBody reads a request's complete body, up to limit bytes, into the buffer; 0: unlimited. A larger body fails with
-// errBodyTooLarge.
+// readBody reads a request's complete body into the buffer. It returns errBodyTooLarge if the body is larger than limit bytes; a limit
+// of 0 means unlimited.
 func readBody(r *http.Request, buffer *[]byte, limit int64) error {
 	switch {
 	case r.ContentLength == 0:
--- a/internal/tier/proxy/response.go
+++ b/internal/tier/proxy/response.go
@@ -200,7 +200,7 @@
 	clientConnOf(c.request).setResetOnClose(false)
 }
 
-// write forwards bytes to the client. An error means that the client has closed its connection.
+// write forwards bytes to the client. If that fails, the client has closed its connection, and the request ends.
 func (c *clientRequest) write(a *attempt, data []byte) {
 	if _, err := c.writer.Write(data); err != nil {
 		c.handleClientClosed(a)
--- a/internal/tier/proxy/usage.go
+++ b/internal/tier/proxy/usage.go
@@ -15,7 +15,7 @@
 	commitDeadline = 30 * time.Second
 	// commitTimeout bounds one attempt to commit.
 	commitTimeout = 2 * time.Second
-	// minCommitBackoff and maxCommitBackoff bound the exponential backoff between attempts.
+	// minCommitBackoff and maxCommitBackoff bound the exponential backoff between attempts to commit a turn.
 	minCommitBackoff = 50 * time.Millisecond
 	maxCommitBackoff = 2 * time.Second
 	// maxUnknownTurnAttempts bounds the attempts to which the program stores answer with UnknownTurn: about three seconds with the
--- a/internal/tier/rollout/analysis.go
+++ b/internal/tier/rollout/analysis.go
@@ -14,11 +14,11 @@
 	minSentToRevert    = 8  // at deadlineMargin, a target with fewer than minGoodAnswers is reverted if it was sent this many requests
 )
 
-// How long before its deadline a roll-out that no test rejects is decided, so that the decision is known by the deadline.
+// A roll-out that no test rejects is decided some time before its deadline, so that the decision is known by then.
 const (
-	finishEarly      = 700 * time.Millisecond // with at least minGoodAnswers
+	finishEarly      = 700 * time.Millisecond // time before the deadline at which a target with at least minGoodAnswers is decided
 	finishEarlyShare = 0.04                   // share of the roll-out's duration, used instead of finishEarly if it is longer
-	deadlineMargin   = 300 * time.Millisecond // with fewer good answers
+	deadlineMargin   = 300 * time.Millisecond // time before the deadline at which a target with fewer good answers is decided
 )
 
 // Analysis decides one roll-out by repeated evaluation of its stats. Each route is tested separately, for failures and for slow
--- a/internal/tier/rollout/proposal.go
+++ b/internal/tier/rollout/proposal.go
@@ -35,16 +35,16 @@
 // How much of the bounds a proposal uses. The remainder covers requests in flight when a roll-out ends, uneven load, and proxies
 // that restart.
 const (
-	usedShare = 0.8 // of Bounds.Share
-	usedSlack = 0.7 // of Bounds.Slack
+	usedShare = 0.8 // fraction of Bounds.Share
+	usedSlack = 0.7 // fraction of Bounds.Slack
 	// minProxies is the number of proxies assumed where fewer are known: a leader that has just started may not know all.
 	minProxies = 8
 	// defaultShare is the target's share of the requests if Bounds.Share isn't set.
 	defaultShare = 0.05
 )
 
-// WithBounds returns the proposal with a TrafficShare and an InitialAllowance that keep the target within the bounds if there are
-// that many proxies.
+// WithBounds returns the proposal with a TrafficShare and an InitialAllowance that keep the target within the bounds. The allowance is
+// divided among the proxies; at least minProxies are assumed.
 func (p Proposal) WithBounds(bounds Bounds, proxies int) Proposal {
 	p.TrafficShare = usedShare * bounds.Share
 	if bounds.Share <= 0 {
--- a/internal/tier/rollout/state_machine_test.go
+++ b/internal/tier/rollout/state_machine_test.go
@@ -46,10 +46,10 @@
 }
 
 func TestStateMachine_SecondTarget_InProgress(t *testing.T) {
-	// Given a roll-out in service, when a third version is proposed, and the same target with another duration,
+	// Given a roll-out of v2 in service, when v3 is proposed, and then v2 again with another duration,
 	r := machineWithProposal(t)
 	results := []rollout.Result{r.ApplyProposal(8, rollout.Proposal{Service: "s", Target: "v3"}), r.ApplyProposal(8, rollout.Proposal{Service: "s", Target: "v2", OverMs: 1})}
-	// then both are rejected until the first roll-out ends, and a later one starts from its target.
+	// then both are rejected. After the first roll-out has ended, v3 is accepted with v2 as its baseline.
 	if diff := cmp.Diff([]rollout.Result{rollout.InProgress, rollout.InProgress}, results); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/tier/versionstats/counter.go
+++ b/internal/tier/versionstats/counter.go
@@ -50,7 +50,7 @@
 type ticket struct {
 	inner     any // the balancer's own ticket
 	key       key
-	counted   bool // the endpoint was on the list, so that the attempt is counted
+	counted   bool // the attempt is counted: its endpoint was in Counter.endpoints when it was selected
 	warmingUp bool // the endpoint was warming up when it was selected
 }
 
