--- a/internal/tools/docscheck/docscheck_test.go
+++ b/internal/tools/docscheck/docscheck_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// tree is a tree of files under a folder of the test.
+// tree is a source tree in a temporary folder.
 type tree struct {
 	t    *testing.T
 	root string
@@ -32,7 +32,7 @@
 	}
 }
 
-// findings checks the tree's pages and returns what is found, with the pages' names without folders.
+// findings checks the tree's pages and returns the texts of the findings, which name each page by its base name.
 func (f tree) findings() []string {
 	f.t.Helper()
 	found, err := checkPages(f.root, []string{"docs"})
@@ -59,30 +59,30 @@
 		page string
 		want []string
 	}{
-		"all there": {
+		"every name exists": {
 			"`log.Log`, `log.Log.Append`, `log.Log.Term`, `log.Max`, `internal/log/log.go`, `internal/*/`, [other](other.md#part)\n    make check\n", nil},
-		"a symbol that is gone":        {"`log.Ledger`", []string{"page.md:1: package log declares no Ledger"}},
-		"a method that is gone":        {"one\n`log.Log.Book()`", []string{"page.md:2: package log declares no Log.Book"}},
+		"a missing symbol":             {"`log.Ledger`", []string{"page.md:1: package log declares no Ledger"}},
+		"a missing method":             {"one\n`log.Log.Book()`", []string{"page.md:2: package log declares no Log.Book"}},
 		"an unexported type's method":  {"`log.entry.size` `log.entry.term`", []string{"page.md:1: package log declares no entry.term"}},
-		"a package of others":          {"`http.Nothing`", nil},
-		"a file that is gone":          {"see `internal/log/old.go`", []string{"page.md:1: internal/log/old.go is not there"}},
-		"a path in a command":          {"    go test ./internal/old -run X", []string{"page.md:1: no test matches -run X", "page.md:1: internal/old is not there"}},
+		"an external package":          {"`http.Nothing`", nil},
+		"a missing file":               {"see `internal/log/old.go`", []string{"page.md:1: internal/log/old.go does not exist"}},
+		"a path in a command":          {"    go test ./internal/old -run X", []string{"page.md:1: no test matches -run X", "page.md:1: internal/old does not exist"}},
 		"all packages below a path":    {"`go test ./internal/log/...`", nil},
-		"a link that leads nowhere":    {"[x](nowhere.md)", []string{"page.md:1: link to nowhere.md, which is not there"}},
-		"a link to the outside":        {"[x](https://example.org/x)", nil},
-		"a target that is gone":        {"`make nothing`", []string{"page.md:1: make nothing: no such target"}},
-		"what a build leaves":          {"`bin/tool` and `target/tool`", nil},
+		"a broken link":                {"[x](nowhere.md)", []string{"page.md:1: link to nowhere.md, which does not exist"}},
+		"an external link":             {"[x](https://example.org/x)", nil},
+		"a missing make target":        {"`make nothing`", []string{"page.md:1: make nothing: no such target"}},
+		"build output":                 {"`bin/tool` and `target/tool`", nil},
 		"prose with a slash and a dot": {"and/or e.g. this", nil},
-		"a test, with a subtest too":   {"`TestLog_Empty_HasNoLast`, `TestLog_Empty_HasNoLast/one`", nil},
-		"a test that is gone":          {"`TestBook`", []string{"page.md:1: no package declares TestBook"}},
+		"a test, and a subtest of it":  {"`TestLog_Empty_HasNoLast`, `TestLog_Empty_HasNoLast/one`", nil},
+		"a missing test":               {"`TestBook`", []string{"page.md:1: no package declares TestBook"}},
 		"a pattern of tests":           {"    go test ./internal/log -run Empty_HasNo/one -v", nil},
-		"a pattern that fits no test":  {"`go test ./internal/log -run 'BookIs'`", []string{"page.md:1: no test matches -run BookIs"}},
+		"a pattern without a match":    {"`go test ./internal/log -run 'BookIs'`", []string{"page.md:1: no test matches -run BookIs"}},
 		"a benchmark alone":            {"`go test ./internal/log -run xxx -bench Append`", []string{"page.md:1: no test matches -bench Append"}},
 		"a metric and its series":      {"`mastusher_orders_total`, `mastusher_orders_total_count`, `mastusher_orders_total{kind=\"x\"}`", nil},
-		"a metric that is gone":        {"`mastusher_changes_total`", []string{"page.md:1: there is no metric mastusher_changes_total"}},
+		"a missing metric":             {"`mastusher_changes_total`", []string{"page.md:1: there is no metric mastusher_changes_total"}},
 		"packages in a table": {
 			"| package | job |\n| --- | --- |\n| `log`, `internal` | `ledger` |\n\n`ledger`", nil},
-		"a package that is gone": {
+		"a missing package": {
 			"| package (`internal`) |\n| --- |\n| `log`, `ledger` |", []string{"page.md:3: there is no package ledger"}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -97,7 +97,7 @@
 
 func TestCheckPages_PageThatIsNotThere_IsAnError(t *testing.T) {
 	if _, err := checkPages(t.TempDir(), []string{"README.md"}); err == nil {
-		t.Error("no error")
+		t.Error("no error for a page that does not exist")
 	}
 }
 
@@ -133,16 +133,16 @@
 
 	files.write(logPage, all)
 	if got := files.findings(); len(got) != 0 {
-		t.Errorf("all are there: found %q", got)
+		t.Errorf("every log line is described: found %q, want none", got)
 	}
 	files.write(logPage, strings.ReplaceAll(all, "`shards placed`, ", "`shards moved`, "))
 	want := []string{`logs.md:3: nothing logs "shards moved"`, `logs.md:0: the log line "shards placed" isn't described`}
 	if got := files.findings(); !slices.Equal(got, want) {
-		t.Errorf("one has another name: found %q, want %q", got, want)
+		t.Errorf("one log line is described under another name: found %q, want %q", got, want)
 	}
 	files.write(logPage, strings.ReplaceAll(all, "| `member joined`, `member died` | |\n", ""))
 	want = []string{`logs.md:0: the log line "member " isn't described`}
 	if got := files.findings(); !slices.Equal(got, want) {
-		t.Errorf("one that is completed at run time is missing: found %q, want %q", got, want)
+		t.Errorf("a message completed at run time is not described: found %q, want %q", got, want)
 	}
 }
--- a/internal/tools/docscheck/logs.go
+++ b/internal/tools/docscheck/logs.go
@@ -12,13 +12,13 @@
 	"strings"
 )
 
-// logPage is where all log lines that a running process can write are described.
+// logPage is the page that describes every log line of the programs in service.
 const logPage = "docs/operations/logs.md"
 
-// loggedTrees are the trees whose log lines stand on logPage: those of the two programs that run in service.
+// loggedTrees are the folders whose log lines logPage must describe: those of the two programs in service.
 var loggedTrees = []string{"internal/tier", "internal/relay", "cmd/mastusher", "cmd/mastusher-tier"}
 
-// unloggedTrees are parts of those that no program in service links: simulators, test support, demonstrations.
+// unloggedTrees are the folders within loggedTrees that no program in service links: simulators, test support, demonstrations.
 var unloggedTrees = []string{
 	"internal/tier/demo", "internal/tier/exchangetest", "internal/tier/fleettest", "internal/tier/localtier", "internal/tier/simulation",
 	"internal/tier/soak", "internal/tier/standin", "internal/relay/fleet/simulation", "internal/relay/fleet/testcluster",
@@ -30,11 +30,11 @@
 	eventTable = regexp.MustCompile(`^\| event\b`)
 	// slogMethods are the methods of slog.Logger whose first argument is the message.
 	slogMethods = []string{"Debug", "Info", "Warn", "Error"}
-	// logFunctions are functions of the tree whose first argument becomes the message of a line.
+	// logFunctions are functions of this repository whose first argument becomes the message of a log line.
 	logFunctions = []string{"log", "logPhase", "logShutdownPhase"}
 )
 
-// event is the message of a log line. One that the code completes at run time is a prefix.
+// event is the message of a log line, or only its prefix if the code completes the message at run time.
 type event struct {
 	text     string
 	isPrefix bool
@@ -45,7 +45,7 @@
 	return e.text == message || e.isPrefix && strings.HasPrefix(message, e.text)
 }
 
-// logPages checks that logPage names each log line of loggedTrees, and no others. A tree without the page isn't checked.
+// logPages checks that logPage names exactly the log lines of loggedTrees. It reports nothing if logPage does not exist.
 func (c *checker) logPages() ([]finding, error) {
 	path := filepath.Join(c.root, logPage)
 	if !exists(path) {
@@ -71,7 +71,8 @@
 	return findings, nil
 }
 
-// describedEvents returns the messages in the first cells of a page's tables of log lines, with their lines.
+// describedEvents returns the messages in the first cells of a page's tables of log lines, each as the reason of a finding with its
+// line number.
 func describedEvents(path string) ([]finding, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -89,8 +90,8 @@
 	return described, lines.Err()
 }
 
-// eventsOf returns the log lines of a file: strings behind the key "msg" in an argument list or a literal (go-kit), and first
-// arguments of slog's methods.
+// eventsOf returns the log lines of a file: the values after the key "msg" in an argument list or a literal (go-kit), and the
+// first arguments of slog's methods and of logFunctions.
 func eventsOf(file *ast.File, folder string, constants map[string]string) []event {
 	if !within(folder, loggedTrees) || within(folder, unloggedTrees) {
 		return nil
@@ -116,7 +117,7 @@
 	return events
 }
 
-// addKeyed adds what follows the key "msg".
+// addKeyed adds the elements of a list that follow the key "msg".
 func addKeyed(list []ast.Expr, add func(ast.Expr)) {
 	for i := range len(list) - 1 {
 		if key, ok := stringLiteral(list[i]); ok && key == "msg" {
@@ -125,7 +126,7 @@
 	}
 }
 
-// isSlogCall reports whether a call is that of a slog method on something named log or logger.
+// isSlogCall reports whether a call with arguments is that of a slog method on a variable or field named log or logger.
 func isSlogCall(call *ast.CallExpr) bool {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 || !slices.Contains(slogMethods, method.Sel.Name) {
@@ -154,7 +155,8 @@
 	return false
 }
 
-// messageOf returns the event that an expression of a package gives: a string, a constant, or the first part of a sum.
+// messageOf returns the event for a message expression in package pkg: a string literal, a string constant, or as a prefix the first
+// operand of a concatenation.
 func messageOf(e ast.Expr, pkg string, constants map[string]string) (event, bool) {
 	switch e := e.(type) {
 	case *ast.BinaryExpr:
@@ -175,7 +177,7 @@
 	return event{text: text}, ok
 }
 
-// stringConstants returns the constants of all files that are one string, by package.Name.
+// stringConstants returns the values of all constants that are a single string literal, by package.Name.
 func stringConstants(files []*ast.File) map[string]string {
 	constants := map[string]string{}
 	for _, file := range files {
@@ -197,7 +199,7 @@
 	return constants
 }
 
-// stringLiteral returns the value of a node that is a string.
+// stringLiteral returns the value of a node that is a string literal.
 func stringLiteral(n ast.Node) (string, bool) {
 	literal, ok := n.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
@@ -207,7 +209,7 @@
 	return text, err == nil
 }
 
-// within reports whether a folder is one of the trees or lies in one.
+// within reports whether a folder is one of the trees or below one.
 func within(folder string, trees []string) bool {
 	return slices.ContainsFunc(trees, func(tree string) bool { return folder == tree || strings.HasPrefix(folder, tree+"/") })
 }
--- a/internal/tools/docscheck/main.go
+++ b/internal/tools/docscheck/main.go
@@ -1,6 +1,6 @@
-// Command docscheck holds what the pages name against the tree: files and folders, links between pages, targets of the Makefile,
-// Go symbols written as package.Name, tests, metrics, packages in tables of packages, and log lines, all of which must stand on their
-// page. It is part of `make check`, so that a rename cannot leave the pages behind.
+// Command docscheck checks that what the documentation names exists in the repository: files and folders, links between pages, targets
+// of the Makefile, Go symbols written as package.Name, tests, metrics, and packages in tables of packages. It also checks that the page
+// of log lines describes exactly those that the code writes. `make check` runs it, so that a rename cannot leave the pages outdated.
 //
 //	go run ./internal/tools/docscheck README.md docs
 package main
--- a/internal/tools/docscheck/pages.go
+++ b/internal/tools/docscheck/pages.go
@@ -13,19 +13,19 @@
 var (
 	codeSpan = regexp.MustCompile("`([^`]+)`")
 	link     = regexp.MustCompile(`\]\(([^)#\s]+)(#[^)]*)?\)`)
-	// treePath matches what can only be a path of this tree: it begins with one of its top folders. What a build leaves in bin and target
-	// is none of it.
+	// treePath matches a path in this repository, which begins with one of its top-level folders. The build output in bin and target isn't
+	// checked.
 	treePath = regexp.MustCompile(`^(?:\./)?((?:cmd|control|deploy|docs|examples|internal|pluginsdk|tools|\.ci)/[\w./*-]*\w[\w/*]*|[A-Z]\w+\.md)$`)
 	makeCall = regexp.MustCompile(`^make ([a-z][a-z-]*)`)
-	// symbol matches package.Name, package.Type.member and package.type.member. A lower-case name right behind a package could as well be
-	// the key of a settings file.
+	// symbol matches package.Name, package.Type.member and package.type.member. It doesn't match package.name, which could as
+	// well be the key of a settings file.
 	symbol = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Z]\w*(?:\.[A-Za-z]\w*)?|[a-z]\w*\.[A-Za-z]\w*)(?:\(.*\))?$`)
 	target = regexp.MustCompile(`(?m)^([a-z][a-z-]*):`)
-	// testName matches a test, benchmark or fuzz target, with the name of a subtest behind it or without.
+	// testName matches a test, benchmark or fuzz target, optionally followed by the name of a subtest.
 	testName = regexp.MustCompile(`^((?:Test|Benchmark|Fuzz)[A-Z]\w*)(?:/.*)?$`)
 	// testPattern matches a command that runs some tests or benchmarks by a pattern.
 	testPattern = regexp.MustCompile(`^go test .*-(run|bench|fuzz) '?([^' ]+)`)
-	// metric matches the name of a metric; of a histogram's series the name is followed by a suffix.
+	// metric matches the name of a metric, optionally with the suffix of one of a histogram's series and with labels.
 	metric = regexp.MustCompile(`^(` + metricPrefix + `[a-z_]+?)(?:_bucket|_sum|_count)?(?:\{.*\})?$`)
 	// packageTable matches the head of a table whose first column names packages.
 	packageTable = regexp.MustCompile(`^\| package\b`)
@@ -35,7 +35,7 @@
 // metricPrefix begins the names of all metrics.
 const metricPrefix = "mastusher_"
 
-// finding is one name in a page that the tree doesn't have.
+// finding is one error in a page, such as a name that doesn't exist in the tree. Line 0 stands for the whole page.
 type finding struct {
 	page   string
 	line   int
@@ -44,7 +44,7 @@
 
 func (f finding) String() string { return fmt.Sprintf("%s:%d: %s", f.page, f.line, f.reason) }
 
-// checker holds the tree that pages are checked against.
+// checker holds what is known of the tree that pages are checked against.
 type checker struct {
 	root    string
 	known   *source
@@ -116,11 +116,11 @@
 	return findings, lines.Err()
 }
 
-// line gives what is wrong with one line of a page in folder.
+// line returns the errors in one line of a page that lies in folder.
 func (c *checker) line(folder, text string) (reasons []string) {
 	for _, m := range link.FindAllStringSubmatch(text, -1) {
 		if !strings.Contains(m[1], "://") && !exists(filepath.Join(folder, m[1])) {
-			reasons = append(reasons, "link to "+m[1]+", which is not there")
+			reasons = append(reasons, "link to "+m[1]+", which does not exist")
 		}
 	}
 	spans := codeSpan.FindAllStringSubmatch(text, -1)
@@ -133,10 +133,10 @@
 	return reasons
 }
 
-// table finds the rows of the tables of one kind, by their head, as a page is read line by line.
+// table finds the rows of those tables whose head matches, as a page is read line by line.
 type table struct {
 	head   *regexp.Regexp
-	inside bool // the last line belonged to such a table
+	inside bool // the previous line belonged to such a table
 }
 
 // firstCell returns the code spans in the first cell of the next line of the page, if that is a row.
@@ -153,7 +153,8 @@
 	return spans
 }
 
-// span checks one piece of code: a call of make, a symbol, a test, a metric, and each word that is a path of the tree.
+// span checks one code span, which may be a call of make, a symbol, a test, a command that runs tests or a metric, and each word in it
+// that is a path of the tree.
 func (c *checker) span(code string) (reasons []string) {
 	if m := makeCall.FindStringSubmatch(code); m != nil && !c.targets[m[1]] {
 		reasons = append(reasons, "make "+m[1]+": no such target")
@@ -177,7 +178,7 @@
 		if m := treePath.FindStringSubmatch(word); m != nil {
 			found, err := filepath.Glob(filepath.Join(c.root, m[1]))
 			if err != nil || len(found) == 0 {
-				reasons = append(reasons, m[1]+" is not there")
+				reasons = append(reasons, m[1]+" does not exist")
 			}
 		}
 	}
--- a/internal/tools/docscheck/symbols.go
+++ b/internal/tools/docscheck/symbols.go
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// prometheusPackage is the import of files that register metrics, quoted as there.
+// prometheusPackage is the import path of files that register metrics, in quotes as in the source.
 const prometheusPackage = `"github.com/prometheus/client_golang/prometheus"`
 
 var metricName = regexp.MustCompile(`^[a-z][a-z_]*$`)
@@ -20,10 +20,10 @@
 // methods and fields as Type.Name. Packages that share a name share one set.
 type symbols map[string]map[string]bool
 
-// source is what the checks know of the Go files of a tree.
+// source holds the names that the Go files of a tree declare or use.
 type source struct {
 	symbols  symbols
-	packages map[string]bool // import paths without the module's
+	packages map[string]bool // import paths without the module path
 	metrics  map[string]bool // names of metrics
 	events   []event         // log lines
 }
@@ -38,12 +38,13 @@
 	return false
 }
 
-// testPrefixes are the beginnings of functions that a flag of `go test` chooses from.
+// testPrefixes are the prefixes of the functions that each flag of `go test` selects from.
 var testPrefixes = map[string]string{"run": "Test", "bench": "Benchmark", "fuzz": "Fuzz"}
 
-// matchesTest reports whether a flag of `go test` with this pattern chooses some function; what follows a slash is a subtest's.
+// matchesTest reports whether a flag of `go test` with this pattern selects some function. It ignores the part of the pattern after a
+// slash, which selects subtests.
 func (s *source) matchesTest(flag, pattern string) bool {
-	top, _, _ := strings.Cut(strings.ReplaceAll(pattern, `\|`, "|"), "/") // in a table's cell a bar is escaped
+	top, _, _ := strings.Cut(strings.ReplaceAll(pattern, `\|`, "|"), "/") // a bar in a cell of a table is escaped
 	chosen, err := regexp.Compile(top)
 	if err != nil {
 		return false
@@ -58,7 +59,7 @@
 	return false
 }
 
-// hasPackage reports whether a package, or a folder that holds some, has the path, whole or without its leading folders.
+// hasPackage reports whether path is a part, in whole folder names, of some package's path.
 func (s *source) hasPackage(path string) bool {
 	for known := range s.packages {
 		if strings.Contains("/"+known+"/", "/"+path+"/") {
@@ -68,7 +69,7 @@
 	return false
 }
 
-// readSource parses all Go files under root, tests too. Folders named testdata and those with a leading dot are left out.
+// readSource parses all Go files under root, tests too. It skips folders named testdata and those with a leading dot.
 func readSource(root string) (*source, error) {
 	known := &source{symbols: symbols{}, packages: map[string]bool{}, metrics: map[string]bool{}}
 	files := token.NewFileSet()
@@ -106,7 +107,7 @@
 	return known, err
 }
 
-// addMetrics adds the names of metrics in a file that registers some: strings that may be a name, behind the common prefix.
+// addMetrics adds, with metricPrefix, each string literal that may be a metric's name, if the file imports prometheusPackage.
 func (s *source) addMetrics(file *ast.File) {
 	if !slices.ContainsFunc(file.Imports, func(i *ast.ImportSpec) bool { return i.Path.Value == prometheusPackage }) {
 		return
@@ -166,7 +167,7 @@
 	}
 }
 
-// receiverName is the type's name of a method's receiver, without pointer and type parameters.
+// receiverName returns the name of a receiver's type, without pointer and type parameters.
 func receiverName(e ast.Expr) string {
 	switch t := e.(type) {
 	case *ast.StarExpr:
--- a/internal/tools/filler/filler.go
+++ b/internal/tools/filler/filler.go
@@ -1,5 +1,5 @@
-// Package filler sets every field of a value, for tests that hold what is stored or sent to the bytes of earlier versions. It
-// goes by the order of the fields and not by their names, so that the bytes it leads to don't follow a renamed field.
+// Package filler sets every field of a value, for tests that compare stored or sent encodings with those of earlier versions. The
+// values depend on the order of the fields and not on their names, so that renaming a field doesn't change them.
 package filler
 
 import (
@@ -9,8 +9,8 @@
 )
 
 // Fill sets each field of the value that pointer points to, also behind pointers, in slices (two elements) and in maps (one
-// pair), so that none is zero and hardly two are alike. The same type always gets the same values. It panics on a kind that
-// no encoding carries, such as a channel or a function, and on an unexported field.
+// pair), to values other than zero, hardly any two of which are equal. The same type always gets the same values. It panics on a kind
+// that encodings don't support, such as a channel or a function, and on an unexported field.
 func Fill(pointer any) { new(counter).fill(reflect.ValueOf(pointer).Elem()) }
 
 // New returns a pointer to a filled value of the type that prototype points to.
@@ -20,7 +20,7 @@
 	return made.Interface()
 }
 
-// counter is the number that the next value is made of.
+// counter is the number of values set so far; each scalar is derived from it.
 type counter int
 
 func (c *counter) fill(value reflect.Value) {
--- a/internal/tools/filler/filler_test.go
+++ b/internal/tools/filler/filler_test.go
@@ -25,7 +25,7 @@
 func TestFill_EveryField_IsSetAlikeEachTime(t *testing.T) {
 	first, second := New(&sample{}), New(&sample{})
 	if !reflect.DeepEqual(first, second) {
-		t.Errorf("%+v, then %+v", first, second)
+		t.Errorf("filled with %+v, then with %+v", first, second)
 	}
 	value := reflect.ValueOf(first).Elem()
 	for i := range value.NumField() {
@@ -35,17 +35,17 @@
 	}
 	s := first.(*sample)
 	if len(s.List) != 2 || s.List[0] == s.List[1] || s.Next.A == s.Next.B {
-		t.Errorf("alike: %+v", s)
+		t.Errorf("equal elements, or not two of them: %+v", s)
 	}
 	if !json.Valid(s.Raw) {
-		t.Errorf("%s is no JSON", s.Raw)
+		t.Errorf("%s is not valid JSON", s.Raw)
 	}
 }
 
 func TestFill_KindThatNothingCarries_Panics(t *testing.T) {
 	defer func() {
 		if recover() == nil {
-			t.Error("no panic")
+			t.Error("Fill does not panic on a channel")
 		}
 	}()
 	Fill(&struct{ C chan int }{})
--- a/internal/tools/knownred/errors.go
+++ b/internal/tools/knownred/errors.go
@@ -7,12 +7,12 @@
 
 // Causes of a lineError.
 var (
-	errTooFewFields = errors.New("not TestName package cause issue")
-	errNoTest       = errors.New("no test function")
-	errDuplicate    = errors.New("stands there twice")
+	errTooFewFields = errors.New("fewer fields than TestName package cause issue")
+	errNotATest     = errors.New("not a test function")
+	errDuplicate    = errors.New("the test is listed twice")
 )
 
-// lineError is returned for a line of the list that can't be read. Its cause is errTooFewFields, errNoTest or errDuplicate.
+// lineError is returned for a line of the list that can't be read. Its cause is errTooFewFields, errNotATest or errDuplicate.
 type lineError struct {
 	Number int // from 1
 	Text   string
@@ -25,14 +25,14 @@
 
 func (e *lineError) Unwrap() error { return e.Cause }
 
-// eventError is returned for a line of the input that is no event.
+// eventError is returned for a line of the input that isn't an event.
 type eventError struct {
 	Line  string
 	Cause error
 }
 
 func (e *eventError) Error() string {
-	return fmt.Sprintf("%q is no event of go test -json: %v", e.Line, e.Cause)
+	return fmt.Sprintf("%q is not an event of go test -json: %v", e.Line, e.Cause)
 }
 
 func (e *eventError) Unwrap() error { return e.Cause }
--- a/internal/tools/knownred/events.go
+++ b/internal/tools/knownred/events.go
@@ -12,7 +12,7 @@
 type event struct {
 	Action      string
 	Package     string
-	ImportPath  string // of what was built: build events have no Package
+	ImportPath  string // of the built package; build events have no Package
 	Test        string
 	Output      string
 	FailedBuild string
@@ -25,11 +25,11 @@
 type results struct {
 	passed        map[testID]bool
 	failed        map[testID]bool
-	packagePassed map[string]bool // by package, of those that have ended
+	packagePassed map[string]bool // by package; only packages whose tests have ended
 	crashed       map[string]bool // packages that crashed or were not built: other tests of them may not have run
-	progress      io.Writer       // gets a line for each package, and the output of what failed
+	progress      io.Writer       // receives a line for each package, and the output of failed tests and packages
 
-	pendingOutput map[testID]*strings.Builder // not yet written; that of the package itself has an empty Name
+	pendingOutput map[testID]*strings.Builder // output not yet written to progress; a package's own output has an empty Name
 	buildOutput   map[string]*strings.Builder
 }
 
@@ -38,7 +38,7 @@
 		progress: progress, pendingOutput: map[testID]*strings.Builder{}, buildOutput: map[string]*strings.Builder{}}
 }
 
-// read applies all events up to the end of the input. It fails with an eventError at a line that is no event.
+// read applies all events up to the end of the input. It fails with an eventError at a line that isn't an event.
 func (r *results) read(from io.Reader) error {
 	lines := bufio.NewScanner(from)
 	lines.Buffer(nil, maxEventBytes)
@@ -70,7 +70,7 @@
 	}
 }
 
-// bufferOutput keeps output until it is known whether it is to be shown.
+// bufferOutput keeps output until the test or package has ended, and only a failure shows it.
 func (r *results) bufferOutput(id testID, text string) {
 	if isCrash(text) {
 		r.crashed[id.Package] = true
@@ -78,7 +78,7 @@
 	builderOf(r.pendingOutput, id).WriteString(text)
 }
 
-// isCrash reports whether a line shows that the package's process ended before all tests had.
+// isCrash reports whether a line shows that the package's process ended before all its tests.
 func isCrash(line string) bool {
 	for _, start := range []string{"panic: ", "fatal error: ", "signal: "} {
 		if strings.HasPrefix(line, start) {
@@ -100,7 +100,8 @@
 	delete(r.pendingOutput, id)
 }
 
-// endPackage records the outcome of a package. A test of it that has output left has never ended: the package crashed.
+// endPackage records the outcome of a package. If a test of the package still has pending output, it has
+// not ended: the package crashed.
 func (r *results) endPackage(e event) {
 	packageID := testID{Package: e.Package}
 	passed := e.Action != "fail"
@@ -127,13 +128,13 @@
 // show writes the output of a test or a package.
 func (r *results) show(id testID) { fmt.Fprint(r.progress, builderOf(r.pendingOutput, id).String()) }
 
-// showLast writes the last line of the output, which is the summary of a package.
+// showLast writes the last line of a package's output, which is its summary.
 func (r *results) showLast(id testID) {
 	text := strings.TrimRight(builderOf(r.pendingOutput, id).String(), "\n")
 	fmt.Fprintln(r.progress, text[strings.LastIndex(text, "\n")+1:])
 }
 
-// builderOf returns the builder of the key, made at its first use.
+// builderOf returns the builder of the key, and creates it at its first use.
 func builderOf[K comparable](all map[K]*strings.Builder, key K) *strings.Builder {
 	if all[key] == nil {
 		all[key] = &strings.Builder{}
--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -57,7 +57,7 @@
 			shows: []string{"FAILED: TestBad of p failed", "FAILED: TestBad of q is listed and did not run"}},
 		{name: "a listed test that passes", list: "TestGood p x #7\n", events: passes + packagePasses,
 			shows: []string{"NOTE: passes, though listed as known to fail: TestGood of p, #7"}, hides: []string{"FAILED"}},
-		{name: "a listed test that isn't there", list: listsBad, events: passes + packagePasses, status: 1,
+		{name: "a listed test that doesn't exist", list: listsBad, events: passes + packagePasses, status: 1,
 			shows: []string{"FAILED: TestBad of p is listed and did not run"}},
 		{name: "a listed test that panics", list: listsBad, events: panics + packageFails, status: 1,
 			shows: []string{"panic: oh", "FAILED: the tests of p broke off or were not built"}},
@@ -68,7 +68,7 @@
 		{name: "a package that fails by itself", events: passes + packageFails, status: 1,
 			shows: []string{"FAILED: p failed with no failed test"}},
 		{name: "a package without events", status: 1, shows: []string{"FAILED: the tests of p have no end"}},
-		{name: "no events", events: "FAIL\n", status: 2, shows: []string{"is no event"}},
+		{name: "input that isn't an event", events: "FAIL\n", status: 2, shows: []string{"is not an event"}},
 		{name: "a list that can't be read", list: "TestBad\n", events: passes + packagePasses, status: 2, shows: []string{"line 1"}},
 	}
 	for _, c := range cases {
@@ -83,12 +83,12 @@
 			}
 			for _, text := range c.shows {
 				if !strings.Contains(output.String(), text) {
-					t.Errorf("without %q:\n%s", text, &output)
+					t.Errorf("the output lacks %q:\n%s", text, &output)
 				}
 			}
 			for _, text := range c.hides {
 				if strings.Contains(output.String(), text) {
-					t.Errorf("with %q:\n%s", text, &output)
+					t.Errorf("the output has %q:\n%s", text, &output)
 				}
 			}
 		})
@@ -110,8 +110,8 @@
 			want: []entry{{testID: testID{Package: "mastusher/p", Name: "TestA"}, Cause: "the clock goes back", Issue: "#12"}},
 		},
 		{name: "no issue", text: "TestA p cause\n", fault: "line 1"},
-		{name: "a part of a test", text: "\nTestA/b p cause #1\n", fault: "line 2"},
-		{name: "no test", text: "BenchmarkA p cause #1\n", fault: "no test function"},
+		{name: "a subtest", text: "\nTestA/b p cause #1\n", fault: "line 2"},
+		{name: "no test", text: "BenchmarkA p cause #1\n", fault: "not a test function"},
 		{name: "twice", text: "TestA p cause #1\nTestA p other #2\n", fault: "twice"},
 	}
 	for _, c := range cases {
@@ -127,7 +127,7 @@
 	}
 }
 
-// The project's own list must be one that can be read.
+// The list that `make check` uses must be readable.
 func TestReadList_ProjectList_IsValid(t *testing.T) {
 	file, err := os.Open("../../../KNOWN-RED.txt")
 	if err != nil {
--- a/internal/tools/knownred/list.go
+++ b/internal/tools/knownred/list.go
@@ -12,18 +12,18 @@
 	Name    string
 }
 
-// entry is one line of the list: a test that is known to fail, why, and where that is being worked on.
+// entry is one line of the list: a test that is known to fail, the cause, and the issue that tracks it.
 type entry struct {
 	testID
 	Cause string
 	Issue string
 }
 
-// minFields of a line: name, package, cause, issue.
+// minFields is the least number of fields of a line: name, package, cause (at least one word), issue.
 const minFields = 4
 
-// readList reads the list; blank lines are skipped. It fails with a lineError at a line that is no entry, that names anything but
-// a test function, or that names a test a second time.
+// readList reads the list; blank lines are skipped. It fails with a lineError at a line that isn't an entry, that names
+// anything but a test function, or that repeats a test.
 func readList(from io.Reader) ([]entry, error) {
 	var list []entry
 	seen := map[testID]bool{}
@@ -46,7 +46,7 @@
 	return list, lines.Err()
 }
 
-// parseEntry parses one line; the cause may have several words. Errors: errTooFewFields, errNoTest.
+// parseEntry parses one line; the cause may have several words. Errors: errTooFewFields, errNotATest.
 func parseEntry(line string) (entry, error) {
 	fields := strings.Fields(line)
 	if len(fields) < minFields {
@@ -54,7 +54,7 @@
 	}
 	name, last := fields[0], len(fields)-1
 	if !strings.HasPrefix(name, "Test") || strings.Contains(name, "/") {
-		return entry{}, errNoTest
+		return entry{}, errNotATest
 	}
 	return entry{
 		testID: testID{Package: fields[1], Name: name},
--- a/internal/tools/knownred/main.go
+++ b/internal/tools/knownred/main.go
@@ -10,7 +10,7 @@
 const (
 	statusPassed = 0
 	statusFailed = 1
-	statusUsage  = 2 // also of a list or events that can't be read
+	statusUsage  = 2 // also if the list or the events can't be read
 )
 
 func main() {
--- a/internal/tools/knownred/verdict.go
+++ b/internal/tools/knownred/verdict.go
@@ -23,7 +23,7 @@
 	return v
 }
 
-// judgeFailedTests judges each test that failed, and returns the packages in which a listed one did.
+// judgeFailedTests judges each test that failed, and returns the packages in which a listed test failed.
 func (v *verdict) judgeFailedTests(list []entry, got *results) (excused map[string]bool) {
 	listed := map[testID]entry{}
 	for _, known := range list {
@@ -42,7 +42,8 @@
 	return excused
 }
 
-// judgePackages judges the outcome of each package. One that failed must have a failed test, or it failed by itself.
+// judgePackages judges the outcome of each package. A package that failed without a failed test is a failure
+// of its own.
 func (v *verdict) judgePackages(got *results, packages []string, excused map[string]bool) {
 	for _, name := range packages {
 		passed, ended := got.packagePassed[name]
--- a/internal/tools/mutation/errors.go
+++ b/internal/tools/mutation/errors.go
@@ -14,9 +14,9 @@
 
 func (e *OutdatedError) Error() string {
 	if e.Change.Old == e.Change.New {
-		return fmt.Sprintf("%s: the change changes nothing: %q", e.Change.File, e.Change.Old)
+		return fmt.Sprintf("%s: old and new text of the change are equal: %q", e.Change.File, e.Change.Old)
 	}
-	return fmt.Sprintf("%s holds the old text %d times and not once: %q", e.Change.File, e.Count, e.Change.Old)
+	return fmt.Sprintf("%s contains the old text %d times, want once: %q", e.Change.File, e.Count, e.Change.Old)
 }
 
 // BuildError is returned for a mutant that doesn't compile.
@@ -38,7 +38,7 @@
 }
 
 func (e *SurvivorError) Error() string {
-	return fmt.Sprintf("the tests %q do not notice the mutant:\n%s", e.Run, e.Output)
+	return fmt.Sprintf("the tests %q do not detect the mutant:\n%s", e.Run, e.Output)
 }
 
 // UndecidedError is returned for a trial without a verdict: the tests timed out, could not be started, or none ran.
--- a/internal/tools/mutation/mutation.go
+++ b/internal/tools/mutation/mutation.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Limits of the trials. More trials in parallel end sooner and slow down the other tests on the machine.
+// Limits of the trials. More parallel trials would end sooner, but slow down other tests on the machine.
 const (
 	buildTimeout      = 5 * time.Minute
 	testTimeout       = 2 * time.Minute
@@ -17,7 +17,7 @@
 // trialVariable is set in the environment of a trial, in which Test must not start further trials.
 const trialVariable = "MUTATION_TRIAL"
 
-var runAllMutants = flag.Bool("mutants", false, "try every mutant, not only those that are always tried")
+var runAllMutants = flag.Bool("mutants", false, "try every mutant, not only those marked Always")
 
 // Change replaces a text of a source file.
 type Change struct {
@@ -26,14 +26,14 @@
 	New  string
 }
 
-// Mutant is a deliberate fault that tests must notice.
+// Mutant is a deliberate fault that tests must detect.
 type Mutant struct {
-	Name   string   // what is wrong with it; distinct within a table
-	Change          // the only change of most mutants
+	Name   string   // the fault in words; unique within a table
+	Change          // the first change, and the only one of most mutants
 	Also   []Change // further changes, in the same or in other files; made in this order
-	Run    string   // pattern of the tests that must notice it, as for `go test -run`
-	Args   []string // flags of these tests, beside those of package testing
-	Always bool     // tried by each run of the tests; the others only with the flag -mutants
+	Run    string   // pattern of the tests that must detect the mutant, as for `go test -run`
+	Args   []string // flags that these tests define themselves
+	Always bool     // tried in each run of the tests; other mutants are tried only with the flag -mutants
 }
 
 func (m Mutant) changes() []Change {
@@ -41,14 +41,14 @@
 }
 
 // Test tries the mutants on the package whose tests are running. It fails for each mutant that survives, that doesn't compile,
-// whose tests give no verdict, or whose old text doesn't occur exactly once. The last is checked for every mutant, also for
-// those that are not tried. Two mutants must not have the same name.
+// whose tests give no verdict, or whose old text doesn't occur exactly once. The old texts are checked for every mutant, even if it is
+// not tried. Two mutants must not have the same name.
 func Test(t *testing.T, mutants []Mutant) {
 	t.Helper()
 	if os.Getenv(trialVariable) != "" {
 		return
 	}
-	const folder = "." // where the tests of a package run
+	const folder = "." // go test runs the tests of a package in its folder
 	slots := make(chan struct{}, maxParallelTrials)
 	names := make(map[string]bool, len(mutants))
 	tried := 0
@@ -73,8 +73,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("noticed after %.1f s by %s", time.Since(start).Seconds(), killedBy)
+			t.Logf("killed after %.1f s by %s", time.Since(start).Seconds(), killedBy)
 		})
 	}
-	t.Logf("%d of %d mutants are tried", tried, len(mutants))
+	t.Logf("trying %d of %d mutants", tried, len(mutants))
 }
--- a/internal/tools/mutation/mutation_test.go
+++ b/internal/tools/mutation/mutation_test.go
@@ -87,21 +87,21 @@
 		undecided *UndecidedError
 	)
 	cases := []struct {
-		name    string
-		change  Change
-		run     string
-		args    []string
-		noticed string // beginning of the name of the test that notices it
-		fails   any    // otherwise: the type of the error
+		name   string
+		change Change
+		run    string
+		args   []string
+		killer string // prefix of the name of the test that kills the mutant
+		fails  any    // pointer to the expected type of error, if no test kills the mutant
 	}{
-		{name: "noticed", change: neverFirst, run: "^TestLarger$", noticed: "TestLarger/first"},
-		{name: "noticed under a flag", change: neverFirst, run: "^TestThorough$", args: []string{"-thorough"}, noticed: "TestThorough"},
+		{name: "killed", change: neverFirst, run: "^TestLarger$", killer: "TestLarger/first"},
+		{name: "killed only with a flag", change: neverFirst, run: "^TestThorough$", args: []string{"-thorough"}, killer: "TestThorough"},
 		{name: "survives without the flag", change: neverFirst, run: "^TestThorough$", fails: &survived},
-		{name: "panics", change: sampleChange("return b", `panic("late")`), run: "^TestOnlySecond$", noticed: "TestOnlySecond"},
+		{name: "panics", change: sampleChange("return b", `panic("late")`), run: "^TestOnlySecond$", killer: "TestOnlySecond"},
 		{name: "survives", change: neverFirst, run: "^TestOnlySecond$", fails: &survived},
 		{name: "does not compile", change: sampleChange("a > b", "a"), run: "^TestLarger$", fails: &unbuilt},
-		{name: "text is gone", change: sampleChange("a < b", "false"), run: "^TestLarger$", fails: &outdated},
-		{name: "text is there twice", change: sampleChange("return", "panic"), run: "^TestLarger$", fails: &outdated},
+		{name: "old text is missing", change: sampleChange("a < b", "false"), run: "^TestLarger$", fails: &outdated},
+		{name: "old text occurs twice", change: sampleChange("return", "panic"), run: "^TestLarger$", fails: &outdated},
 		{name: "changes nothing", change: sampleChange("a > b", "a > b"), run: "^TestLarger$", fails: &outdated},
 		{name: "no such test", change: neverFirst, run: "^TestNone$", fails: &undecided},
 	}
@@ -110,12 +110,12 @@
 			killedBy, err := runTrial(t.Context(), folder, t.TempDir(), Mutant{Name: tc.name, Change: tc.change, Run: tc.run, Args: tc.args})
 			if tc.fails != nil {
 				if !errors.As(err, tc.fails) {
-					t.Errorf("the error is %v, and not a %T", err, tc.fails)
+					t.Errorf("the error is %v, want a %T", err, tc.fails)
 				}
 				return
 			}
-			if err != nil || !strings.HasPrefix(killedBy, tc.noticed) {
-				t.Errorf("noticed by %q, error %v, and not by %q", killedBy, err, tc.noticed)
+			if err != nil || !strings.HasPrefix(killedBy, tc.killer) {
+				t.Errorf("killed by %q, error %v, want %q", killedBy, err, tc.killer)
 			}
 		})
 	}
@@ -138,7 +138,7 @@
 	_, err = runTests(t.Context(), folder, binary, "^TestEndless$", 100*time.Millisecond)
 	var undecided *UndecidedError
 	if !errors.As(err, &undecided) {
-		t.Errorf("the error is %v, and not one without a verdict", err)
+		t.Errorf("the error is %v, want an UndecidedError", err)
 	}
 }
 
@@ -150,11 +150,11 @@
 	}
 	for path, source := range changed {
 		if filepath.Base(path) != "sample.go" || !strings.Contains(source, "a == b") {
-			t.Errorf("%s holds %s", path, source)
+			t.Errorf("%s contains %s", path, source)
 		}
 	}
 	if len(changed) != 1 {
-		t.Errorf("%d files are changed", len(changed))
+		t.Errorf("%d files are changed, want 1", len(changed))
 	}
 }
 
--- a/internal/tools/mutation/source.go
+++ b/internal/tools/mutation/source.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// mutate returns the changed content of each file that the changes name, by absolute path. The changes are made in order, each
-// on the result of those before it. Errors: OutdatedError, or that of reading a file.
+// mutate returns the changed content of each file that the changes name, by absolute path. Each change is applied to the result of
+// those before it. Errors: OutdatedError, or that of reading a file.
 func mutate(folder string, changes []Change) (map[string]string, error) {
 	changed := map[string]string{}
 	for _, change := range changes {
@@ -33,7 +33,7 @@
 	return changed, nil
 }
 
-// writeOverlay writes the changed files to scratch, and beside them the file for the flag -overlay of `go`, whose path it returns.
+// writeOverlay writes the changed files to scratch, and the JSON file for the flag -overlay of `go`, whose path it returns.
 func writeOverlay(scratch string, changed map[string]string) (string, error) {
 	overlay := struct{ Replace map[string]string }{Replace: map[string]string{}}
 	for path, source := range changed {
--- a/internal/tools/mutation/trial.go
+++ b/internal/tools/mutation/trial.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// Prefixes of the lines that a test binary writes under verboseFlag. It reports each test and subtest as soon as that ends, the
-// name of a failed one after failPrefix; a panic or a fatal error ends the binary.
+// Prefixes of the lines that a test binary writes under verboseFlag. It reports each test and subtest as soon as it ends, and a failed
+// one by its name after failPrefix. A panic or a fatal error ends the binary.
 const (
 	verboseFlag   = "-test.v=test2json"
 	eventPrefix   = "\x16"
@@ -26,10 +26,10 @@
 	timeoutPrefix = "panic: test timed out"
 )
 
-// waitDelay is how long the output of a killed binary may stay open.
+// waitDelay is how long the output of a killed binary may stay open, for example in its child processes.
 const waitDelay = 5 * time.Second
 
-// maxErrorOutput bounds the tests' output in an error, in bytes; the last ones are kept.
+// maxErrorOutput bounds the tests' output in an error, in bytes; the end of the output is kept.
 const maxErrorOutput = 2000
 
 // runTrial builds the package in folder with the mutant and runs its tests until one fails. It returns the name of the
@@ -91,7 +91,7 @@
 	return verdict(pattern, time.Since(start), seen, <-exited)
 }
 
-// transcript is what the output of the tests shows so far.
+// transcript is what the output of the tests has shown so far.
 type transcript struct {
 	failedTest string // the first test that failed
 	panicked   bool
--- a/internal/tools/packages/compiler.go
+++ b/internal/tools/packages/compiler.go
@@ -9,18 +9,18 @@
 	"slices"
 )
 
-// traceVariable is the environment variable with the folder for the traces. Where it is set, this program is the compiler of a
-// build.
+// traceVariable is the environment variable that holds the folder for the traces. If it is set, this program acts as the compiler of
+// a build.
 const traceVariable = "PACKAGES_TRACE_FOLDER"
 
-// compiler is the real one.
+// compiler is the C compiler that the build would otherwise use.
 const compiler = "gcc"
 
-// traceFlags make the compiler name the programs that it runs, the headers that it reads, and what the linker opens.
+// traceFlags make the compiler print the programs that it runs, the headers that it reads, and the files that the linker opens.
 var traceFlags = []string{"-v", "-H", "-Wl,--trace"}
 
-// compile acts as the compiler of a build: it runs the real one twice, first for a trace file in folder, then without the trace
-// flags. It returns the exit status of the second run.
+// compile acts as the compiler of a build: it runs the real compiler twice, first with the trace flags and its output in a file
+// in folder, then as the build called it. It returns the exit status of the second run.
 func compile(folder string, arguments []string) int {
 	input, err := readInput(arguments)
 	if err != nil {
@@ -35,7 +35,7 @@
 	defer trace.Close()
 	traced := exec.Command(compiler, slices.Concat(traceFlags, arguments)...)
 	traced.Stdin, traced.Stdout, traced.Stderr = bytes.NewReader(input), trace, trace
-	_ = traced.Run() // the second run decides
+	_ = traced.Run() // only the status of the second run counts
 	plain := exec.Command(compiler, arguments...)
 	plain.Stdin, plain.Stdout, plain.Stderr = bytes.NewReader(input), os.Stdout, os.Stderr
 	if err := plain.Run(); err != nil {
@@ -44,7 +44,7 @@
 	return 0
 }
 
-// readInput reads the source from standard input if the arguments have "-", so that it can be given to both runs.
+// readInput reads the source from standard input if the arguments contain "-", so that both runs can get it.
 func readInput(arguments []string) ([]byte, error) {
 	if !slices.Contains(arguments, "-") {
 		return nil, nil
--- a/internal/tools/packages/dpkg.go
+++ b/internal/tools/packages/dpkg.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// packageDatabase is the answer of dpkg for this machine.
+// packageDatabase holds what dpkg knows about packages on this machine.
 type packageDatabase struct {
 	owners       map[string][]string // names of packages, by the path of a file
-	dependencies map[string][]string // names of packages, by the name of an installed one; with all alternatives
+	dependencies map[string][]string // names of packages, including all alternatives, by the name of an installed package
 }
 
 // queryDpkg asks dpkg for the owners of the files and for the dependencies of all installed packages.
@@ -20,12 +20,12 @@
 		paths = append(paths, aliasesOf(file)...)
 	}
 	owned, err := exec.Command("dpkg-query", append([]string{"--search"}, paths...)...).Output()
-	if len(owned) == 0 { // the status alone says nothing: it is 1 if any path has no owner
-		return packageDatabase{}, fmt.Errorf("asking for the owners of files: %w", err)
+	if len(owned) == 0 { // the exit status can't tell: it is 1 if any path has no owner
+		return packageDatabase{}, fmt.Errorf("querying dpkg for the owners of files: %w", err)
 	}
 	installed, err := exec.Command("dpkg-query", "--show", "--showformat", `${Package}\t${Pre-Depends}, ${Depends}\n`).Output()
 	if err != nil {
-		return packageDatabase{}, fmt.Errorf("asking for the installed packages: %w", err)
+		return packageDatabase{}, fmt.Errorf("querying dpkg for the installed packages: %w", err)
 	}
 	return packageDatabase{owners: parseOwners(string(owned)), dependencies: parseDepends(string(installed))}, nil
 }
@@ -69,15 +69,15 @@
 	return depends
 }
 
-// packageName returns the name without version and architecture.
+// packageName returns the package name in text without version and architecture.
 func packageName(text string) string {
 	name, _, _ := strings.Cut(text, " ")
 	name, _, _ = strings.Cut(name, ":")
 	return name
 }
 
-// check returns what is wrong with a list: a notInstalledError for each listed package that isn't installed, and an unlistedError
-// for each file that is owned neither by a listed package nor by one on which they depend.
+// check returns the errors in a list of packages: a notInstalledError for each listed package that isn't installed, and an unlistedError
+// for each file that is owned neither by a listed package nor by one on which a listed package depends.
 func (d packageDatabase) check(files, listed []string) []error {
 	var failures []error
 	for _, name := range listed {
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// closure returns the packages and all that they depend on, directly or not.
+// closure returns the named packages and all their direct and indirect dependencies.
 func (d packageDatabase) closure(names []string) map[string]bool {
 	reached := map[string]bool{}
 	pending := slices.Clone(names)
--- a/internal/tools/packages/main.go
+++ b/internal/tools/packages/main.go
@@ -16,7 +16,7 @@
 		os.Exit(2)
 	}
 	if _, err := exec.LookPath("dpkg-query"); err != nil {
-		fmt.Println("packages: not checked: this machine has no dpkg to ask for the owners of files")
+		fmt.Println("packages: not checked: this machine has no dpkg-query to look up the owners of files")
 		return
 	}
 	status := 0
@@ -29,8 +29,8 @@
 	os.Exit(status)
 }
 
-// check traces the build of one deploy file and checks its list of packages. All that is wrong with the list is in the error: see
-// notInstalledError and unlistedError.
+// check traces the build of one deploy file and checks its list of packages. Its error joins a notInstalledError or unlistedError for
+// each fault of the list.
 func check(path string) error {
 	declared, err := readDeployFile(path)
 	if err != nil {
--- a/internal/tools/packages/packages_test.go
+++ b/internal/tools/packages/packages_test.go
@@ -59,25 +59,25 @@
 		failures []string
 	}{
 		{name: "all listed", opened: opened, listed: []string{"dash", "gcc", "libc6-dev", "linux-libc-dev"}},
-		{name: "one comes as a dependency", opened: opened, listed: []string{"dash", "gcc", "libc6-dev"}},
+		{name: "one is a dependency of another", opened: opened, listed: []string{"dash", "gcc", "libc6-dev"}},
 		{
-			name:     "one is left out",
+			name:     "one is missing",
 			opened:   opened,
 			listed:   []string{"dash", "gcc"},
 			failures: []string{"stdio.h of [libc6-dev libc6-dev-other]", "errno.h of [linux-libc-dev]"},
 		},
-		{name: "nobody owns a file", opened: []string{"/opt/cc1"}, listed: []string{"gcc"}, failures: []string{"/opt/cc1 of []"}},
-		{name: "a package that isn't there", listed: []string{"gcc", "clang"}, failures: []string{"clang is listed"}},
+		{name: "a file without an owner", opened: []string{"/opt/cc1"}, listed: []string{"gcc"}, failures: []string{"/opt/cc1 of []"}},
+		{name: "a package that isn't installed", listed: []string{"gcc", "clang"}, failures: []string{"clang is listed"}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			failures := sampleDpkg().check(tc.opened, tc.listed)
 			if len(failures) != len(tc.failures) {
-				t.Fatalf("found %v, and not %v", failures, tc.failures)
+				t.Fatalf("found %v, want %v", failures, tc.failures)
 			}
 			for i, want := range tc.failures {
 				if !strings.Contains(failures[i].Error(), want) {
-					t.Errorf("found %v, and not %s", failures[i], want)
+					t.Errorf("found %v, want %s", failures[i], want)
 				}
 			}
 		})
@@ -105,7 +105,7 @@
 	}
 	given("build = \"go build\"\n")
 	if _, err := readDeployFile(path); err == nil {
-		t.Error("a file without packages is taken")
+		t.Error("a file without packages is accepted")
 	}
 }
 
@@ -120,9 +120,9 @@
 func TestWithOutput_ReplacesTheOutputFolder(t *testing.T) {
 	got, err := withOutput("mkdir -p bin && go build -o bin/ ./cmd", "/tmp/x/")
 	if want := "mkdir -p bin && go build -o /tmp/x/ ./cmd"; err != nil || got != want {
-		t.Errorf("got %q, error %v, and not %q", got, err, want)
+		t.Errorf("got %q, error %v, want %q", got, err, want)
 	}
 	if _, err := withOutput("go build ./cmd", "/tmp/x/"); err == nil {
-		t.Error("a build line that names no place for the programs is taken")
+		t.Error("a build line without -o is accepted")
 	}
 }
--- a/internal/tools/packages/trace.go
+++ b/internal/tools/packages/trace.go
@@ -10,9 +10,9 @@
 	"strings"
 )
 
-// traceBuild runs a build line and returns the files of the machine that it opened, sorted. The compiler has a new path at each
-// run, which Go's build cache takes for another compiler, and the programs go to an empty folder: so everything with C in it is
-// compiled and linked anew.
+// traceBuild runs a build line and returns the sorted paths of the files that it opened, without those in excludedFolders. The
+// compiler has a new path in each run, so that Go's build cache takes it for another compiler, and the output folder is empty: so all
+// packages that use C are compiled and linked anew.
 func traceBuild(line string) ([]string, error) {
 	folder, err := os.MkdirTemp("", "packages-")
 	if err != nil {
@@ -35,7 +35,7 @@
 	return slices.Compact(opened), nil
 }
 
-// runBuild runs a build line with a copy of this program as its compiler. Traces and programs go to folder.
+// runBuild runs a build line with a copy of this program as its compiler. Traces and built programs are written to folder.
 func runBuild(line, folder string) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -52,14 +52,15 @@
 	build := exec.Command("sh", "-c", redirected)
 	build.Env = append(os.Environ(), "CC="+wrapper, traceVariable+"="+folder)
 	if output, err := build.CombinedOutput(); err != nil {
-		return fmt.Errorf("the build line fails: %w\n%s", err, output)
+		return fmt.Errorf("running the build line: %w\n%s", err, output)
 	}
 	return nil
 }
 
 var outputFlag = regexp.MustCompile(` -o \S+`)
 
-// withOutput returns the build line with folder as the target of its -o. It fails with an outputFlagError unless there is just one.
+// withOutput returns the build line with folder as the target of its -o. It fails with an outputFlagError unless there is
+// exactly one.
 func withOutput(line, folder string) (string, error) {
 	if len(outputFlag.FindAllString(line, -1)) != 1 {
 		return "", &outputFlagError{Line: line}
@@ -76,8 +77,8 @@
 	return os.WriteFile(to, raw, 0o700)
 }
 
-// readTraces returns the regular files that the traces name, but for those in excludedFolders, in no order. It fails with
-// errNoCompiler without a trace.
+// readTraces returns the regular files that the traces name, without those in excludedFolders, in no particular order. It fails with
+// errNoCompiler if there is no trace.
 func readTraces(folder string) ([]string, error) {
 	traces, err := filepath.Glob(filepath.Join(folder, "trace-*"))
 	if err != nil {
@@ -121,11 +122,12 @@
 	return paths
 }
 
-// excludedFolders are those of Go, of the build and of the checkout, whose files no package has to own.
+// excludedFolders returns the folders of the Go toolchain and its caches, of temporary files and of the checkout, whose files no
+// package has to own.
 func excludedFolders() ([]string, error) {
 	raw, err := exec.Command("go", "env", "GOROOT", "GOCACHE", "GOMODCACHE", "GOTMPDIR").Output()
 	if err != nil {
-		return nil, fmt.Errorf("asking go for its folders: %w", err)
+		return nil, fmt.Errorf("querying go for its folders: %w", err)
 	}
 	checkout, err := os.Getwd()
 	if err != nil {
@@ -139,14 +141,14 @@
 	return slices.ContainsFunc(folders, func(folder string) bool { return strings.HasPrefix(path, filepath.Clean(folder)+"/") })
 }
 
-// programsOf returns the programs that a trace doesn't name by their paths: those of the build line, less go itself, and those
-// that the compiler looks up.
+// programsOf returns the paths of the programs that a trace doesn't name by their paths: those that the build line runs, except go,
+// the shell, the compiler, and the assembler and linker that the compiler looks up.
 func programsOf(line string) ([]string, error) {
 	names := append(commandsOf(line), "sh", compiler)
 	for _, tool := range []string{"as", "ld"} {
 		raw, err := exec.Command(compiler, "-print-prog-name="+tool).Output()
 		if err != nil {
-			return nil, fmt.Errorf("asking the compiler for its %s: %w", tool, err)
+			return nil, fmt.Errorf("querying the compiler for its %s: %w", tool, err)
 		}
 		names = append(names, strings.TrimSpace(string(raw)))
 	}
@@ -161,7 +163,7 @@
 	return programs, nil
 }
 
-// commandsOf returns the names of the programs that a build line runs, less go itself.
+// commandsOf returns the names of the programs that a build line runs, except go.
 func commandsOf(line string) []string {
 	var names []string
 	for _, command := range strings.Split(line, "&&") {
