--- a/internal/relay/standin/address_test.go
+++ b/internal/relay/standin/address_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Many addresses are handed out before the first of them is used; nothing else may have taken one by then.
+// TestFreeAddress_UsedLate_IsStillFree hands out many addresses before it uses the first of them. Listeners on 127.0.0.1 that are opened
+// in between must not take any.
 func TestFreeAddress_UsedLate_IsStillFree(t *testing.T) {
 	var addresses []string
 	for range hostsPerProcess {
@@ -15,7 +16,7 @@
 		}
 		addresses = append(addresses, address)
 	}
-	for range 2000 { // each takes a port on 127.0.0.1 for a moment
+	for range 2000 { // each takes a port on 127.0.0.1
 		other, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/relay/standin/client.go
+++ b/internal/relay/standin/client.go
@@ -11,10 +11,10 @@
 	"mastusher/internal/relay/httpwire"
 )
 
-// Message is one that a client submits.
+// Message is a message that a client submits.
 type Message struct {
-	ID, Key, Class string        // an empty Key: without an idempotency key
-	Partner        int           // its number
+	ID, Key, Class string        // Key is the idempotency key; empty: none
+	Partner        int           // number of the partner that receives it
 	Timeout        time.Duration // sent to the millisecond
 	Body           string
 	Header         []string // further headers, names and values alternating
@@ -39,7 +39,7 @@
 func NewClient(address string) *Client { return &Client{Address: address, limits: Limits()} }
 
 // Send submits a message and returns status and body of the response; a status of 0 means that there was none. It retries once on
-// a new connection if an idle one fails, since the relay may have closed that between two requests.
+// a new connection if an idle one fails, since the relay may have closed it between two requests.
 func (c *Client) Send(ctx context.Context, m *Message) (status int, body string) {
 	request := c.encode(m)
 	for attempt := range 2 {
@@ -67,8 +67,8 @@
 	return httpwire.AppendRequest(nil, "POST", "/"+m.Class, c.Address, header, []byte(m.Body))
 }
 
-// exchange sends a request and reads the response, up to the deadline of ctx. The connection is idle afterwards, or closed. The body
-// must be copied before the connection is idle: it lies in the reader's buffer.
+// exchange sends a request and reads the response, up to the deadline of ctx. Afterwards the connection is idle or closed. The
+// body must be copied before the connection becomes idle, since it lies in the reader's buffer.
 func (c *Client) exchange(ctx context.Context, conn *clientConn, request []byte) (status int, body string, err error) {
 	if deadline, ok := ctx.Deadline(); ok {
 		_ = conn.SetDeadline(deadline)
@@ -123,7 +123,7 @@
 }
 
 // WaitUntilServing waits until the relay at address answers GET /up with 200, and reports whether it did within 400 attempts, which
-// take ten seconds where each is refused at once.
+// take ten seconds if each is refused at once.
 func WaitUntilServing(ctx context.Context, address string) bool {
 	pool := httpwire.NewPool(Limits())
 	request := httpwire.AppendRequest(nil, "GET", "/up", address, nil, nil)
--- a/internal/relay/standin/discovery.go
+++ b/internal/relay/standin/discovery.go
@@ -24,10 +24,10 @@
 	conns          []net.Conn
 	updates        []string
 	notices        map[string]string // the last outcome, by the id of the message
-	contradictions int               // notices with another outcome than the one before
+	contradictions int               // notices whose outcome differs from that of the notice before for the same message
 }
 
-// NewDiscovery serves a snapshot, as of Endpoints.Snapshot, on loopback.
+// NewDiscovery serves a snapshot, as returned by Endpoints.Snapshot, on loopback.
 func NewDiscovery(snapshot string) (*Discovery, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,7 +52,8 @@
 	}
 }
 
-// serve answers the requests of a connection: notices with 204, a watch with the stream of updates, which is the last request.
+// serve answers the requests of a connection: notices with 204, a watch with the stream of updates, after
+// which the connection is closed.
 func (d *Discovery) serve(conn net.Conn) {
 	defer conn.Close()
 	reader := httpwire.NewReader(conn, Limits())
@@ -87,7 +88,7 @@
 
 // Intervals of a watch.
 const (
-	pollInterval      = 20 * time.Millisecond // between two looks for updates
+	pollInterval      = 20 * time.Millisecond // between two checks for updates
 	heartbeatInterval = 2 * time.Second       // between two empty lines
 )
 
@@ -116,7 +117,7 @@
 	}
 }
 
-// PublishUpdate sends an entry, as of Endpoints.Entry, to all watchers. It replaces the entry of the same name.
+// PublishUpdate sends an entry, as returned by Endpoints.Entry, to all watchers. It replaces the entry of the same name.
 func (d *Discovery) PublishUpdate(entry string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/relay/standin/endpoints.go
+++ b/internal/relay/standin/endpoints.go
@@ -14,7 +14,7 @@
 
 // Arrival is one message that an endpoint received; a bulk call carries several.
 type Arrival struct {
-	Endpoint int       // its number
+	Endpoint int       // number of the endpoint
 	At       time.Time // when the call was read
 	ID, Key  string
 	Header   map[string][]string // of the call
@@ -30,7 +30,7 @@
 
 	mu       sync.Mutex // guards arrivals
 	arrivals []Arrival
-	arrived  chan struct{} // has an element when messages have arrived since it was read
+	arrived  chan struct{} // has an element if messages have arrived since the last receive
 }
 
 // NewEndpoints opens n endpoints on loopback. answer gives the response to each call (a bulk call is one); it runs on the
@@ -79,7 +79,7 @@
 	return messages
 }
 
-// Arrivals returns all messages received so far, in that order.
+// Arrivals returns all messages received so far, in the order of their arrival.
 func (e *Endpoints) Arrivals() []Arrival {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/relay/wiretest/exchange.go
+++ b/internal/relay/wiretest/exchange.go
@@ -12,11 +12,12 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// timeout bounds a run whose peer hangs. No result of a test may depend on it.
+// timeout bounds a run whose peer hangs. A passing test must not depend on it.
 const timeout = 20 * time.Second
 
-// Run runs the recording in file over conn and reports as errors of the test where the peer differs from it. vars are names with
-// their braces and values alternating, as for strings.NewReplacer. It closes nothing; an exchange that takes longer than the time-out fails.
+// Run runs the recording in file over conn, and reports each difference between what the peer sends and the recording as an error of
+// the test. vars alternates names in braces and values, as for strings.NewReplacer. Run leaves conn open. An exchange that takes longer
+// than timeout fails.
 func Run(t testing.TB, conn net.Conn, file string, vars ...string) {
 	t.Helper()
 	text, err := os.ReadFile(file)
@@ -37,12 +38,12 @@
 type exchange struct {
 	conn   net.Conn
 	reader *bufio.Reader
-	// unsent collects consecutive lines, which must go out in one write: the peer may close as soon as it has seen enough of them.
+	// unsent collects consecutive lines, which must be sent in one write: the peer may close before it has read all of them.
 	unsent    []byte
 	want, got []string
 }
 
-// run runs the lines up to the first error of the connection, and returns the line at which that came; empty: at the end.
+// run runs the lines up to the first error of the connection, and returns the line at which it occurred; empty: after the last line.
 func (e *exchange) run(lines []string) (line string, err error) {
 	for _, line := range lines {
 		direction, text, _ := strings.Cut(line, " ")
@@ -61,7 +62,7 @@
 	return "", e.flush()
 }
 
-// queue adds a line to what is sent next.
+// queue adds a line to the next write.
 func (e *exchange) queue(text string) {
 	if unterminated, ok := strings.CutSuffix(text, `\`); ok {
 		e.unsent = append(e.unsent, unterminated...)
@@ -70,7 +71,7 @@
 	e.unsent = append(append(e.unsent, text...), "\r\n"...)
 }
 
-// flush writes what is queued.
+// flush writes the queued lines.
 func (e *exchange) flush() (err error) {
 	if len(e.unsent) > 0 {
 		_, err = e.conn.Write(e.unsent)
@@ -79,7 +80,7 @@
 	return err
 }
 
-// expect reads what should match text, and adds both to want and got.
+// expect reads as much as text describes, and adds text to want and the bytes read to got; text itself if {*} matches them.
 func (e *exchange) expect(text string) (err error) {
 	if text == "EOF" {
 		e.want = append(e.want, text)
--- a/internal/tier/demo/demo.go
+++ b/internal/tier/demo/demo.go
@@ -79,7 +79,7 @@
 	return localtier.Configuration(number, retention)
 }
 
-// laterToolPath is on the route that version 2 adds.
+// laterToolPath is a path on the route that version 2 of the configuration adds.
 const laterToolPath = "/later-tools/a"
 
 // report writes one line of the report.
@@ -95,8 +95,7 @@
 	r.violations = append(r.violations, violations...)
 }
 
-// scenario runs the steps. It continues after violations, and returns the error of a step without which the next ones make no
-// sense.
+// scenario runs the steps. It continues after violations, and returns the error of a step that the following steps depend on.
 func (r *run) scenario(ctx context.Context) error {
 	r.report("%d processes on %d machines", len(r.tier.Processes), len(r.tier.Machines))
 	r.operator = localtier.NewOperator(r.tier.Addresses(localtier.CoreClass, localtier.ControlPort), nil)
@@ -126,7 +125,7 @@
 	return nil
 }
 
-// runProgram runs one stateful program, and checks its final state and all that it saw.
+// runProgram runs one stateful program, and checks its final state and the responses that it received.
 func (r *run) runProgram(ctx context.Context, program standin.ProgramOptions, want standin.State) standin.Outcome {
 	program.Host, program.TurnPath, program.ToolPath, program.Model = localtier.Host, localtier.TurnPath, localtier.ToolPath, localtier.ModelName
 	program.MaxTokens = maxTokens
@@ -136,14 +135,14 @@
 	outcome := standin.NewProgram(program).Run(ctx)
 	r.recordViolations(outcome.Check(r.environment.RunLog)...)
 	if outcome.State != want {
-		r.recordViolations(fmt.Sprintf("program %s ended as %s, not as %s: statuses %v", program.Name, outcome.State, want, statuses(outcome)))
+		r.recordViolations(fmt.Sprintf("program %s ended as %s, want %s: statuses %v", program.Name, outcome.State, want, statuses(outcome)))
 	}
 	r.report("program %s: %s, %d turns, %d tool calls, %d events; prompts, responses and seals checked",
 		program.Name, outcome.State, len(outcome.Turns), len(outcome.Tools), outcome.Events())
 	return outcome
 }
 
-// exceedBudget runs a program whose turns would exceed its budget of tokens.
+// exceedBudget runs a program whose turns would exceed its budget of tokens, and checks that the tier stops it within the budget.
 func (r *run) exceedBudget(ctx context.Context, name, proxy string) {
 	const budget = 2*maxTokens + maxTokens/2
 	r.runProgram(ctx, standin.ProgramOptions{Name: name, Address: proxy, Turns: 6, Tools: 1, Budget: budget}, standin.BudgetSpent)
--- a/internal/tier/demo/demo_test.go
+++ b/internal/tier/demo/demo_test.go
@@ -34,7 +34,7 @@
 	}
 	for _, step := range []string{"all proxies are ready", "killed: core-", "program after: finished", "active on all proxies"} {
 		if !strings.Contains(report.String(), step) {
-			t.Errorf("the report doesn't say %q", step)
+			t.Errorf("the report doesn't contain %q", step)
 		}
 	}
 }
@@ -43,7 +43,7 @@
 	// Given a binary that ends at once
 	binary, err := exec.LookPath("false")
 	if err != nil {
-		t.Fatal("there is no program that fails")
+		t.Fatal("the program false, which ends at once with status 1, is not installed")
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	folder := t.TempDir()
@@ -60,7 +60,7 @@
 	}
 	cancel()
 
-	// Then each is named, and nothing waits for any of them
+	// Then each is reported, and neither Stop nor WaitReady waits for them
 	if got := localtier.UnexpectedExits(started.Processes); len(got) != len(started.Processes) || !strings.Contains(got[0], "core-1/controller ended by itself") {
 		t.Errorf("got %q", got)
 	}
@@ -68,7 +68,7 @@
 		t.Errorf("got %q", got)
 	}
 	if err := started.WaitReady(ctx); err == nil {
-		t.Error("ready without a process")
+		t.Error("WaitReady succeeds without a process")
 	}
 }
 
@@ -79,9 +79,9 @@
 		turns []standin.Turn
 		want  standin.Turn
 	}{
-		{name: "none"},
-		{name: "the last", turns: []standin.Turn{{Attempt: "0", Status: 200, Complete: true}, complete}, want: complete},
-		{name: "one that broke off after it", turns: []standin.Turn{complete, {Attempt: "b", Status: 200}}, want: complete},
+		{name: "no turn"},
+		{name: "the last turn is complete", turns: []standin.Turn{{Attempt: "0", Status: 200, Complete: true}, complete}, want: complete},
+		{name: "an incomplete turn after it", turns: []standin.Turn{complete, {Attempt: "b", Status: 200}}, want: complete},
 		{name: "a rejection after it", turns: []standin.Turn{complete, {Attempt: "b", Status: 503, Complete: true}}, want: complete},
 	}
 	for _, c := range cases {
--- a/internal/tier/localtier/environment.go
+++ b/internal/tier/localtier/environment.go
@@ -20,7 +20,7 @@
 	version      = "v1"
 )
 
-// Numbers and sizes of the endpoints.
+// Numbers, capacities and speed of the endpoints.
 const (
 	modelServers   = 2
 	toolServers    = 2
@@ -33,7 +33,7 @@
 	maxConnections = 200
 )
 
-// Environment simulates what surrounds a tier: the platform's list, and the endpoints on it, which share a run log.
+// Environment simulates the surroundings of a tier: the platform that lists the endpoints, and the endpoints, which share a run log.
 type Environment struct {
 	Platform *standin.Platform
 	RunLog   *standin.RunLog
@@ -68,7 +68,7 @@
 		ReportLoad: true, RunLog: e.RunLog}
 }
 
-// addEngine starts a model server and lists it. Close stops it.
+// addEngine starts a model server and adds it to the platform's list. Close stops it.
 func (e *Environment) addEngine(id string) error {
 	engine, err := standin.NewEngine(standin.EngineOptions{EndpointOptions: e.options(id, modelService, batch),
 		Models: []string{ModelName}, WeightsVersion: 1, CacheTokens: cacheTokens, TokensPerEvent: TokensPerEvent, EventInterval: eventGap})
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// addTool starts a tool server and lists it. Close stops it.
+// addTool starts a tool server and adds it to the platform's list. Close stops it.
 func (e *Environment) addTool(id string) error {
 	tool, err := standin.NewPlain(standin.PlainOptions{EndpointOptions: e.options(id, toolService, toolCapacity), ServiceTime: toolWork})
 	if err != nil {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// Close stops the platform and the endpoints and waits for their servers' ends. It may be called more than once.
+// Close stops the platform and the endpoints and waits until their servers have ended. It may be called more than once.
 func (e *Environment) Close() {
 	for _, closeOne := range e.closers {
 		closeOne()
--- a/internal/tier/localtier/former_build_fixture_test.go
+++ b/internal/tier/localtier/former_build_fixture_test.go
@@ -17,18 +17,17 @@
 	"time"
 )
 
-// formerBuildFolder has the disks that an earlier build wrote, and what its clients were told. Its README.md says how they were
-// made.
+// formerBuildFolder holds disks that an earlier build wrote, and what its clients received. Its README.md says how they were made.
 const formerBuildFolder = "testdata/former-build"
 
-// acknowledgedState is what the clients of the earlier build were told.
+// acknowledgedState is what the earlier build acknowledged or returned to its clients.
 type acknowledgedState struct {
 	Network    string                       `json:"network"`    // the first three octets of all addresses
-	Version    uint64                       `json:"version"`    // of the newest acknowledged configuration
-	ReadBack   json.RawMessage              `json:"readBack"`   // by GET /mastusher/settings
-	Rollouts   map[string]json.RawMessage   `json:"rollouts"`   // by service, as GET /mastusher/rollouts/SERVICE said
-	Identities map[string]string            `json:"identities"` // by machine
-	Shards     map[string]acknowledgedShard `json:"shards"`     // by number
+	Version    uint64                       `json:"version"`    // version of the newest acknowledged configuration
+	ReadBack   json.RawMessage              `json:"readBack"`   // response to GET /mastusher/settings
+	Rollouts   map[string]json.RawMessage   `json:"rollouts"`   // responses to GET /mastusher/rollouts/SERVICE, by service
+	Identities map[string]string            `json:"identities"` // identities of the disks, by machine
+	Shards     map[string]acknowledgedShard `json:"shards"`     // by the shard's number
 	Programs   []acknowledgedProgram        `json:"programs"`
 }
 
@@ -45,9 +44,9 @@
 
 type acknowledgedTurn struct {
 	Attempt   string `json:"attempt"`
-	Previous  string `json:"previous"` // attempt of the turn that it continues; empty: none
+	Previous  string `json:"previous"` // attempt ID of the turn that it continues; empty: none
 	Input     string `json:"input"`
-	Repeat    int    `json:"repeat"` // times that the input was sent in a row; 0: once
+	Repeat    int    `json:"repeat"` // how often the input is repeated in the request; 0: once
 	MaxTokens int64  `json:"maxTokens"`
 	Status    int    `json:"status"`
 	Complete  bool   `json:"complete"` // the client received the complete response
@@ -55,10 +54,10 @@
 	Tokens    int64  `json:"tokens"` // received
 }
 
-// isCompleteAnswer reports whether the turn can be continued.
-func (t acknowledgedTurn) isCompleteAnswer() bool { return t.Complete && t.Status == http.StatusOK }
+// isContinuable reports whether the turn can be continued.
+func (t acknowledgedTurn) isContinuable() bool { return t.Complete && t.Status == http.StatusOK }
 
-// usedTokens returns what the program's turns use of its budget: the tokens received, and the reservation of a turn that was in
+// usedTokens returns how much of its budget the program has used: the tokens received, and the whole reservation of a turn that was in
 // flight when all processes were killed.
 func (p acknowledgedProgram) usedTokens() int64 {
 	used := int64(0)
@@ -72,12 +71,12 @@
 	return used
 }
 
-// chains returns the inputs and outputs of each complete turn and of those before it, by attempt.
+// chains returns the chain of each complete turn, by attempt ID: the inputs and outputs of that turn and of the turns before it.
 func (a *acknowledgedState) chains() map[string]string {
 	chains := map[string]string{}
 	for _, program := range a.Programs {
 		for _, turn := range program.Turns { // a turn follows those that it continues
-			if turn.isCompleteAnswer() {
+			if turn.isContinuable() {
 				chains[turn.Attempt] = chains[turn.Previous] + strings.Repeat(turn.Input, max(1, turn.Repeat)) + turn.Output
 			}
 		}
@@ -85,12 +84,12 @@
 	return chains
 }
 
-// incompleteTurns returns the attempts of all turns that can't be continued.
+// incompleteTurns returns the attempt IDs of all turns that can't be continued.
 func (a *acknowledgedState) incompleteTurns() []string {
 	var attempts []string
 	for _, program := range a.Programs {
 		for _, turn := range program.Turns {
-			if !turn.isCompleteAnswer() {
+			if !turn.isContinuable() {
 				attempts = append(attempts, turn.Attempt)
 			}
 		}
@@ -103,7 +102,7 @@
 	return slices.DeleteFunc(slices.Clone(a.Programs), func(p acknowledgedProgram) bool { return p.Budget == 0 })
 }
 
-// readAcknowledged reads what the clients were told.
+// readAcknowledged reads the acknowledgedState of the named case.
 func readAcknowledged(t *testing.T, name string) *acknowledgedState {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join(formerBuildFolder, name+".json"))
@@ -117,7 +116,7 @@
 	return read
 }
 
-// unpackDisks unpacks the disks of all machines into a folder.
+// unpackDisks unpacks the disks of all machines in the named case into a folder.
 func unpackDisks(t *testing.T, name, folder string) {
 	t.Helper()
 	file, err := os.Open(filepath.Join(formerBuildFolder, name+".tar.gz"))
@@ -155,8 +154,8 @@
 	return os.WriteFile(path, content, 0o644)
 }
 
-// lockNetwork waits until no other run of these tests uses a loopback network, and holds it until the test ends. Stored state has
-// the addresses of its members, so this network can't be chosen at random; freeNetwork never returns it.
+// lockNetwork waits until no other run of these tests uses a loopback network, and reserves it until the test ends. The stored state
+// contains addresses in this network, so it can't be chosen at random; freeNetwork never returns it.
 func lockNetwork(t *testing.T, network string) {
 	t.Helper()
 	var lock net.Listener
@@ -167,7 +166,7 @@
 	t.Cleanup(func() { _ = lock.Close() })
 }
 
-// newTierIn returns a tier in a given network, none of whose processes is started. It isn't a system that starts for the first time.
+// newTierIn returns a tier in a given network with all processes stopped. Their settings are not those of a system's first start.
 func newTierIn(t *testing.T, network string, options Options) *Tier {
 	t.Helper()
 	created, err := New(options)
@@ -182,16 +181,16 @@
 	}
 	for _, p := range created.Processes {
 		p.Machine.IP = addresses[p.Machine.Name]
-		p.startCount = 1 // the earlier build has started it before
+		p.startCount = 1 // so that Start doesn't write the settings of a first start
 	}
 	t.Cleanup(func() { Stop(created.Processes, StopTimeout) })
 	return created
 }
 
-// formerBuildTimeout bounds each condition that the test waits for; a tier that isn't disturbed meets all within seconds.
+// formerBuildTimeout bounds each wait of the test. On an idle machine, each takes seconds.
 const formerBuildTimeout = time.Minute
 
-// waitFor repeats an attempt, numbered from 0, until one succeeds.
+// waitFor repeats an attempt, numbered from 0, until one succeeds, for up to formerBuildTimeout.
 func waitFor(t *testing.T, what string, attempt func(number int) error) {
 	t.Helper()
 	ctx, cancel := contextWithTimeout(t)
--- a/internal/tier/localtier/former_build_test.go
+++ b/internal/tier/localtier/former_build_test.go
@@ -23,14 +23,14 @@
 	"mastusher/internal/tier/transport"
 )
 
-// Given the disks of a tier that an earlier build wrote, when this build starts on them, then it has every turn, budget,
-// configuration, roll-out, placement and identity that the earlier build's clients were told of. When it then writes new ones and
-// starts again, it has both.
+// TestRestart_DisksOfEarlierBuild_NothingIsLost starts this build on disks that an earlier build wrote. It must have every turn, budget,
+// configuration, roll-out, placement and identity that the earlier build acknowledged. After it has written further turns and a
+// configuration and has restarted, it must have the old state and the new.
 func TestRestart_DisksOfEarlierBuild_NothingIsLost(t *testing.T) {
 	binary := localtiertest.BuildWithoutRace(t, "mastusher/cmd/mastusher-tier")
 	cases := []struct {
 		name   string
-		signal syscall.Signal // that ends the processes before the second restart
+		signal syscall.Signal // ends the processes before the second restart
 	}{
 		{name: "stopped", signal: syscall.SIGTERM},
 		{name: "killed", signal: syscall.SIGKILL}, // two machines' disks have torn tails, and a turn was in flight
@@ -55,7 +55,7 @@
 	}
 }
 
-// formerBuildRun is one run of this build on an earlier build's disks. What it adds enters acknowledged and chains.
+// formerBuildRun is one run of this build on an earlier build's disks. It adds what it writes to acknowledged and chains.
 type formerBuildRun struct {
 	t            *testing.T
 	folder       string
@@ -64,7 +64,7 @@
 	operator     *Operator
 	client       *http.Client
 	acknowledged *acknowledgedState
-	chains       map[string]string // of all complete turns, by attempt
+	chains       map[string]string // of all complete turns, by attempt ID; see acknowledgedState.chains
 	lastAttempt  atomic.Int64
 }
 
@@ -87,7 +87,7 @@
 	return r
 }
 
-// rolledOutTool is the ID of a tool of the version that the earlier build has rolled out; the others are of the version before.
+// rolledOutTool is the ID of the tool server with the version that the earlier build rolled out; the others have the version before.
 const rolledOutTool = "rolled-out-tool"
 
 func (r *formerBuildRun) addRolledOutTool() {
@@ -112,7 +112,7 @@
 	waitFor(r.t, "proxies", func(int) error { return r.tier.WaitReady(r.t.Context()) })
 }
 
-// end ends all processes with a signal, and checks how they end.
+// end ends all processes with a signal, and checks that none ended by itself or with an error.
 func (r *formerBuildRun) end(signal syscall.Signal) {
 	r.t.Helper()
 	for _, p := range r.tier.Processes {
@@ -132,12 +132,12 @@
 	}
 }
 
-// contextWithTimeout returns a context of the test for one condition.
+// contextWithTimeout returns a context of the test that ends after formerBuildTimeout.
 func contextWithTimeout(t *testing.T) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(t.Context(), formerBuildTimeout)
 }
 
-// checkState checks all that isn't a program's.
+// checkState checks all state except that of programs.
 func (r *formerBuildRun) checkState() {
 	r.t.Helper()
 	r.checkIdentities()
@@ -171,7 +171,7 @@
 	}
 }
 
-// checkShards waits until all replicas have caught up, and compares the members and the placement of all shards.
+// checkShards waits until all replicas have caught up and all shards have their members and placement.
 func (r *formerBuildRun) checkShards() {
 	r.t.Helper()
 	pool := transport.NewPool()
@@ -200,7 +200,7 @@
 	})
 }
 
-// checkRead compares what a controller answers, wherever it redirects to, with what was answered before.
+// checkRead compares the response to a GET at a controller, after redirects, with the response before the restart.
 func (r *formerBuildRun) checkRead(controller, path string, want json.RawMessage) {
 	r.t.Helper()
 	var body []byte
@@ -232,17 +232,18 @@
 		r.t.Fatal(err)
 	}
 	if newest.Version != r.acknowledged.Version {
-		r.t.Fatalf("version %d, acknowledged %d", newest.Version, r.acknowledged.Version)
+		r.t.Fatalf("the configuration has version %d, want the acknowledged version %d", newest.Version, r.acknowledged.Version)
 	}
 	return newest
 }
 
-// checkDuplicateOrder checks that the newest configuration is acknowledged again, as a duplicate; another one in its place is not.
+// checkDuplicateOrder checks that the newest configuration is acknowledged when it is sent again. A different configuration with the
+// same version would be rejected.
 func (r *formerBuildRun) checkDuplicateOrder() {
 	r.t.Helper()
 	newest := r.newestConfiguration()
 	if _, err := r.operator.Configure(r.t.Context(), newest, newest.Version-1); err != nil {
-		r.t.Errorf("the newest configuration, again: %v", err)
+		r.t.Errorf("sending the newest configuration again: %v", err)
 	}
 }
 
@@ -259,7 +260,7 @@
 	}
 }
 
-// checkToolCall checks where a tool call runs.
+// checkToolCall checks that a tool call runs once, at rolledOutTool.
 func (r *formerBuildRun) checkToolCall(address, path string) {
 	r.t.Helper()
 	var attempt string
@@ -272,7 +273,7 @@
 		endpoints = append(endpoints, run.Endpoint)
 	}
 	if diff := cmp.Diff([]string{rolledOutTool}, endpoints); diff != "" {
-		r.t.Errorf("%s%s didn't run once, at the version that was rolled out (-want +got):\n%s", address, path, diff)
+		r.t.Errorf("endpoints that ran a call of %s%s (-want +got):\n%s", address, path, diff)
 	}
 }
 
@@ -293,7 +294,7 @@
 	r.acknowledged.Version, r.acknowledged.ReadBack = next.Version, encoded
 }
 
-// checkLogs checks that no process has reported damage, a panic, a race or a broken invariant.
+// checkLogs checks that no process has logged corrupt data, a panic, a data race or a broken invariant.
 func (r *formerBuildRun) checkLogs() {
 	r.t.Helper()
 	for _, p := range r.tier.Processes {
@@ -303,7 +304,7 @@
 		}
 		for _, word := range []string{"panic:", "DATA RACE", "corrupt", "replica stopped", "process ends", invariant.Message} {
 			if strings.Contains(string(content), word) {
-				r.t.Errorf("the log of %v has %q:\n%s", p, word, content)
+				r.t.Errorf("the log of %v contains %q:\n%s", p, word, content)
 			}
 		}
 	}
--- a/internal/tier/localtier/former_build_turns_test.go
+++ b/internal/tier/localtier/former_build_turns_test.go
@@ -15,7 +15,7 @@
 // maxConcurrentTurns bounds the turns that are sent at the same time.
 const maxConcurrentTurns = 8
 
-// concurrently calls a function for each item, some at the same time, and returns once all calls have.
+// concurrently calls a function for each item, up to maxConcurrentTurns at the same time, and returns once all calls have returned.
 func concurrently[T any](items []T, call func(T)) {
 	var running sync.WaitGroup
 	slots := make(chan struct{}, maxConcurrentTurns)
@@ -32,8 +32,8 @@
 // maxTurnTokens bounds the output of the turns that continue others.
 const maxTurnTokens = 30
 
-// checkTurns continues every complete turn so far by a new one, which must reach a model server with all that was said before. A
-// turn that has not completed can't be continued.
+// checkTurns continues every complete turn so far by a new one, which must reach a model server with the inputs and outputs of all turns
+// before it. A turn that has not completed can't be continued.
 func (r *formerBuildRun) checkTurns(restart string) {
 	r.t.Helper()
 	input := "after the " + restart + " restart\n"
@@ -59,7 +59,7 @@
 	})
 }
 
-// checkPrompt checks what a model server got.
+// checkPrompt checks that an attempt ran once, with the wanted prompt.
 func (r *formerBuildRun) checkPrompt(attempt, want string) {
 	r.t.Helper()
 	runs := r.environment.RunLog.Runs(attempt)
@@ -73,7 +73,8 @@
 	}
 }
 
-// exhaustBudgets checks to the token what is left of each budget, and uses it up. The requests don't state the budget: it is stored.
+// exhaustBudgets checks to the token how much is left of each budget, and uses it up. The requests don't state the budget, so that the
+// stored one applies.
 func (r *formerBuildRun) exhaustBudgets() {
 	r.t.Helper()
 	concurrently(r.acknowledged.budgetedPrograms(), func(program acknowledgedProgram) {
@@ -87,7 +88,7 @@
 	})
 }
 
-// checkBudgetsExhausted checks that no budget is left for an event.
+// checkBudgetsExhausted checks that no budget suffices for one more event.
 func (r *formerBuildRun) checkBudgetsExhausted() {
 	r.t.Helper()
 	concurrently(r.acknowledged.budgetedPrograms(), func(program acknowledgedProgram) {
@@ -103,7 +104,7 @@
 	}
 }
 
-// formerBuildTurn is a turn, with its response once it was sent.
+// formerBuildTurn is a turn to send, and then its response.
 type formerBuildTurn struct {
 	program, attempt, previous, input string
 	maxTokens                         int64
@@ -119,19 +120,19 @@
 	return number, fmt.Sprintf("%s-again-%d", prefix, number)
 }
 
-// takeTurn sends a turn through one proxy after the other, under a new attempt ID each, until a response says that it has run or
-// never will.
+// takeTurn sends a turn through one proxy after the other, each time under a new attempt ID, as long as the response says that the
+// turn has not run.
 func (r *formerBuildRun) takeTurn(turn formerBuildTurn) (formerBuildTurn, error) {
 	ctx, cancel := contextWithTimeout(r.t)
 	defer cancel()
 	proxies := r.tier.Addresses(EdgeClass, FrontPort)
-	var broken error // of a response that ended early, or of none at all: the turn may have run
+	var broken error // error of a missing or incomplete response, after which the turn may have run
 	err := Poll(ctx, func(int) error {
 		var number int
 		number, turn.attempt = r.nextAttempt(turn.program)
 		broken = r.sendTurn(proxies[number%len(proxies)], &turn)
 		switch turn.status {
-		case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout: // it has not run
+		case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout: // the turn has not run
 			return fmt.Errorf("status %d", turn.status)
 		}
 		return nil
--- a/internal/tier/localtier/limits.go
+++ b/internal/tier/localtier/limits.go
@@ -7,8 +7,8 @@
 	FrontPort     = 8149 // of proxies, for client requests
 	ReadinessPort = 8141 // of proxies
 	ControlPort   = 8144 // of controllers, for operators
-	FirstPort     = 7380 // of the range for connections between processes
-	lastPort      = 7395 // of that range
+	FirstPort     = 7380 // first of the range for connections between processes
+	lastPort      = 7395 // last of that range
 )
 
 // Timeouts and bounds.
@@ -18,7 +18,7 @@
 	routeTimeout     = 10 * time.Second // from an acknowledgement until all proxies serve a new route
 	operatorTimeout  = 10 * time.Second // of an order, with all its attempts
 	callTimeout      = time.Second      // of one attempt
-	shardsTimeout    = 2 * time.Second  // of a question to a store
+	shardsTimeout    = 2 * time.Second  // of a request to a store for its shards
 	listenTimeout    = 300 * time.Millisecond
 	StopTimeout      = 3 * time.Second // after SIGTERM
 	pollInterval     = 50 * time.Millisecond
--- a/internal/tier/localtier/localtiertest/build.go
+++ b/internal/tier/localtier/localtiertest/build.go
@@ -1,4 +1,4 @@
-// Package localtiertest is for tests of tiers of real processes: it builds the commands that they start, and reads the processes' logs.
+// Package localtiertest supports tests of tiers of real processes: it builds the commands that the tests start, and reads the logs.
 package localtiertest
 
 import (
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Build builds a command of this project, with the race detector if the test has it, and returns the path of its binary.
+// Build builds a command of this project, with the race detector if the test itself runs with it, and returns the path of its binary.
 func Build(t testing.TB, command string) string {
 	t.Helper()
 	if raceDetector {
@@ -17,8 +17,8 @@
 	return build(t, command)
 }
 
-// BuildWithoutRace builds a command as it is deployed, also for a test with the race detector. It is for tests whose requests
-// have as much time as clients give them: the detector makes processes several times slower.
+// BuildWithoutRace builds a command without the race detector, even if the test itself runs with it. It is for tests whose requests
+// have the same timeouts as those of real clients: the detector makes processes several times slower.
 func BuildWithoutRace(t testing.TB, command string) string {
 	t.Helper()
 	return build(t, command)
--- a/internal/tier/localtier/localtiertest/logs.go
+++ b/internal/tier/localtier/localtiertest/logs.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Logs returns the logs of all processes of a tier whose files are in a folder, each below a line that names its file. Of a longer
-// log than maxBytes only the end is returned; 0: all.
+// Logs returns the logs of all processes of a tier whose files are in a folder, each after a line that names its file. Of each
+// log, it returns at most the last maxBytes; 0: all.
 func Logs(t testing.TB, folder string, maxBytes int) string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(folder, "*.log"))
--- a/internal/tier/localtier/localtiertest/race_off.go
+++ b/internal/tier/localtier/localtiertest/race_off.go
@@ -2,5 +2,5 @@
 
 package localtiertest
 
-// raceDetector says whether the tests run with the race detector; the tier's processes then do so, too.
+// raceDetector says whether the tests run with the race detector; Build then builds the tier's processes with it, too.
 const raceDetector = false
--- a/internal/tier/localtier/log.go
+++ b/internal/tier/localtier/log.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// logFile is a process's log, with the time of day before each line, as the platform stores it.
+// logFile is a process's log. It adds the time of day before each line, as the log storage of a platform does.
 type logFile struct {
 	file *os.File
 
-	mutex   sync.Mutex // guards partial and the order of writes
-	partial []byte     // the start of a line that is not complete yet
+	mutex   sync.Mutex // guards partial, and keeps the writes to file in order
+	partial []byte     // the beginning of a line whose end has not been written yet
 }
 
 // timeFormat is the format of the times in logs.
@@ -45,7 +45,7 @@
 	return len(data), nil
 }
 
-// annotate writes a remark: a line that is not from the process.
+// annotate writes a remark, which is a line that doesn't come from the process.
 func (l *logFile) annotate(format string, values ...any) {
 	fmt.Fprintf(l, "--- "+format+"\n", values...)
 }
--- a/internal/tier/localtier/machine.go
+++ b/internal/tier/localtier/machine.go
@@ -33,7 +33,7 @@
 // Address returns host and port.
 func (m Machine) Address(port int) string { return net.JoinHostPort(m.IP, strconv.Itoa(port)) }
 
-// Counts are the numbers of machines of each class.
+// Counts holds the number of machines of each class.
 type Counts struct {
 	Core    int
 	Storage int
--- a/internal/tier/localtier/operator.go
+++ b/internal/tier/localtier/operator.go
@@ -21,7 +21,7 @@
 	client      *http.Client
 }
 
-// NewOperator returns an operator that opens a connection for each call, with dial; nil: net.Dialer.
+// NewOperator returns an operator that opens a connection for each call with dial, or with net.Dialer if dial is nil.
 func NewOperator(controllers []string, dial DialFunc) *Operator {
 	return &Operator{
 		controllers: controllers,
@@ -42,7 +42,7 @@
 }
 
 // Configure sends a configuration, to replace the current version, until it is acknowledged. It returns the address of the
-// controller that did so: the leader's. Its error after operatorTimeout wraps that of the last attempt.
+// controller that acknowledged it, which is the leader. Its error after operatorTimeout wraps that of the last attempt.
 func (o *Operator) Configure(ctx context.Context, desired model.Configuration, current uint64) (leader string, err error) {
 	err = o.untilOneAccepts(ctx, func(controller string) error {
 		leader, err = o.ConfigureAt(ctx, controller, desired, current)
@@ -133,7 +133,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%w; last: %w", ctx.Err(), err)
+			return fmt.Errorf("%w; last attempt: %w", ctx.Err(), err)
 		case <-ticker.C:
 		}
 	}
--- a/internal/tier/localtier/process.go
+++ b/internal/tier/localtier/process.go
@@ -25,13 +25,13 @@
 	tier         *Tier
 	startCount   int
 	command      *exec.Cmd
-	ended        chan struct{} // closed once the process has ended; nil: it has never been started
-	exitErr      error         // of the last end; must be read only after ended is closed
+	ended        chan struct{} // closed once the process has ended; nil: never started
+	exitErr      error         // of the last run; must be read only after ended is closed
 	endRequested bool          // SIGTERM or SIGKILL was sent to it
 }
 
-// Start starts the process; at its first start, its settings are those of a system that starts for the first time. A goroutine waits
-// for the end of the process, and is waited for by Wait.
+// Start starts the process. The settings of its first start are those of a system that starts for the first time. A goroutine waits for
+// the end of the process; Wait waits for that goroutine.
 func (p *Process) Start() error {
 	if err := p.tier.writeSettings(p.Machine, p.Role, p.startCount == 0); err != nil {
 		return err
@@ -46,7 +46,7 @@
 		command.Env = append(command.Env, p.tier.options.ProcessEnv(p.Machine)...)
 	}
 	command.Stdout, command.Stderr = log, log
-	// The kernel kills the process when the one that started it ends, also if that is killed.
+	// The kernel kills the process when the process that started it ends, even by SIGKILL.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err = command.Start(); err != nil {
 		return errors.Join(err, log.Close())
@@ -144,7 +144,8 @@
 // Unwrap returns the error of exec.Cmd.Wait.
 func (e *ExitError) Unwrap() error { return e.Err }
 
-// ExitErr returns an *ExitError if the process has ended wrongly. A process that runs or was killed has none.
+// ExitErr returns an *ExitError if the process has ended by itself, or with an error after SIGTERM. It returns nil for a process that
+// runs or was killed by Signal.
 func (p *Process) ExitErr() error {
 	if p.ended == nil || p.Running() {
 		return nil
@@ -162,14 +163,14 @@
 	return nil
 }
 
-// LoseDisk empties the data folder of the process's machine, on which nothing may run.
+// LoseDisk removes the data folder of the process's machine, on which no process may be running.
 func (p *Process) LoseDisk() error { return os.RemoveAll(p.tier.diskOf(p.Machine)) }
 
 // ExitedUnexpectedly reports whether the process has ended without SIGTERM or SIGKILL from Signal.
 func (p *Process) ExitedUnexpectedly() bool { return p.ended != nil && !p.endRequested && !p.Running() }
 
-// Stop ends all processes with SIGTERM, and those that still run after the timeout with SIGKILL. It returns a sentence for each
-// that did not end with status 0 in time, and for each whose log does not say that it ended within its grace time.
+// Stop ends all processes with SIGTERM, and those that still run after the timeout with SIGKILL. It returns a sentence for each process
+// that did not end with status 0 in time, or whose log does not say that it ended within its grace time.
 func Stop(processes []*Process, timeout time.Duration) []string {
 	var running []*Process
 	for _, p := range processes {
--- a/internal/tier/localtier/settings.go
+++ b/internal/tier/localtier/settings.go
@@ -36,7 +36,7 @@
 	return filepath.Join(t.options.Folder, m.Name+"-"+role+".yaml")
 }
 
-// diskOf returns the data folder of a machine.
+// diskOf returns the data folder of a machine, which serves as its disk.
 func (t *Tier) diskOf(m Machine) string { return filepath.Join(t.options.Folder, "disk", m.Name) }
 
 // settingsFile returns the content of a settings file.
--- a/internal/tier/localtier/shutdown.go
+++ b/internal/tier/localtier/shutdown.go
@@ -10,10 +10,10 @@
 	"mastusher/internal/tier/command"
 )
 
-// checkShutdown returns a sentence if the process has not logged that it ended within its grace time.
+// checkShutdown returns a sentence if the process's log does not say that it ended within its grace time.
 func (p *Process) checkShutdown() []string { return checkShutdownIn(p.String(), p.LogPath()) }
 
-// checkShutdownIn is checkShutdown for a process of that name and its log.
+// checkShutdownIn is checkShutdown for a process by its name and the path of its log.
 func checkShutdownIn(name, path string) []string {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -22,14 +22,14 @@
 	took, logged := shutdownTime(string(content))
 	switch grace := time.Duration(graceSeconds * float64(time.Second)); {
 	case !logged:
-		return []string{fmt.Sprintf("%s doesn't say how long its end took", name)}
+		return []string{fmt.Sprintf("%s has not logged how long its shutdown took", name)}
 	case took > grace:
-		return []string{fmt.Sprintf("%s took %v for its end, with a grace time of %v", name, took, grace)}
+		return []string{fmt.Sprintf("%s took %v to shut down, more than its grace time of %v", name, took, grace)}
 	}
 	return nil
 }
 
-// shutdownTime finds in a process's log how long after its last SIGTERM it ended; false means that the log does not say.
+// shutdownTime finds in a process's log how long its last shutdown took; false means that the log does not say.
 func shutdownTime(content string) (took time.Duration, logged bool) {
 	message := strconv.Quote(command.EndMessage)
 	index := strings.LastIndex(content, message)
--- a/internal/tier/localtier/shutdown_test.go
+++ b/internal/tier/localtier/shutdown_test.go
@@ -14,13 +14,13 @@
 		took          time.Duration
 		logged        bool
 	}{
-		{name: "nothing"},
+		{name: "an empty log"},
 		{name: "another line", content: "level=info msg=\"shutdown requested\" grace=2s\n"},
-		{name: "a line that breaks off", content: "level=info msg=\"process has ended\""},
-		{name: "the time of another line", content: "level=info msg=\"process has ended\"\nlevel=info msg=other after=1s\n"},
-		{name: "the last of its lines", content: "msg=\"process has ended\" after=3s\nmsg=\"process has ended\" after=1s\n",
+		{name: "a line without a time", content: "level=info msg=\"process has ended\""},
+		{name: "a time on another line only", content: "level=info msg=\"process has ended\"\nlevel=info msg=other after=1s\n"},
+		{name: "the last of several shutdowns", content: "msg=\"process has ended\" after=3s\nmsg=\"process has ended\" after=1s\n",
 			took: time.Second, logged: true},
-		{name: "its line", content: "level=info msg=start after=1s\nlevel=info role=proxy msg=\"process has ended\" after=1.75s\nlevel=error\n",
+		{name: "a shutdown among other lines", content: "level=info msg=start after=1s\nlevel=info role=proxy msg=\"process has ended\" after=1.75s\nlevel=error\n",
 			took: 1750 * time.Millisecond, logged: true},
 	}
 	for _, c := range cases {
@@ -34,8 +34,8 @@
 
 func TestCheckShutdown_EndedLateOrUnlogged_IsReported(t *testing.T) {
 	cases := map[string]string{
-		"":                                       "doesn't say how long its end took",
-		"msg=\"process has ended\" after=2.1s\n": "took 2.1s for its end, with a grace time of 2s",
+		"":                                       "has not logged how long its shutdown took",
+		"msg=\"process has ended\" after=2.1s\n": "took 2.1s to shut down, more than its grace time of 2s",
 		"msg=\"process has ended\" after=1.9s\n": "",
 	}
 	for content, want := range cases {
--- a/internal/tier/localtier/tier.go
+++ b/internal/tier/localtier/tier.go
@@ -11,15 +11,16 @@
 
 // Options are the options of a tier. All but ProcessEnv are required.
 type Options struct {
-	Command  []string // that runs a role, whose name is appended
+	Command  []string // runs a role, whose name is appended
 	Folder   string   // for settings, disks and logs
-	Platform string   // address of the platform's list
+	Platform string   // address of the platform that lists the endpoints
 	Counts   Counts
-	// ProcessEnv returns environment variables (NAME=value) of a machine's processes beside SettingsVariable; default nil: none.
+	// ProcessEnv returns environment variables (NAME=value) of a machine's processes in addition to SettingsVariable; default nil:
+	// none.
 	ProcessEnv func(m Machine) []string
 }
 
-// Tier is all machines and their processes.
+// Tier holds all machines of a tier and their processes.
 type Tier struct {
 	Machines  []Machine
 	Processes []*Process
@@ -43,7 +44,7 @@
 	return created, nil
 }
 
-// Start lays out a tier and starts all its processes. After an error none runs.
+// Start lays out a tier and starts all its processes. If it returns an error, no process runs.
 func Start(options Options) (*Tier, error) {
 	started, err := New(options)
 	if err != nil {
@@ -114,12 +115,12 @@
 	}
 	response.Body.Close()
 	if response.StatusCode != status {
-		return fmt.Errorf("%s%s answers %s, not %d", address, path, response.Status, status)
+		return fmt.Errorf("%s%s answers with status %s, want %d", address, path, response.Status, status)
 	}
 	return nil
 }
 
-// ControllerAt returns the controller whose ControlPort has an address.
+// ControllerAt returns the controller that serves operators at an address.
 func (t *Tier) ControllerAt(address string) (*Process, error) {
 	for _, p := range t.Processes {
 		if p.Role == ControllerRole && p.Machine.Address(ControlPort) == address {
@@ -129,7 +130,7 @@
 	return nil, fmt.Errorf("no controller at %s", address)
 }
 
-// BusiestStore returns the store that leads the most shards, their number, and the number of shards that any store leads.
+// BusiestStore returns the store that leads the most shards, the number of these shards, and the number that all stores lead together.
 func (t *Tier) BusiestStore(ctx context.Context) (busiest *Process, led, all int, err error) {
 	pool := transport.NewPool()
 	defer pool.Close()
--- a/internal/tier/soak/fault_injection.go
+++ b/internal/tier/soak/fault_injection.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// releaseAll ends one fault of each service.
+// releaseAll releases each service.
 func releaseAll(services []*service) {
 	for _, s := range services {
 		s.release()
@@ -98,7 +98,7 @@
 	_ = wait.Sleep(ctx, fault.For)
 }
 
-// diskTimeout is how long a lost disk waits for all replicas to catch up.
+// diskTimeout bounds how long a LoseDisk fault waits for all replicas to catch up.
 const diskTimeout = 10 * time.Second
 
 // emptyDisk empties the disk of a service that is held down.
@@ -112,7 +112,7 @@
 	r.result.DisksLost++
 }
 
-// injectPartition partitions the network between machines, and heals it after wait.
+// injectPartition partitions the network between machines, and heals it once sleep returns.
 func (r *run) injectPartition(fault Fault, sleep func()) {
 	machines := r.tier.Machines
 	target, other := machines[fault.Target%len(machines)], machines[(fault.Target+fault.Count)%len(machines)]
@@ -129,7 +129,7 @@
 		case PartitionHalves:
 			r.partitionHalves(fault.Target%2, by)
 		default:
-			r.recordViolation("HARNESS", "no fault of the kind %q", fault.Kind)
+			r.recordViolation("HARNESS", "unknown kind of fault %q", fault.Kind)
 		}
 	}
 	change(1)
@@ -137,7 +137,7 @@
 	change(-1)
 }
 
-// partitionHalves partitions the machines whose index has a remainder modulo 2 from the others.
+// partitionHalves starts (by 1) or ends (by -1) a partition between the machines whose index modulo 2 is remainder and the others.
 func (r *run) partitionHalves(remainder, by int) {
 	var half, others []localtier.Machine
 	for index, m := range r.tier.Machines {
@@ -152,7 +152,7 @@
 	}
 }
 
-// partition drops what a machine and others send each other (by 1), or ends that (by -1).
+// partition starts (by 1) or ends (by -1) a partition between a machine and others, in both directions.
 func (r *run) partition(m localtier.Machine, others []localtier.Machine, by int) {
 	r.dropFrom(m, others, by)
 	for _, other := range others {
@@ -160,7 +160,7 @@
 	}
 }
 
-// dropFrom drops what machines send to another (by 1), or ends that (by -1).
+// dropFrom starts (by 1) or stops (by -1) dropping what a machine would receive from others.
 func (r *run) dropFrom(to localtier.Machine, from []localtier.Machine, by int) {
 	if err := r.partitions.add(to, from, by); err != nil {
 		r.recordViolation("HARNESS", "%v", err)
--- a/internal/tier/soak/groups.go
+++ b/internal/tier/soak/groups.go
@@ -23,7 +23,7 @@
 	return fmt.Sprintf("of %d groups %d have a leader and %d have all replicas caught up", g.all, g.led, g.caughtUp)
 }
 
-// queryGroups asks all stores. A store that does not answer counts as leading none.
+// queryGroups counts the groups by the reports of all stores. A store that doesn't answer counts as leading none.
 func (r *run) queryGroups(ctx context.Context) groupCounts {
 	led, caughtUp := map[int]bool{}, map[int]bool{} // by shard
 	for _, m := range r.tier.Machines {
@@ -66,11 +66,11 @@
 // groupChangedLine matches the line that a controller logs at each change of the configuration's group.
 var groupChangedLine = regexp.MustCompile(`msg="group changed" group=\S+ leader=(\S*) isLeader=\S+ term=(\d+) members=(\d+)`)
 
-// controllersAgree reports whether at least as many controllers as the configuration's group has members, and at least
-// replicas, have logged the same state of it last: one leader in the newest term. Controllers outside the group are standby.
-// It reads logs because no call returns this.
+// controllersAgree reports whether the controllers agree on the configuration's group: as many of them as the group has members, and
+// at least replicas, must have last logged the same leader and number of members in the newest term. Controllers outside the group
+// are on standby. It reads logs because no call returns this state.
 func (r *run) controllersAgree() bool {
-	newest, agreeing := 0, map[[2]string]int{} // controllers, by leader and number of members
+	newest, agreeing := 0, map[[2]string]int{} // newest term; number of controllers in it, by leader and number of members
 	for _, s := range r.services {
 		if s.Role != localtier.ControllerRole {
 			continue
@@ -103,7 +103,7 @@
 	return r.tier.Addresses(localtier.CoreClass, localtier.ControlPort)
 }
 
-// isUp reports whether the process runs and is not paused, and has done so for longer than lostGrace.
+// isUp reports whether the process runs, is not paused and was started longer than lostGrace ago.
 func (s *service) isUp() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/tier/soak/groups_test.go
+++ b/internal/tier/soak/groups_test.go
@@ -19,8 +19,8 @@
 	}{
 		{name: "all five", logs: [5]string{line("a", 2, 5), line("a", 2, 5), line("a", 2, 5), line("a", 2, 5), line("", 1, 5) + line("a", 2, 5)}, want: true},
 		{name: "one of five is missing", logs: [5]string{line("a", 2, 5), line("a", 2, 5), line("a", 2, 5), line("a", 2, 5), line("", 2, 5)}},
-		{name: "one was taken out", logs: [5]string{line("a", 2, 4), line("a", 2, 4), line("", 2, 5), line("a", 2, 4), line("a", 2, 4)}, want: true},
-		{name: "one is being changed for another", logs: [5]string{line("a", 2, 4), line("a", 2, 3), line("a", 2, 3), line("", 2, 5), line("", 2, 5)}},
+		{name: "one was removed", logs: [5]string{line("a", 2, 4), line("a", 2, 4), line("", 2, 5), line("a", 2, 4), line("a", 2, 4)}, want: true},
+		{name: "one is being replaced", logs: [5]string{line("a", 2, 4), line("a", 2, 3), line("a", 2, 3), line("", 2, 5), line("", 2, 5)}},
 		{name: "a newer term", logs: [5]string{line("a", 2, 3), line("a", 2, 3), line("a", 2, 3), line("", 3, 3), ""}},
 		{name: "too few replicas", logs: [5]string{line("a", 2, 2), line("a", 2, 2), "", "", ""}},
 		{name: "no leader", logs: [5]string{line("", 2, 3), line("", 2, 3), line("", 2, 3), "", ""}},
@@ -41,7 +41,7 @@
 				}
 			}
 			if got := r.controllersAgree(); got != c.want {
-				t.Errorf("got %t", got)
+				t.Errorf("controllersAgree returns %t", got)
 			}
 		})
 	}
--- a/internal/tier/soak/limits.go
+++ b/internal/tier/soak/limits.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Tiers have this fault tolerance.
+// Fault tolerance of the tiers.
 const (
 	tolerated = 1 // machines lost at the same time
 	replicas  = 2*tolerated + 1
@@ -10,7 +10,7 @@
 
 // Bounds on the tier, generous for a busy machine.
 const (
-	RecoveryBound = 15 * time.Second // from the start of the last process until nearly all is served
+	RecoveryBound = 15 * time.Second // from the start of the last process until nearly all requests are served
 	caughtUpBound = 35 * time.Second // until all replicas have caught up
 	startBound    = 30 * time.Second // for each step of the first start
 	shutdownBound = 8 * time.Second  // from SIGTERM until the end
@@ -18,7 +18,7 @@
 	lostGrace     = 4 * time.Second  // for which a machine counts as lost after it is back
 )
 
-// Nearly all is served when this share of requests is, over this time.
+// A proxy has recovered once it has served this share of its requests for this long.
 const (
 	servedShare = 0.95
 	servedTime  = 3 * time.Second
--- a/internal/tier/soak/operator.go
+++ b/internal/tier/soak/operator.go
@@ -13,7 +13,7 @@
 	"mastusher/internal/tier/wait"
 )
 
-// operator orders one configuration after the other, and reads at all controllers.
+// operator sends one configuration after the other, each in an order, and reads the configuration back from all controllers.
 type operator struct {
 	run      *run
 	orders   *localtier.Operator
@@ -21,11 +21,11 @@
 	dropping atomic.Int32 // faults that drop responses to orders now
 
 	mutex        sync.Mutex // guards the fields below
-	acknowledged uint64     // number of the newest configuration that was acknowledged
-	sent         uint64     // number of the newest one that was sent
+	acknowledged uint64     // version of the newest configuration that was acknowledged
+	sent         uint64     // version of the newest configuration that was sent
 }
 
-// newOperator returns the operator of a run, before any order.
+// newOperator returns the operator of a run. It hasn't sent any order yet.
 func newOperator(r *run) *operator {
 	o := &operator{run: r, reader: localtier.NewOperator(r.controllers(), nil)}
 	o.orders = localtier.NewOperator(r.controllers(), r.dialDropping(&o.dropping))
@@ -37,7 +37,7 @@
 	return localtier.Configuration(number, retention, localtier.ToolRoute("mark", versionPrefix(number)))
 }
 
-// versionPrefix returns the path prefix of that route.
+// versionPrefix returns the path prefix of the route that only one version has.
 func versionPrefix(number uint64) string { return fmt.Sprintf("/mark-%d/", number) }
 
 // orderLoop sends orders until ctx ends.
@@ -60,7 +60,7 @@
 	_, err := o.orders.ConfigureAt(bounded, controller, configuration(current+1), current)
 	var answer *localtier.StatusError
 	if errors.As(err, &answer) && answer.Status/100 == 4 && answer.Status != http.StatusRequestTimeout && answer.Status != http.StatusTooManyRequests {
-		o.run.recordViolation("REFUSED", "order %d on %d, without any other operator, at %s: %v", current+1, current, controller, answer)
+		o.run.recordViolation("REFUSED", "order of version %d to replace %d, though no other operator sends orders, was rejected at %s: %v", current+1, current, controller, answer)
 	}
 	if err != nil {
 		return false
@@ -71,7 +71,7 @@
 	return true
 }
 
-// readLoop reads at one controller after the other until ctx ends.
+// readLoop reads the configuration from one controller after the other until ctx ends.
 func (o *operator) readLoop(ctx context.Context) {
 	controllers := o.run.controllers()
 	for number := 0; wait.Sleep(ctx, readInterval) == nil; number++ {
@@ -79,8 +79,8 @@
 	}
 }
 
-// read reads at a controller, and checks linearizability: the version must not be older than the newest one acknowledged before
-// the read, and must have been sent. True means that the read was answered.
+// read reads the configuration from a controller, and checks linearizability: the version must not be older than the newest one
+// acknowledged before the read, and must have been sent. True means that the read was answered.
 func (o *operator) read(ctx context.Context, controller string) bool {
 	o.mutex.Lock()
 	minVersion := o.acknowledged
@@ -91,13 +91,13 @@
 	o.mutex.Unlock()
 	var answer *localtier.StatusError
 	if errors.As(err, &answer) && answer.Status == http.StatusNotFound {
-		o.run.recordViolation("CONFIG", "%s returns no configuration, and %d was acknowledged", controller, minVersion)
+		o.run.recordViolation("CONFIG", "%s returns no configuration, though version %d was acknowledged", controller, minVersion)
 	}
 	if err != nil {
 		return false
 	}
 	if read.Version < minVersion || read.Version > maxVersion || !localtier.SameConfiguration(read, configuration(read.Version)) {
-		o.run.recordViolation("CONFIG", "%s returns configuration %d; acknowledged before: %d, sent: %d", controller, read.Version, minVersion, maxVersion)
+		o.run.recordViolation("CONFIG", "%s returns version %d, out of bounds or with other content; acknowledged before the read: %d, sent: %d", controller, read.Version, minVersion, maxVersion)
 	}
 	o.run.mutex.Lock()
 	defer o.run.mutex.Unlock()
--- a/internal/tier/soak/operator_test.go
+++ b/internal/tier/soak/operator_test.go
@@ -12,16 +12,16 @@
 		name      string
 		status    int
 		version   uint64
-		other     bool // content than that of the version
+		other     bool // the content isn't that of the version
 		violation bool
 	}{
 		{name: "the newest", status: 200, version: 5},
-		{name: "one that was sent", status: 200, version: 6},
-		{name: "nothing now", status: 503},
-		{name: "an older one", status: 200, version: 4, violation: true},
-		{name: "one that wasn't sent", status: 200, version: 7, violation: true},
+		{name: "sent and not acknowledged", status: 200, version: 6},
+		{name: "unavailable", status: 503},
+		{name: "older than acknowledged", status: 200, version: 4, violation: true},
+		{name: "not sent yet", status: 200, version: 7, violation: true},
 		{name: "other content", status: 200, version: 5, other: true, violation: true},
-		{name: "none", status: 404, violation: true},
+		{name: "no configuration", status: 404, violation: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 			o.acknowledged, o.sent = 5, 6
 			o.read(t.Context(), server.Listener.Addr().String())
 			if got := r.kinds()["CONFIG"] > 0; got != c.violation {
-				t.Errorf("%v", r.result.Violations)
+				t.Errorf("violations: %v", r.result.Violations)
 			}
 		})
 	}
--- a/internal/tier/soak/partitions.go
+++ b/internal/tier/soak/partitions.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/tier/localtier"
 )
 
-// partitions controls the network's partitions by a file for each machine, which its partitionnetwork follows.
+// partitions controls network partitions through a file for each machine, which the partitionnetwork of its processes follows.
 type partitions struct {
 	folder string
 
@@ -30,7 +30,7 @@
 	return created, nil
 }
 
-// path returns the file that lists the addresses from which a machine gets nothing.
+// path returns the file that lists the addresses from which a machine receives nothing.
 func (p *partitions) path(m localtier.Machine) string { return filepath.Join(p.folder, "cuts-"+m.Name) }
 
 // write replaces the file of a machine atomically.
@@ -49,7 +49,7 @@
 	return os.Rename(next, p.path(m))
 }
 
-// add drops what a machine would get from others (by 1), or ends that (by -1).
+// add starts (by 1) or ends (by -1) a partition that drops what a machine would receive from others.
 func (p *partitions) add(to localtier.Machine, from []localtier.Machine, by int) error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/tier/soak/plan.go
+++ b/internal/tier/soak/plan.go
@@ -8,27 +8,27 @@
 	"mastusher/internal/tier/faultplan"
 )
 
-// FaultKind is a kind of fault. Its text is that of printed plans.
+// FaultKind is a kind of fault, by its name in printed plans.
 type FaultKind string
 
 // The kinds. A fault that lasts ends after its For. Target is the number of a process or, for partitions, of a machine, modulo
 // how many there are.
 const (
-	KillOne         FaultKind = "kill"             // a process
-	KillSome        FaultKind = "kill_some"        // two to four
-	KillStores      FaultKind = "kill_stores"      // all
-	KillControllers FaultKind = "kill_controllers" // all
-	KillAll         FaultKind = "kill_all"
-	PauseOne        FaultKind = "pause"      // SIGSTOP, then SIGCONT
-	PauseSome       FaultKind = "pause_some" // two to four
-	Terminate       FaultKind = "term"       // SIGTERM, and a start after the end
-	LoseDisk        FaultKind = "disk_lost"  // of a store or controller, which is back with an empty disk
-	IsolateMachine  FaultKind = "cut"        // a machine from all others
-	PartitionPair   FaultKind = "cut_pair"   // two machines from each other
-	DropOutbound    FaultKind = "cut_out"    // what a machine sends is lost
-	PartitionHalves FaultKind = "cut_halves" // each second machine from the others
-	DropAcks        FaultKind = "acks_lost"  // responses to the operator
-	DropResponses   FaultKind = "answers_lost"
+	KillOne         FaultKind = "kill"             // one process
+	KillSome        FaultKind = "kill_some"        // two to four processes
+	KillStores      FaultKind = "kill_stores"      // all stores
+	KillControllers FaultKind = "kill_controllers" // all controllers
+	KillAll         FaultKind = "kill_all"         // all processes
+	PauseOne        FaultKind = "pause"            // SIGSTOP, then SIGCONT
+	PauseSome       FaultKind = "pause_some"       // two to four processes
+	Terminate       FaultKind = "term"             // SIGTERM, and a restart once the process has ended
+	LoseDisk        FaultKind = "disk_lost"        // a store or controller is killed and restarts with an empty disk
+	IsolateMachine  FaultKind = "cut"              // a machine from all others
+	PartitionPair   FaultKind = "cut_pair"         // two machines from each other
+	DropOutbound    FaultKind = "cut_out"          // what a machine sends is lost
+	PartitionHalves FaultKind = "cut_halves"       // every second machine from the others
+	DropAcks        FaultKind = "acks_lost"        // responses to the operator are lost
+	DropResponses   FaultKind = "answers_lost"     // responses to client programs are lost
 )
 
 // faultKinds are the kinds that plans draw from.
@@ -54,7 +54,8 @@
 	{Name: PartitionHalves, Weight: 1},
 }
 
-// Fault is one fault of a plan. Count is how many processes it affects, or the distance to a partition's second machine.
+// Fault is one fault of a plan. Count is how many processes it affects, or for PartitionPair the distance from the first machine's
+// number to the second's.
 type Fault struct {
 	At     time.Duration `json:"at"`
 	Kind   FaultKind     `json:"kind"`
@@ -71,7 +72,7 @@
 	Length     time.Duration `json:"length"`
 	Faults     []Fault       `json:"troubles"`
 	Closing    Fault         `json:"closing"` // KillAll, or LoseDisk: the same, with a lost disk
-	Spread     time.Duration `json:"spread"`  // within which the processes come back from it; 0: all at once
+	Spread     time.Duration `json:"spread"`  // time within which the processes restart after the closing fault; 0: all at once
 }
 
 // Text returns the plan as JSON.
--- a/internal/tier/soak/plan_test.go
+++ b/internal/tier/soak/plan_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// seeds are enough for all kinds of faults and closings.
+// seeds is the number of plans drawn, enough for every kind of fault and of closing fault.
 const seeds = 400
 
 func TestRandomPlan_ManySeeds_DrawsAllKinds(t *testing.T) {
@@ -43,11 +43,11 @@
 	}
 	for _, kind := range append(slices.Clone(faultKinds), partitionKinds...) {
 		if counts[kind.Name] < seeds/10 {
-			t.Errorf("%s comes %d times in %d plans", kind.Name, counts[kind.Name], seeds)
+			t.Errorf("%s occurs %d times in %d plans", kind.Name, counts[kind.Name], seeds)
 		}
 	}
 	if closings[KillAll] < seeds/3 || closings[LoseDisk] < seeds/3 || len(closings) != 2 {
-		t.Errorf("closings: %v", closings)
+		t.Errorf("kinds of closing faults: %v", closings)
 	}
 	for name, share := range map[string]struct{ got, want int }{"large": {large, seeds / 4}, "cuts": {partitioned, seeds / 2}, "at once": {atOnce, seeds / 2}} {
 		if share.got < share.want*2/3 || share.got > share.want*4/3 {
@@ -71,9 +71,9 @@
 func TestRandomPlan_SameSeed_IsTheSame(t *testing.T) {
 	const length = 8 * time.Second
 	if a, b := RandomPlan(7, length).Text(), RandomPlan(7, length).Text(); a != b {
-		t.Errorf("%s\n%s", a, b)
+		t.Errorf("one seed has two plans:\n%s\n%s", a, b)
 	}
 	if a, b := RandomPlan(7, length).Text(), RandomPlan(8, length).Text(); a == b {
-		t.Error("two seeds have one plan")
+		t.Error("two seeds have the same plan")
 	}
 }
--- a/internal/tier/soak/recovery.go
+++ b/internal/tier/soak/recovery.go
@@ -18,8 +18,8 @@
 // errNoRetry is returned by a Backoff to end a program at its first failure.
 var errNoRetry = errors.New("no retry")
 
-// measureRecovery measures how long the tier takes to recover, from the start of the last process on. It
-// records a violation for each bound that is exceeded.
+// measureRecovery measures how long the tier takes to recover, from the start of the last process on. It records a violation for
+// each bound that is exceeded.
 func (r *run) measureRecovery(ctx context.Context, restarted time.Time) {
 	waited := cpuWait()
 	var measurements sync.WaitGroup
@@ -45,8 +45,8 @@
 	r.report("recovered: %v", r.recordRecovery(pressure, served))
 }
 
-// recordRecovery enters the recovery's times into the result and returns the result's text. It locks, because reads in flight
-// still change the result.
+// recordRecovery enters the recovery's times into the result and returns the result's text. It locks the mutex, because reads in
+// flight still change the result.
 func (r *run) recordRecovery(pressure float64, served []time.Duration) string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -57,8 +57,8 @@
 	return r.result.Text()
 }
 
-// cpuWait returns for how long some task on the machine has waited for a processor, by the kernel's pressure stall information
-// (PSI); 0 without it.
+// cpuWait returns the total time during which at least one task on the machine waited for a processor, by the kernel's pressure stall
+// information (PSI); 0 if the kernel doesn't provide it.
 func cpuWait() time.Duration {
 	content, _ := os.ReadFile("/proc/pressure/cpu")
 	_, total, _ := strings.Cut(string(content), "total=")
@@ -67,8 +67,8 @@
 	return time.Duration(microseconds) * time.Microsecond
 }
 
-// within waits until something holds, and returns how long that took since a moment. It records a violation if that exceeds
-// the bound.
+// within waits until a condition holds, and returns the time that has passed since a moment. It records a violation if the condition
+// doesn't hold within the bound.
 func (r *run) within(ctx context.Context, since time.Time, bound time.Duration, kind, what string, condition func() bool) time.Duration {
 	if !r.waitUntil(ctx, time.Until(since.Add(bound)), condition) {
 		r.recordViolation(kind, "%s: not within %v; %v", what, bound, r.queryGroups(ctx))
@@ -88,7 +88,7 @@
 // probe sends new turns and tool calls to a proxy, each once, until servedShare of them are served over servedTime. It returns
 // the time from the restart to the start of that stretch, or records a violation if there is none within RecoveryBound.
 func (r *run) probe(ctx context.Context, proxy string, restarted time.Time) time.Duration {
-	var since time.Time // start of the stretch
+	var since time.Time // start of the present stretch; zero: there is none
 	sent, served, total := 0, 0, 0
 	var last standin.Outcome
 	for time.Since(restarted) < RecoveryBound+servedTime {
--- a/internal/tier/soak/result.go
+++ b/internal/tier/soak/result.go
@@ -24,20 +24,20 @@
 // closing fault.
 type Result struct {
 	Violations  []Violation
-	Shards      int // by the first placement: it follows from the stores that are known by then
+	Shards      int // at the first placement; depends on which stores are known by then
 	Programs    int
 	Turns       int // attempts
-	Served      int // turns that were completed
-	Continued   int // of these, which were continued after the recovery
-	Orders      int // acknowledged
+	Served      int // completed turns
+	Continued   int // completed turns that were continued after the recovery
+	Orders      int // acknowledged configurations
 	Reads       int
 	DisksLost   int
 	FirstServed map[string]time.Duration // until the first turn was served, by proxy
-	AllServed   time.Duration            // until nearly all was served at every proxy
+	AllServed   time.Duration            // until nearly all requests were served at every proxy
 
 	LeadersElected   time.Duration // until each group had a leader
 	ReplicasCaughtUp time.Duration // until all replicas had caught up
-	CPUPressure      float64       // share of the recovery during which a task on the machine waited for a processor
+	CPUPressure      float64       // share of the recovery's time during which a task on the machine waited for a processor
 }
 
 // Kinds returns the number of violations of each kind.
--- a/internal/tier/soak/role.go
+++ b/internal/tier/soak/role.go
@@ -24,10 +24,10 @@
 	partitionsVariable = "SOAK_CUTS_FILE"
 )
 
-// Settings of the Go runtime that the deployed binary makes by itself, and the soak's binary does not.
+// Settings of the Go runtime that the deployed binary applies itself, and the soak's binary doesn't.
 const (
 	collectPercent = 25
-	heapMb         = 192 // three quarters of the limit in the settings
+	heapMb         = 192 // three quarters of the memory limit in the settings
 )
 
 // partitionEnv returns the environment of a machine's roles on a network that can be partitioned.
@@ -45,8 +45,8 @@
 func (e *UnknownRoleError) Error() string { return fmt.Sprintf("unknown role %q", e.Role) }
 
 // RunRole runs a role of the tier as its binary does, but on a network that can be partitioned, until SIGTERM or SIGINT. Its
-// errors are an *UnknownRoleError, those of partitionnetwork.New and those of the role. The goroutine that follows the file of partitions
-// ends by ctx; nothing waits for it, as the process ends with the role.
+// errors are an *UnknownRoleError, those of partitionnetwork.New and those of the role. The goroutine that follows the file of
+// partitions ends with ctx; nothing waits for it, because the process ends with the role.
 func RunRole(ctx context.Context, role string) error {
 	run, known := map[string]func(context.Context, command.Environment) error{
 		localtier.ControllerRole: command.RunController, localtier.StoreRole: command.RunStore,
@@ -71,7 +71,7 @@
 		OpenDisk: func(folder string) (storage.Disk, error) {
 			disk, err := storage.OpenOSDisk(folder)
 			if err != nil {
-				return nil, err // not a nil *storage.OS in an interface
+				return nil, err // a nil *storage.OS in a storage.Disk would not equal nil
 			}
 			return disk, nil
 		},
--- a/internal/tier/soak/service.go
+++ b/internal/tier/soak/service.go
@@ -19,17 +19,17 @@
 	mutex           sync.Mutex
 	downFaults      int // faults that hold it down
 	pauseFaults     int // faults that hold it paused
-	pauses          int // so far
+	pauses          int // number of pauses so far
 	started         time.Time
 	recordViolation func(kind, format string, values ...any)
 }
 
-// killUntilReleased kills services at the same time; each stays down until its release. They must be in the order of their
-// numbers, in which all faults lock them: another order could deadlock.
+// killUntilReleased kills services at the same time; each stays down until its release. The services must be in the order of their
+// numbers, in which all faults lock them: locking them in different orders could deadlock.
 func killUntilReleased(services []*service) {
 	for _, s := range services {
 		s.mutex.Lock()
-		defer s.mutex.Unlock() // once all have ended
+		defer s.mutex.Unlock() // after all processes have ended
 		s.downFaults++
 		s.checkExit()
 		if s.Running() {
@@ -43,7 +43,7 @@
 	}
 }
 
-// release ends what one killUntilReleased or terminate began.
+// release ends one killUntilReleased or terminate, and starts the process if no other fault holds it down.
 func (s *service) release() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -51,19 +51,20 @@
 	s.startLocked()
 }
 
-// startLocked starts the process unless it runs or is held down.
+// startLocked starts the process unless it runs or is held down. The mutex must be held.
 func (s *service) startLocked() {
 	if s.downFaults > 0 || s.Running() {
 		return
 	}
 	if err := s.Start(); err != nil {
-		s.recordViolation("HARNESS", "start of %v: %v", s, err)
+		s.recordViolation("HARNESS", "starting %v: %v", s, err)
 		return
 	}
 	s.started = time.Now()
 }
 
-// checkExit records a violation if the process has ended by itself or wrongly, once for each start. The mutex must be held.
+// checkExit records a violation if the process has ended by itself, or with an error after SIGTERM, once for each start. The mutex must
+// be held.
 func (s *service) checkExit() {
 	if err := s.ExitErr(); err != nil && !s.started.IsZero() {
 		kind := "TERM"
@@ -85,7 +86,7 @@
 	}
 }
 
-// pause stops the process with SIGSTOP until resume.
+// pause stops the process with SIGSTOP until each pause has been ended by a resume.
 func (s *service) pause() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -96,7 +97,7 @@
 	}
 }
 
-// resume ends one pause.
+// resume ends one pause, and continues the process with SIGCONT after the last one.
 func (s *service) resume() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/tier/soak/service_test.go
+++ b/internal/tier/soak/service_test.go
@@ -40,19 +40,19 @@
 	}
 	target.release()
 	if !target.Running() {
-		t.Error("doesn't run")
+		t.Error("doesn't run after the last release")
 	}
 	target.pause()
 	target.pause()
 	target.resume()
 	if state := stateOf(t, target); state != 'T' {
-		t.Errorf("state %c while it is stopped", state)
+		t.Errorf("state %c while a fault still pauses it, want T", state)
 	}
 	target.resume()
 	if len(soak.result.Violations) > 0 {
 		t.Errorf("%v", soak.result.Violations)
 	}
-	// An end that no signal from here has brought about is noticed also where the process was killed before.
+	// An exit that the service didn't request is a violation, also if a fault killed the process before.
 	_ = syscall.Kill(target.Pid(), syscall.SIGINT)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
--- a/internal/tier/soak/soak.go
+++ b/internal/tier/soak/soak.go
@@ -34,12 +34,12 @@
 	started     time.Time
 	tier        *localtier.Tier
 	environment *localtier.Environment
-	services    []*service
+	services    []*service // by their numbers
 	partitions  *partitions
 	pool        *transport.Pool
 	clients     *clients
 	operator    *operator
-	shards      int
+	shards      int        // as learnShards found; 0: not yet
 	diskMutex   sync.Mutex // held while a disk is lost, since the tier tolerates one at a time
 
 	mutex  sync.Mutex // guards the fields below and the report
@@ -74,7 +74,7 @@
 	return r.result, nil
 }
 
-// setupBound is the time allowed for what comes before and after the faults.
+// setupBound is the time allowed for everything before and after the faults.
 const setupBound = 4 * time.Minute
 
 // runStream separates the run's random numbers from others of the same seed.
@@ -110,8 +110,8 @@
 	return err
 }
 
-// start starts the tier with its first configuration and waits until all replicas have caught up; false means that they do not
-// within the bounds.
+// start starts the tier with its first configuration and waits until all replicas have caught up; false means that a step took longer
+// than its bound.
 func (r *run) start(ctx context.Context) bool {
 	r.report("%d processes on %d machines; plan %s", len(r.services), len(r.tier.Machines), r.plan.Text())
 	for _, s := range r.services {
@@ -128,7 +128,7 @@
 		return false
 	}
 	if !r.waitUntil(ctx, startBound, r.learnShards) {
-		r.recordViolation("BEGIN", "no shards are placed")
+		r.recordViolation("BEGIN", "no controller has logged the placement of shards")
 		return false
 	}
 	if !r.waitUntil(ctx, startBound, func() bool { return r.queryGroups(ctx).caughtUp == r.shards }) {
@@ -164,7 +164,7 @@
 	faults.Wait()
 	r.injectClosing(ctx)
 	restarted := time.Now()
-	stopOrders() // the newest configuration must reach all proxies before there is another
+	stopOrders() // measureRecovery waits until the newest configuration has reached all proxies
 	r.measureRecovery(ctx, restarted)
 	stopTraffic()
 	traffic.Wait()
--- a/internal/tier/soak/soak_test.go
+++ b/internal/tier/soak/soak_test.go
@@ -12,7 +12,7 @@
 	"mastusher/internal/tier/localtier/localtiertest"
 )
 
-// TestRun_ShortPlans_NoViolations runs two short plans at the same time. All bounds are those of the long runs.
+// TestRun_ShortPlans_NoViolations runs two short plans at the same time, with the same bounds as long runs.
 func TestRun_ShortPlans_NoViolations(t *testing.T) {
 	tier := localtiertest.Build(t, "mastusher/cmd/mastusher-tier")
 	soak := localtiertest.Build(t, "mastusher/cmd/tier-soak")
@@ -61,7 +61,7 @@
 // shownLogBytes bounds what a failed test shows of each process's log.
 const shownLogBytes = 4000
 
-// runOf returns a run whose processes are those of a command, none of which is started.
+// runOf returns a run whose processes execute a command. None of them is started.
 func runOf(t *testing.T, command string, arguments ...string) *run {
 	t.Helper()
 	path, err := exec.LookPath(command)
--- a/internal/tier/soak/traffic.go
+++ b/internal/tier/soak/traffic.go
@@ -14,7 +14,7 @@
 	"mastusher/internal/tier/wait"
 )
 
-// droppingConnection loses its response: it closes instead of reading, after a delay.
+// droppingConnection loses its response: instead of reading, it closes after a delay.
 type droppingConnection struct {
 	net.Conn
 	delay time.Duration
@@ -49,7 +49,7 @@
 	lastProgram int // number of the newest program
 }
 
-// newClients returns the clients of a run, before any program.
+// newClients returns the clients of a run. They haven't run any program yet.
 func newClients(r *run) *clients {
 	return &clients{run: r, proxies: r.tier.Addresses(localtier.EdgeClass, localtier.FrontPort)}
 }
--- a/internal/tier/standin/admission.go
+++ b/internal/tier/standin/admission.go
@@ -60,7 +60,7 @@
 	return admission{ctx: ctx, attempt: attempt, body: body, fault: fault, release: release}, true
 }
 
-// faultOf returns the fault that a request is to meet.
+// faultOf returns the fault to inject into a request.
 func (e *endpoint) faultOf(request *http.Request) Fault {
 	if e.options.Fault == nil {
 		return NoFault
@@ -68,7 +68,7 @@
 	return e.options.Fault(request)
 }
 
-// priority returns a request's Priority header, where 0 is the most urgent.
+// priority returns a request's Priority header, where 0 is the most urgent; defaultPriority if it is missing or invalid.
 func priority(request *http.Request) int {
 	value, err := strconv.Atoi(request.Header.Get(headerPriority))
 	if err != nil || value < 0 || value > lowestPriority {
@@ -77,7 +77,7 @@
 	return value
 }
 
-// reject answers a request that has not run and never will at this endpoint.
+// reject answers a request that has not run and never will run at this endpoint.
 func (e *endpoint) reject(response http.ResponseWriter, request *http.Request, status int) {
 	e.runLog.reject(request.Header.Get(headerAttempt))
 	e.setHeaders(response, request)
@@ -85,7 +85,7 @@
 	response.WriteHeader(status)
 }
 
-// health answers a health check, which takes a slot like any request.
+// health answers a health check, which takes a slot like any other request.
 func (e *endpoint) health(response http.ResponseWriter, request *http.Request) {
 	ctx, cancel := deadline(request)
 	defer cancel()
--- a/internal/tier/standin/check.go
+++ b/internal/tier/standin/check.go
@@ -14,7 +14,7 @@
 	*p = append(*p, fmt.Sprintf(format, values...))
 }
 
-// Check compares what a program saw with what ran, and returns a sentence for each broken guarantee.
+// Check compares the responses that a program received with the runs of its requests, and returns a sentence for each broken guarantee.
 func (o Outcome) Check(log *RunLog) []string {
 	var found problems
 	for _, turn := range o.Turns {
@@ -25,7 +25,7 @@
 			found.addf("tool %s: %s", tool.Attempt, tool.Problem)
 		}
 		if runs := log.Runs(tool.Attempt); len(runs) > 1 || guaranteesNotRun(tool.Status) && len(runs) > 0 {
-			found.addf("tool %s got %d and ran %d times", tool.Attempt, tool.Status, len(runs))
+			found.addf("tool %s got status %d and ran %d times", tool.Attempt, tool.Status, len(runs))
 		}
 	}
 	return found
@@ -40,14 +40,14 @@
 		found.addf("turn %s ran %d times", t.Attempt, len(runs))
 	}
 	if t.Complete && t.Status == http.StatusOK && len(runs) == 0 {
-		found.addf("turn %s was answered and did not run", t.Attempt)
+		found.addf("turn %s got a complete response and did not run", t.Attempt)
 	}
 	if guaranteesNotRun(t.Status) && len(runs) > 0 {
-		found.addf("turn %s got %d and ran", t.Attempt, t.Status)
+		found.addf("turn %s got status %d and ran", t.Attempt, t.Status)
 	}
 	for _, run := range runs {
 		if string(run.Body) != t.Prompt {
-			found.addf("turn %s ran with %q, not with %q", t.Attempt, run.Body, t.Prompt)
+			found.addf("turn %s ran with %q, want %q", t.Attempt, run.Body, t.Prompt)
 		}
 	}
 }
@@ -72,12 +72,12 @@
 
 // Guarantees are what the tier guarantees to programs.
 type Guarantees struct {
-	MaxTokens      int64         // of one turn, as programs request them
-	TokensPerEvent int64         // as endpoints generate them
-	Retention      time.Duration // for which a turn can be continued after its end
+	MaxTokens      int64         // that a program requests for a turn
+	TokensPerEvent int64         // that the endpoints generate
+	Retention      time.Duration // time after its end for which a turn can be continued
 }
 
-// CheckPrograms returns a sentence for each guarantee that was broken to a program. Each begins with its kind: TURN, DENIED,
+// CheckPrograms returns a sentence for each guarantee that was broken for a program. Each begins with its kind: TURN, DENIED,
 // LOST, REFUSED or BUDGET. All programs and all runs of the endpoints must have ended.
 func CheckPrograms(programs []ProgramResult, log *RunLog, guarantees Guarantees) (violations []string) {
 	var found problems
@@ -100,7 +100,7 @@
 			}
 		}
 		if received := int64(p.Outcome.Events()) * guarantees.TokensPerEvent; p.Budget > 0 && received > p.Budget {
-			found.addf("BUDGET: %s was handed %d tokens of %d", p.Name, received, p.Budget)
+			found.addf("BUDGET: %s received %d tokens with a budget of %d", p.Name, received, p.Budget)
 		}
 	}
 	return found
@@ -118,10 +118,10 @@
 	}
 }
 
-// checkNotFound reports a 404 to a turn that continues no other, or continues one within its retention time.
+// checkNotFound reports a 404 for a turn that doesn't continue another, or that continues a complete one within its retention time.
 func (g Guarantees) checkNotFound(turn Turn, ended map[string]Turn, found *problems) {
 	if turn.Previous == "" {
-		found.addf("DENIED: turn %s, which continues no other, was answered 404", turn.Attempt)
+		found.addf("DENIED: turn %s, which doesn't continue another, was answered 404", turn.Attempt)
 		return
 	}
 	previous := ended[turn.Previous]
@@ -140,6 +140,6 @@
 		}
 	}
 	if p.Budget == 0 || maxSpent+g.MaxTokens <= p.Budget {
-		found.addf("REFUSED: turn %s was answered 402 with at most %d of %d spent", rejected.Attempt, maxSpent, p.Budget)
+		found.addf("REFUSED: turn %s was answered 402 with at most %d tokens used of a budget of %d", rejected.Attempt, maxSpent, p.Budget)
 	}
 }
--- a/internal/tier/standin/endpoint.go
+++ b/internal/tier/standin/endpoint.go
@@ -21,13 +21,13 @@
 	Version        string                       // of the endpoint's software, as the platform lists it
 	Capacity       int                          // concurrent requests, at least 1
 	Queue          int                          // requests that may wait for a slot; default 0: none waits
-	MaxConnections int                          // a connection above it is reset; default 0: unlimited
+	MaxConnections int                          // further connections are reset; default 0: unlimited
 	KeepAlive      time.Duration                // idle timeout of connections, announced in Keep-Alive; default 0: one minute, not announced
 	ReportLoad     bool                         // responses carry X-Server-Load
 	HealthPath     string                       // default "/health"
-	RunLog         *RunLog                      // default: one of its own
+	RunLog         *RunLog                      // default: a new one
 	Listen         func() (net.Listener, error) // default nil: a free port of 127.0.0.1
-	// Fault chooses the fault of a request; default nil: none. It must be safe for concurrent use.
+	// Fault returns the fault to inject into a request; default nil: none. It must be safe for concurrent use.
 	Fault func(request *http.Request) Fault
 }
 
@@ -40,8 +40,8 @@
 	listener net.Listener
 	served   sync.WaitGroup
 
-	open      atomic.Int64 // connections now
-	opened    atomic.Int64 // connections ever
+	open      atomic.Int64 // connections that are open now
+	opened    atomic.Int64 // connections opened so far
 	draining  atomic.Bool
 	unhealthy atomic.Bool
 
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// countConnections resets connections above MaxConnections.
+// countConnections counts connections, and resets those above MaxConnections.
 func (e *endpoint) countConnections(socket net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -105,7 +105,7 @@
 	}
 }
 
-// reset closes a connection with RST where it can.
+// reset closes a connection, with RST if its type supports that.
 func reset(socket net.Conn) {
 	if connection, ok := socket.(interface{ SetLinger(seconds int) error }); ok {
 		_ = connection.SetLinger(0)
@@ -154,7 +154,8 @@
 	return entry
 }
 
-// Drain makes the endpoint drain: it keeps serving, its health checks get 503, and each response closes its connection.
+// Drain makes the endpoint drain: it still serves requests, but fails health checks with 503 and closes the connection after each
+// response.
 func (e *endpoint) Drain() {
 	e.draining.Store(true)
 }
@@ -202,7 +203,7 @@
 	}
 }
 
-// work waits while the endpoint is paused, and then for the time given.
+// work waits while the endpoint is paused, and then for duration.
 func (e *endpoint) work(ctx context.Context, duration time.Duration) error {
 	if err := e.waitResumed(ctx); err != nil {
 		return err
--- a/internal/tier/standin/endpoint_test.go
+++ b/internal/tier/standin/endpoint_test.go
@@ -16,7 +16,7 @@
 // testTimeout bounds every wait of a test.
 const testTimeout = 10 * time.Second
 
-// clientResponse is what a client got.
+// clientResponse is the response that a client received.
 type clientResponse struct {
 	Status   int
 	Header   http.Header
@@ -24,7 +24,7 @@
 	Complete bool
 }
 
-// ask sends one request on a connection of its own; a status of 0 means that no answer came.
+// ask sends one request on a connection of its own; a status of 0 means that there was no response.
 func ask(ctx context.Context, method, address, path, body string, header ...string) clientResponse {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, strings.NewReader(body))
 	if err != nil {
@@ -114,10 +114,10 @@
 		header  []string
 		status  int
 	}{
-		{name: "no id", address: plain.Address(), status: 400},
+		{name: "no attempt ID", address: plain.Address(), status: 400},
 		{name: "meant for another", address: plain.Address(), header: []string{"X-Attempt-Id", "1", "X-Expected-Server", "i-9"}, status: 421},
 		{name: "other weights", address: engine.Address(), header: []string{"X-Attempt-Id", "1", "Expect-Version", "2"}, status: 421},
-		{name: "larger than the memory", address: engine.Address(), header: []string{"X-Attempt-Id", "1", "X-Token-Counts", "90,11"}, status: 503},
+		{name: "more tokens than the cache holds", address: engine.Address(), header: []string{"X-Attempt-Id", "1", "X-Token-Counts", "90,11"}, status: 503},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -126,7 +126,7 @@
 				t.Errorf("got %+v", got)
 			}
 			if c.name == "meant for another" && got.Header.Get("X-Server-Id") != "i-1" {
-				t.Errorf("named as %q", got.Header.Get("X-Server-Id"))
+				t.Errorf("X-Server-Id is %q, want i-1", got.Header.Get("X-Server-Id"))
 			}
 		})
 	}
@@ -156,21 +156,21 @@
 }
 
 func TestEndpoint_QueueIsFull_RejectsRequestsAndHealthChecks(t *testing.T) {
-	// Given an endpoint with one slot, taken, and no queue
+	// Given an endpoint whose only slot is taken, without a queue
 	server := startPlain(t, PlainOptions{})
 	resume := server.Pause()
 	defer resume()
 	first := make(chan clientResponse, 1)
 	go func() { first <- ask(testContext(t), "GET", server.Address(), "/", "", "X-Attempt-Id", "1") }()
 	waitFor(t, server.RunLog(), func() bool { return len(server.RunLog().Runs("1")) == 1 })
-	// When others come, then they and health checks are rejected
+	// When further requests and health checks arrive, then they are rejected
 	for _, path := range []string{"/", "/health"} {
 		got := ask(testContext(t), "GET", server.Address(), path, "", "X-Attempt-Id", "2")
 		if got.Status != 503 || got.Header.Get("X-Not-Run") == "" {
 			t.Errorf("%s: got %+v", path, got)
 		}
 	}
-	// And when the slot is released, the first is answered
+	// And when the first request continues, it is answered
 	resume()
 	if got := <-first; got.Status != 200 {
 		t.Errorf("got %+v", got)
@@ -187,14 +187,14 @@
 	first := make(chan clientResponse, 1)
 	go func() { first <- ask(testContext(t), "GET", server.Address(), "/", "", "X-Attempt-Id", "1") }()
 	waitFor(t, server.RunLog(), func() bool { return len(server.RunLog().Runs("1")) == 1 })
-	// A deadline in the queue is a rejection
+	// A request whose deadline passes in the queue is rejected
 	got := ask(testContext(t), "GET", server.Address(), "/", "", "X-Attempt-Id", "2", "X-Time-Left-Ms", "1")
 	if got.Status != 503 || got.Header.Get("X-Not-Run") == "" || len(server.RunLog().Runs("2")) != 0 {
 		t.Errorf("got %+v", got)
 	}
 	resume()
 	<-first
-	// A deadline at work counts as run
+	// A request whose deadline passes during its run counts as run
 	defer server.Pause()()
 	got = ask(testContext(t), "GET", server.Address(), "/", "", "X-Attempt-Id", "3", "X-Time-Left-Ms", "1")
 	if got.Status != 504 || got.Header.Get("X-Not-Run") != "" || got.Header.Get("X-Server-Seal") == "" {
@@ -211,11 +211,11 @@
 		runs     int
 	}{
 		{name: "none", fault: NoFault, status: 200, complete: true, runs: 1},
-		{name: "lost", fault: LoseResponse, runs: 1},
-		{name: "cut", fault: TruncateResponse, status: 200, runs: 1},
+		{name: "response lost", fault: LoseResponse, runs: 1},
+		{name: "response truncated", fault: TruncateResponse, status: 200, runs: 1},
 		{name: "failed", fault: FailResponse, status: 500, complete: true, runs: 1},
 		{name: "rejected", fault: RejectFull, status: 503, complete: true},
-		{name: "dropped", fault: DropRequest},
+		{name: "request dropped", fault: DropRequest},
 	}
 	for _, c := range cases {
 		options := EndpointOptions{ID: "i-5", Capacity: 1, Fault: func(*http.Request) Fault { return c.fault }}
@@ -235,7 +235,7 @@
 					t.Fatalf("%d runs", len(runs))
 				}
 				if c.runs == 1 && runs[0].Complete != (c.fault == NoFault) {
-					t.Errorf("complete: %v", runs[0].Complete)
+					t.Errorf("the run is recorded with complete: %v", runs[0].Complete)
 				}
 			})
 		}
--- a/internal/tier/standin/engine.go
+++ b/internal/tier/standin/engine.go
@@ -16,12 +16,12 @@
 	WeightsVersion int           // default 0: responses carry no Versions header
 	CacheTokens    int64         // requests with more tokens are rejected; default 0: no bound
 	TokensPerEvent int64         // default 1
-	Events         int           // of a response to a request without X-Token-Counts; default 1
+	Events         int           // in a response to a request that doesn't limit its output by X-Token-Counts; default 1
 	Prefill        time.Duration // until the first event
 	EventInterval  time.Duration // between two events
 }
 
-// Engine is a model server: it answers with a stream of events whose ids rise from 1.
+// Engine is a model server: it answers with a stream of events, numbered by their ids from 1.
 type Engine struct {
 	endpoint
 	engine    EngineOptions
@@ -90,13 +90,13 @@
 	_ = json.NewEncoder(response).Encode(report)
 }
 
-// requestTokens is a request's X-Token-Counts.
+// requestTokens holds the token counts of a request's X-Token-Counts header.
 type requestTokens struct {
 	prompt    int64
 	maxOutput int64 // 0: not stated
 }
 
-// requestTokensOf reads a request's X-Token-Counts; what is missing or malformed counts as 0.
+// requestTokensOf parses a request's X-Token-Counts header; a missing or malformed number counts as 0.
 func requestTokensOf(request *http.Request) requestTokens {
 	prompt, maxOutput, _ := strings.Cut(request.Header.Get(headerTokenCounts), ",")
 	var tokens requestTokens
@@ -114,7 +114,7 @@
 	return int(min(max(1, count), maxEvents))
 }
 
-// fits reports whether the engine has the weights and the memory that a request needs; else it rejects the request.
+// fits reports whether the engine has the weights and the cache that a request needs; else it rejects the request.
 func (e *Engine) fits(response http.ResponseWriter, request *http.Request) bool {
 	expected := request.Header.Get(headerVersion)
 	if expected != "" && expected != strconv.Itoa(e.engine.WeightsVersion) {
--- a/internal/tier/standin/fault.go
+++ b/internal/tier/standin/fault.go
@@ -1,6 +1,6 @@
 package standin
 
-// Fault is what an endpoint does wrong with one request.
+// Fault is a failure that an endpoint simulates for one request.
 type Fault int
 
 // The faults.
--- a/internal/tier/standin/plain.go
+++ b/internal/tier/standin/plain.go
@@ -48,7 +48,7 @@
 	p.respond(response, request, admitted, index)
 }
 
-// respond answers a request that has run, with its fault.
+// respond answers a request that has run, or simulates its fault.
 func (p *Plain) respond(response http.ResponseWriter, request *http.Request, admitted admission, index int) {
 	body := PlainBody(p.options.ID, admitted.attempt, p.plain.ResponseBytes)
 	switch admitted.fault {
@@ -72,7 +72,7 @@
 	}
 }
 
-// PlainBody returns the response body of an attempt: a line that names both, filled up with dots to size bytes.
+// PlainBody returns the response body of an attempt: a line that names endpoint and attempt, padded with dots to size bytes.
 func PlainBody(endpoint, attempt string, size int) string {
 	text := fmt.Sprintf("%s ran %s\n", endpoint, attempt)
 	if size <= len(text) {
--- a/internal/tier/standin/platform.go
+++ b/internal/tier/standin/platform.go
@@ -18,7 +18,7 @@
 // PlatformOptions are the options of a Platform.
 type PlatformOptions struct {
 	PageSize int                          // entries per page; default 50
-	RatePerS float64                      // calls within any second, more get 429; default 0: unlimited
+	RatePerS float64                      // limit on calls within any second, above which calls get 429; default 0: unlimited
 	Now      func() time.Time             // default time.Now
 	Listen   func() (net.Listener, error) // default nil: a free port of 127.0.0.1
 }
@@ -70,7 +70,7 @@
 	return started, nil
 }
 
-// Close stops the platform and waits for its server's end.
+// Close stops the platform and waits until its server has ended.
 func (p *Platform) Close() {
 	p.server.Close()
 	p.served.Wait()
@@ -126,7 +126,7 @@
 	p.down = down
 }
 
-// Calls returns the number of calls so far, and of those among them that exceeded the rate limit.
+// Calls returns the number of calls so far, and how many of them exceeded the rate limit.
 func (p *Platform) Calls() (all, rateLimited int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -138,7 +138,7 @@
 	return slices.IndexFunc(p.entries, func(entry Entry) bool { return entry.ID == id })
 }
 
-// Why a call gets no page; their texts are bodies of responses.
+// Reasons why a call gets no page. Their texts are the bodies of the responses.
 var (
 	errDown        = errors.New("down")
 	errRateLimited = errors.New("over the rate")
@@ -215,7 +215,7 @@
 	return true
 }
 
-// offset returns the index of the first entry of a page.
+// offset returns the index of the first entry of the page that a token stands for. Its error is errUnknownPage.
 func offset(token string) (int, error) {
 	if token == "" {
 		return 0, nil
--- a/internal/tier/standin/platform_test.go
+++ b/internal/tier/standin/platform_test.go
@@ -23,7 +23,7 @@
 	}
 	server.Remove("i-0")
 	if !server.SetState("i-2", model.Draining) || server.SetState("i-0", model.Draining) {
-		t.Error("states are set of the wrong ones")
+		t.Error("SetState must succeed only for a listed endpoint")
 	}
 	get := func(path string) (status int, ids []string, next string) {
 		got := ask(testContext(t), "GET", server.Address(), path, "")
@@ -50,15 +50,15 @@
 		t.Error(diff)
 	}
 	if status, _, _ = get("/servers"); status != 429 {
-		t.Errorf("the fourth call in a second: %d", status)
+		t.Errorf("the fourth call in a second got status %d", status)
 	}
 	now = now.Add(time.Second)
 	if status, _, _ = get("/servers?pageToken=q"); status != 400 {
-		t.Errorf("an unknown page: %d", status)
+		t.Errorf("an unknown page got status %d", status)
 	}
 	server.SetDown(true)
 	if status, _, _ = get("/servers"); status != 503 {
-		t.Errorf("down: %d", status)
+		t.Errorf("a platform that is down answered with status %d", status)
 	}
 	if all, overRate := server.Calls(); all != 6 || overRate != 1 {
 		t.Errorf("%d calls, %d over the rate", all, overRate)
--- a/internal/tier/standin/program.go
+++ b/internal/tier/standin/program.go
@@ -11,16 +11,16 @@
 
 // ProgramOptions are the options of a program: a session of turns with tool calls between them, and sessions of subagents.
 type ProgramOptions struct {
-	Name           string // prefix of all its attempts' IDs, must be unique
+	Name           string // prefix of the IDs of all its attempts; must be unique
 	Address        string // of the proxy
-	Host           string // of its requests
+	Host           string // Host header of its requests
 	TurnPath       string
 	ToolPath       string
 	Model          string        // default "": no X-Model header
 	Turns          int           // of the main session
 	Tools          int           // concurrent calls after each turn
 	Subagents      int           // sessions that continue the first turn, concurrently
-	SubagentTurns  int           // turns of each of them
+	SubagentTurns  int           // turns of each subagent
 	MaxTokens      int64         // that a turn may generate
 	Budget         int64         // in tokens, of all turns; default 0: none
 	Timeout        time.Duration // of the program, sent as Finish-Ms; default 0: none
@@ -29,7 +29,7 @@
 	Stateful bool
 	// Unbounded: sessions have maxUnboundedTurns turns, and a 402 is retried like other failures.
 	Unbounded bool
-	// ContinueFrom is a turn of an earlier program that the first one continues; without an Attempt: none.
+	// ContinueFrom is a turn of an earlier program that this program's first turn continues; without an Attempt: none.
 	ContinueFrom Turn
 	// Dial opens connections; default nil: net.Dialer, to Address.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
@@ -60,16 +60,16 @@
 	Attempt  string // X-Attempt-Id
 	Previous string // attempt of the turn that it continues
 	Status   int    // 0: no response
-	Prompt   string // that the endpoint must get
+	Prompt   string // that the endpoint must receive
 	Output   string // data of the events received, each followed by a line feed
 	Events   int    // received
 	Complete bool
-	Problem  string // what is wrong with the response by itself; empty: nothing
+	Problem  string // error in the response itself; empty: none
 	Sent     time.Time
 	Ended    time.Time
 }
 
-// Tool is one attempt at a tool call. Its fields are as those of Turn.
+// Tool is one attempt at a tool call. Its fields have the same meaning as in Turn.
 type Tool struct {
 	Attempt  string
 	Status   int
@@ -84,7 +84,7 @@
 	Tools []Tool // likewise
 }
 
-// Events returns the number of events received, those of incomplete responses included.
+// Events returns the number of events received, including those of incomplete responses.
 func (o Outcome) Events() int {
 	sum := 0
 	for _, turn := range o.Turns {
@@ -93,7 +93,7 @@
 	return sum
 }
 
-// Program is an agent program that runs against a proxy, once.
+// Program is an agent program that runs once against a proxy.
 type Program struct {
 	options ProgramOptions
 	client  *http.Client
--- a/internal/tier/standin/program_request.go
+++ b/internal/tier/standin/program_request.go
@@ -108,7 +108,7 @@
 	}
 	t.Complete = lines.Err() == nil
 	if t.Complete && inEvent {
-		t.Problem = "the response ends inside an event and looks complete"
+		t.Problem = "the response ends inside an event but looks complete"
 	}
 }
 
@@ -118,9 +118,9 @@
 	t.Output += data + "\n"
 	switch {
 	case id != t.Events:
-		t.Problem = fmt.Sprintf("event %d came in the place of event %d", id, t.Events)
+		t.Problem = fmt.Sprintf("received event %d, want event %d", id, t.Events)
 	case data != EventData([]byte(t.Prompt), id):
-		t.Problem = fmt.Sprintf("event %d has the data %q", id, data)
+		t.Problem = fmt.Sprintf("event %d has the wrong data %q", id, data)
 	}
 }
 
@@ -142,18 +142,18 @@
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBodyBytes))
 	tool.Complete = err == nil
 	if tool.Complete && tool.Status == http.StatusOK && !strings.Contains(string(body), " ran "+tool.Attempt+"\n") {
-		tool.Problem = fmt.Sprintf("the body is another's: %.80q", body)
+		tool.Problem = fmt.Sprintf("the body is that of another attempt: %.80q", body)
 	}
 }
 
-// sealProblem returns what is wrong with the seal of a success, which must be an endpoint's for this attempt.
+// sealProblem returns a sentence if a response with status 200 doesn't carry the seal of an endpoint for this attempt.
 func sealProblem(response *http.Response, attempt string) string {
 	if response.StatusCode != http.StatusOK {
 		return ""
 	}
 	seal := response.Header.Get(headerSeal)
 	if !strings.HasPrefix(seal, "seal.") || !strings.HasSuffix(seal, "."+attempt) {
-		return fmt.Sprintf("a success with the seal %q", seal)
+		return fmt.Sprintf("status 200 with the wrong seal %q", seal)
 	}
 	return ""
 }
--- a/internal/tier/standin/program_session.go
+++ b/internal/tier/standin/program_session.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// sessionStart is what a session, a sequence of turns, starts with.
+// sessionStart describes a session, which is a sequence of turns, at its start.
 type sessionStart struct {
 	session   string
 	turns     int
@@ -62,7 +62,8 @@
 	})
 }
 
-// runConcurrently waits for all and returns the first state, by number, that is not Finished.
+// runConcurrently calls run with each number below count, waits for all calls and returns the first state, by number, that isn't
+// Finished.
 func runConcurrently(count int, run func(i int) State) State {
 	states := make([]State, count)
 	var running sync.WaitGroup
@@ -96,8 +97,8 @@
 	}
 }
 
-// shouldRetry reports whether a program retries a turn that ended so, under a new attempt ID. It retries also a turn that may
-// have run.
+// shouldRetry reports whether a program retries a turn with this status and state, under a new attempt ID. It also retries turns that
+// may have run.
 func (p *Program) shouldRetry(status int, state State) bool {
 	switch status {
 	case http.StatusPaymentRequired:
@@ -110,7 +111,7 @@
 	}
 }
 
-// stateOf returns the state in which a response leaves its request.
+// stateOf returns the state of a request after a response with this status.
 func stateOf(status int, complete bool) State {
 	switch {
 	case status == http.StatusOK && complete:
@@ -124,7 +125,7 @@
 	}
 }
 
-// callTool calls a tool. Calls must run at most once: only a call whose status guarantees that it has not run is retried.
+// callTool calls a tool. A call must run at most once, so it is retried only if its status guarantees that it has not run.
 func (p *Program) callTool(ctx context.Context, session string) State {
 	for retries := 0; ; retries++ {
 		tool := Tool{Attempt: p.nextAttempt()}
--- a/internal/tier/standin/program_test.go
+++ b/internal/tier/standin/program_test.go
@@ -12,11 +12,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// stubProxy is a proxy that keeps chains and a budget, and forwards requests to one engine and one tool.
+// stubProxy is a proxy that stores the chains of turns, enforces a budget, and forwards requests to one engine and one tool.
 type stubProxy struct {
 	engine, tool http.Handler
-	budget       int // turns; then 402
-	forget       bool
+	budget       int  // number of turns after which it answers with 402; 0: unlimited
+	forget       bool // turns don't get the chain that they continue
 
 	mutex  sync.Mutex
 	chains map[string]string
@@ -125,7 +125,7 @@
 			t.Errorf("stateful %v: %v", stateful, problems)
 		}
 		if twice := got.log.Duplicates(); len(twice) != 0 || got.log.Tokens("p") != 84 {
-			t.Errorf("twice %v, %d tokens", twice, got.log.Tokens("p"))
+			t.Errorf("attempts %v ran more than once; %d tokens generated, want 84", twice, got.log.Tokens("p"))
 		}
 	}
 }
@@ -144,14 +144,14 @@
 	}{
 		{name: "a truncated turn is retried", engineFault: faultOnce(TruncateResponse), options: ProgramOptions{Turns: 2},
 			state: Finished, turns: 3},
-		{name: "a turn fails three times", engineFault: always(FailResponse), options: ProgramOptions{Turns: 2},
+		{name: "a turn fails on every attempt", engineFault: always(FailResponse), options: ProgramOptions{Turns: 2},
 			state: Failed, turns: 3},
 		{name: "a tool call that has not run is retried", toolFault: faultOnce(RejectFull), options: ProgramOptions{Turns: 1, Tools: 1},
 			state: Finished, turns: 1, tools: 2},
-		{name: "a tool whose answer is lost ends the program", toolFault: faultOnce(LoseResponse),
+		{name: "a tool call whose response is lost ends the program", toolFault: faultOnce(LoseResponse),
 			options: ProgramOptions{Turns: 2, Tools: 1}, state: Failed, turns: 1, tools: 1},
 		{name: "the budget is spent", budget: 2, options: ProgramOptions{Turns: 5}, state: BudgetSpent, turns: 3},
-		{name: "without end, until the budget stops it", budget: 20, options: ProgramOptions{Unbounded: true},
+		{name: "an unbounded program runs until its budget is spent", budget: 20, options: ProgramOptions{Unbounded: true},
 			state: BudgetSpent, turns: 23},
 	}
 	for _, c := range cases {
@@ -179,7 +179,7 @@
 }
 
 func TestOutcomeCheck_BrokenGuarantee_IsReported(t *testing.T) {
-	t.Run("a chain that was forgotten", func(t *testing.T) {
+	t.Run("a turn without its chain", func(t *testing.T) {
 		got := runProgram(t, &stubProxy{forget: true}, nil, nil, ProgramOptions{Turns: 2, Stateful: true})
 		problems := strings.Join(got.outcome.Check(got.log), "; ")
 		if !strings.Contains(problems, "ran with") {
@@ -192,14 +192,14 @@
 		runs    []Run
 		want    string
 	}{
-		{name: "twice", outcome: Outcome{Turns: []Turn{{Attempt: "1"}}}, runs: []Run{{Attempt: "1"}, {Attempt: "1"}},
+		{name: "a turn ran twice", outcome: Outcome{Turns: []Turn{{Attempt: "1"}}}, runs: []Run{{Attempt: "1"}, {Attempt: "1"}},
 			want: "turn 1 ran 2 times"},
-		{name: "a status that is not true", outcome: Outcome{Turns: []Turn{{Attempt: "1", Status: 402}}}, runs: []Run{{Attempt: "1"}},
-			want: "turn 1 got 402 and ran"},
-		{name: "an answer from nowhere", outcome: Outcome{Turns: []Turn{{Attempt: "1", Status: 200, Complete: true}}},
-			want: "turn 1 was answered and did not run"},
-		{name: "a tool twice", outcome: Outcome{Tools: []Tool{{Attempt: "1", Status: 200}}}, runs: []Run{{Attempt: "1"}, {Attempt: "1"}},
-			want: "tool 1 got 200 and ran 2 times"},
+		{name: "a turn ran despite its status", outcome: Outcome{Turns: []Turn{{Attempt: "1", Status: 402}}}, runs: []Run{{Attempt: "1"}},
+			want: "turn 1 got status 402 and ran"},
+		{name: "a response without a run", outcome: Outcome{Turns: []Turn{{Attempt: "1", Status: 200, Complete: true}}},
+			want: "turn 1 got a complete response and did not run"},
+		{name: "a tool call ran twice", outcome: Outcome{Tools: []Tool{{Attempt: "1", Status: 200}}}, runs: []Run{{Attempt: "1"}, {Attempt: "1"}},
+			want: "tool 1 got status 200 and ran 2 times"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -224,10 +224,10 @@
 		want string
 	}{
 		{name: "in order", body: event(1, 1) + event(2, 2)},
-		{name: "one missing", body: event(1, 1) + event(3, 3), want: "event 3 came in the place of event 2"},
-		{name: "one twice", body: event(1, 1) + event(1, 1), want: "event 1 came in the place of event 2"},
-		{name: "another's data", body: event(1, 2), want: `event 1 has the data "` + EventData(nil, 2) + `"`},
-		{name: "an incomplete event", body: event(1, 1) + "id: 2\ndata: x", want: "the response ends inside an event and looks complete"},
+		{name: "a missing event", body: event(1, 1) + event(3, 3), want: "received event 3, want event 2"},
+		{name: "a repeated event", body: event(1, 1) + event(1, 1), want: "received event 1, want event 2"},
+		{name: "the data of another event", body: event(1, 2), want: `event 1 has the wrong data "` + EventData(nil, 2) + `"`},
+		{name: "an incomplete event", body: event(1, 1) + "id: 2\ndata: x", want: "the response ends inside an event but looks complete"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/tier/standin/response.go
+++ b/internal/tier/standin/response.go
@@ -48,7 +48,7 @@
 	})
 }
 
-// respondTimeout answers a run that ended by its deadline; if the client has disconnected, the connection is closed.
+// respondTimeout answers a run whose deadline has passed with 504; if the client has disconnected, it closes the connection.
 func (e *endpoint) respondTimeout(response http.ResponseWriter, request *http.Request, cause error) {
 	if !errors.Is(cause, context.DeadlineExceeded) {
 		panic(http.ErrAbortHandler)
--- a/internal/tier/standin/slots.go
+++ b/internal/tier/standin/slots.go
@@ -11,9 +11,9 @@
 // errFull means that all slots are taken and the queue is full, or that a more urgent request displaced this one from it.
 var errFull = errors.New("full")
 
-// slots bound an endpoint's concurrent requests. Others wait in a queue, ordered by priority, then by arrival.
+// slots limits an endpoint's concurrent requests. Further requests wait in a queue, ordered by priority, then by arrival.
 type slots struct {
-	capacity int // slots
+	capacity int // number of slots
 	queue    int // capacity of the queue
 
 	mutex   sync.Mutex // guards all fields below
@@ -27,7 +27,7 @@
 	granted  chan bool // false: displaced
 }
 
-// acquire takes a slot, or waits in the queue for one. Its errors are errFull and that of ctx.
+// acquire takes a slot, or waits in the queue for one. Its error is errFull or that of ctx.
 func (s *slots) acquire(ctx context.Context, priority int) error {
 	waiting, err := s.enqueue(priority)
 	if err != nil || waiting == nil {
@@ -109,7 +109,7 @@
 	return s.running, len(s.waiting)
 }
 
-// load is the value of X-Server-Load.
+// load returns the value of X-Server-Load: the numbers of running and waiting requests, and the capacity.
 func (s *slots) load() string {
 	running, waiting := s.counts()
 	return fmt.Sprintf("%d,%d,%d", running, waiting, s.capacity)
--- a/internal/tier/standin/slots_test.go
+++ b/internal/tier/standin/slots_test.go
@@ -22,25 +22,25 @@
 		}
 		queued = append(queued, waiting)
 	}
-	// When another as urgent as the least urgent comes, then it is rejected
+	// When a request arrives that is as urgent as the least urgent in the queue, then it is rejected
 	if _, err := pool.enqueue(7); !errors.Is(err, errFull) {
 		t.Errorf("got %v", err)
 	}
-	// When a more urgent one comes, then it displaces the least urgent
+	// When a more urgent request arrives, then it displaces the least urgent
 	urgent, err := pool.enqueue(0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if <-queued[1].granted {
-		t.Error("the least urgent was admitted")
+		t.Error("the least urgent request was admitted")
 	}
-	// And slots go to the most urgent, then to the first
+	// And released slots go to the most urgent request, and among equals to the one that arrived first
 	for i, next := range []*waiter{urgent, queued[0], queued[2]} {
 		pool.release()
 		select {
 		case <-next.granted:
 		default:
-			t.Fatalf("release %d went to another", i)
+			t.Fatalf("release %d granted the slot to another request", i)
 		}
 	}
 }
@@ -57,7 +57,7 @@
 	}
 	pool.release()
 	if running, waiting := pool.counts(); running != 0 || waiting != 0 {
-		t.Errorf("%d run, %d wait", running, waiting)
+		t.Errorf("%d run and %d wait, want none", running, waiting)
 	}
 }
 
@@ -101,7 +101,7 @@
 			waiting = queuedStill
 			running, queued := pool.counts()
 			if running != holders || running > pool.capacity || queued != len(waiting) || queued > pool.queue {
-				t.Fatalf("%d run and %d wait; %d hold a slot, %d are queued", running, queued, holders, len(waiting))
+				t.Fatalf("slots count %d running and %d waiting; the test holds %d slots and has %d waiters", running, queued, holders, len(waiting))
 			}
 			if queued > 0 && running < pool.capacity {
 				t.Fatalf("%d wait while %d of %d run", queued, running, pool.capacity)
--- a/internal/tier/standin/stream.go
+++ b/internal/tier/standin/stream.go
@@ -37,7 +37,8 @@
 	e.stream(response, request, admitted, index)
 }
 
-// rejectUnstarted rejects a request whose deadline passed before its first event.
+// rejectUnstarted rejects a request whose deadline passed before its first event; if the client has disconnected, it closes the
+// connection.
 func (e *Engine) rejectUnstarted(response http.ResponseWriter, request *http.Request) {
 	if request.Context().Err() != nil {
 		panic(http.ErrAbortHandler)
@@ -45,7 +46,7 @@
 	e.reject(response, request, http.StatusServiceUnavailable)
 }
 
-// stream writes the events after Last-Event-Id, with the request's fault.
+// stream writes the events after Last-Event-Id, and simulates TruncateResponse.
 func (e *Engine) stream(response http.ResponseWriter, request *http.Request, admitted admission, index int) {
 	e.seal(response, request)
 	response.Header().Set("Content-Type", "text/event-stream")
@@ -81,7 +82,7 @@
 	return http.NewResponseController(response).Flush() == nil
 }
 
-// EventData returns the data of an event. It depends on the prompt and the id alone, so that all engines answer alike.
+// EventData returns the data of an event. It depends only on the prompt and the id, so that all engines give the same response.
 func EventData(prompt []byte, id int) string {
 	hash := fnv.New32a()
 	_, _ = hash.Write(prompt)
--- a/internal/tools/mutation/doc.go
+++ b/internal/tools/mutation/doc.go
@@ -2,7 +2,7 @@
 // small change of the source. The package is built with the changed file in place of the original (`go test -overlay`), so that
 // no mutant is ever written into the repository. The package's tests must then fail. A package lists its mutants in a test:
 //
-//	func TestMutantsAreCaught(t *testing.T) {
+//	func TestMutantsAreNoticed(t *testing.T) {
 //		mutation.Test(t, []mutation.Mutant{{
 //			Name:   "messages of older terms are accepted",
 //			Change: mutation.Change{File: "follower.go", Old: "if message.Term < r.hardState.Term {", New: "if false {"},
