--- a/internal/tier/exchangetest/boundary_test.go
+++ b/internal/tier/exchangetest/boundary_test.go
@@ -11,21 +11,21 @@
 	withTurns  = append(allRoutes, turnRoute)
 	allEndings = []ending{orderlyClose, resetClose, halfClose}
 	endings    = map[ending]string{orderlyClose: "closed", resetClose: "reset", halfClose: "half-closed"}
-	framings   = map[responseKind]string{success: "usual", chunked: "in chunks", closeDelimited: "unframed", informational: "after 1xx",
+	framings   = map[responseKind]string{success: "success", chunked: "chunked", closeDelimited: "close-delimited", informational: "after 1xx",
 		failure: "failure", rejected: "rejected", notRun: "not run", misdirected: "misdirected"}
 )
 
-// newRequest is a request that goes well.
-func newRequest(route routeKind, id int, sends ...attemptScript) *requestScript {
-	return &requestScript{id: fmt.Sprint("r", id), route: route, method: "POST", size: 5, sendLimit: -1, timeLeft: time.Second, attempts: sends}
+// newRequest returns a request whose client causes no fault, with a script for each attempt.
+func newRequest(route routeKind, id int, attempts ...attemptScript) *requestScript {
+	return &requestScript{id: fmt.Sprint("r", id), route: route, method: "POST", size: 5, sendLimit: -1, timeLeft: time.Second, attempts: attempts}
 }
 
-// responseLength is the length of the response to a request's first send.
+// responseLength returns the length of the response to a request's first attempt.
 func responseLength(request *requestScript) int {
 	return len(endpointAttempt{request: request, endpoint: "e0"}.answer())
 }
 
-// runRequests runs requests of one client, one after the other.
+// runRequests runs requests of one client, one after the other, and checks the scenario.
 func runRequests(t *testing.T, requests []*requestScript) []clientResult {
 	t.Helper()
 	results := checkScenario(t, scenario{clients: [][]*requestScript{requests}}).clients[0].results
@@ -35,7 +35,7 @@
 	return results
 }
 
-// forEachFraming runs a test for some routes and each form of a response that they have of their own.
+// forEachFraming runs a test for each route and each kind of response for which that route is tested.
 func forEachFraming(t *testing.T, routes []routeKind, test func(t *testing.T, route routeKind, kind responseKind)) {
 	for _, route := range routes {
 		for kind, name := range framings {
@@ -47,8 +47,8 @@
 	}
 }
 
-// isDistinct reports whether a form of a response is another one on that route than on the others: streams are in chunks as usual, what
-// is misdirected is the same for all, and turns are streams in other frames.
+// isDistinct reports whether a kind of response is worth a test of its own on a route: streams are chunked anyway, a 421 is the same on
+// all routes, and turns differ from other streams only in their framing.
 func isDistinct(route routeKind, kind responseKind) bool {
 	switch {
 	case route == turnRoute:
@@ -59,7 +59,7 @@
 	return route == onceRoute || kind != misdirected
 }
 
-// TestResponse_PausesAtEachByte_IsForwarded has an endpoint pause after each byte of its response: it is forwarded completely all the same.
+// TestResponse_PausesAtEachByte_IsForwarded has an endpoint pause after each byte of its response, which must be forwarded completely.
 func TestResponse_PausesAtEachByte_IsForwarded(t *testing.T) {
 	forEachFraming(t, []routeKind{onceRoute, resumeRoute, turnRoute}, func(t *testing.T, route routeKind, kind responseKind) {
 		var requests []*requestScript
@@ -83,8 +83,8 @@
 	})
 }
 
-// TestResponse_EndsAtEachByte_LooksIncomplete has an endpoint end its connection after each byte of its response. A request that is retryable is
-// served by another one; a request that may not is sent once, and no broken response looks complete.
+// TestResponse_EndsAtEachByte_LooksIncomplete has an endpoint end its connection after each byte of its response. A retryable request must
+// be served by another endpoint, any other request must be sent once, and no truncated response may look complete.
 func TestResponse_EndsAtEachByte_LooksIncomplete(t *testing.T) {
 	forEachFraming(t, withTurns, func(t *testing.T, route routeKind, kind responseKind) {
 		for _, end := range allEndings {
@@ -106,7 +106,7 @@
 	})
 }
 
-// TestRequest_EndpointClosesAtEachByte_KeepsRules has an endpoint end its connection after it has read each byte of a request.
+// TestRequest_EndpointClosesAtEachByte_KeepsRules has an endpoint end its connection after each byte that it reads of a request.
 func TestRequest_EndpointClosesAtEachByte_KeepsRules(t *testing.T) {
 	for _, route := range allRoutes {
 		for _, end := range allEndings {
@@ -159,7 +159,8 @@
 	}
 }
 
-// TestClient_ClosesWhileResponseComes_EndsWork has a client disconnect at each moment of a slow response.
+// TestClient_ClosesWhileResponseComes_EndsWork has a client disconnect at each millisecond of a slow response, which must end the work
+// for its request.
 func TestClient_ClosesWhileResponseComes_EndsWork(t *testing.T) {
 	for _, route := range allRoutes {
 		for _, leave := range allEndings {
@@ -178,8 +179,8 @@
 	}
 }
 
-// TestConnection_ClosesAtEachMomentOfReuse_SendsOnce has an endpoint end a kept connection at each moment around the next request: one that
-// may not run again is sent once, whatever became of it.
+// TestConnection_ClosesAtEachMomentOfReuse_SendsOnce has an endpoint end a kept-alive connection at each moment around the next request. A
+// request that isn't retryable must be sent only once, whether or not it has run.
 func TestConnection_ClosesAtEachMomentOfReuse_SendsOnce(t *testing.T) {
 	const between = 20 * time.Millisecond
 	for _, route := range allRoutes {
@@ -204,14 +205,14 @@
 					}
 				}
 				if served < len(results)/2 {
-					t.Errorf("%d of %d served", served, len(results))
+					t.Errorf("only %d of %d requests were served", served, len(results))
 				}
 			})
 		}
 	}
 }
 
-// idForFirstEndpoint returns an id whose request goes to the first endpoint first.
+// idForFirstEndpoint returns an ID whose request is first sent to endpoint 0.
 func idForFirstEndpoint(number int) string {
 	for suffix := 0; ; suffix++ {
 		if id := fmt.Sprintf("r%d-%d", number, suffix); firstEndpoint(id) == 0 {
@@ -220,8 +221,8 @@
 	}
 }
 
-// TestEarlyResponse_LongBody_LeavesNoForeignBytes has endpoints answer before they have read a long body, keep the connection, and read on at
-// another time: they never get another request's bytes where the rest of the body is due.
+// TestEarlyResponse_LongBody_LeavesNoForeignBytes has endpoints answer before they have read a long body, keep the connection, and read on
+// later. They must never receive another request's bytes in place of the rest of the body.
 func TestEarlyResponse_LongBody_LeavesNoForeignBytes(t *testing.T) {
 	for _, route := range allRoutes {
 		for _, kind := range []responseKind{notRun, success, failure} {
@@ -244,7 +245,8 @@
 	}
 }
 
-// TestSecondResponse_IsNeverForwarded has endpoints answer each request twice, the second time at each moment around the next request.
+// TestSecondResponse_IsNeverForwarded has endpoints answer each request twice, the second time at each moment around the next request. No
+// client may receive a second response.
 func TestSecondResponse_IsNeverForwarded(t *testing.T) {
 	for _, route := range allRoutes {
 		for _, kind := range []responseKind{success, chunked, informational, failure, notRun} {
@@ -263,17 +265,17 @@
 	}
 }
 
-// TestResponse_ClientReadsNothing_LooksIncomplete has a client read nothing of a long response until the proxy abandons it: what it reads then
-// doesn't look complete, also where only the end of its connection marks the end of the response.
+// TestResponse_ClientReadsNothing_LooksIncomplete has a client read nothing of a long response until the proxy abandons it. What the client
+// then reads must not look complete, not even where only the end of its connection marks the end of the response.
 func TestResponse_ClientReadsNothing_LooksIncomplete(t *testing.T) {
-	for _, old := range []bool{false, true} {
+	for _, http10 := range []bool{false, true} {
 		for _, route := range []routeKind{onceRoute, safeRoute} {
 			for _, kind := range []responseKind{success, chunked, closeDelimited} {
-				t.Run(fmt.Sprint(route, "/", framings[kind], "/", old), func(t *testing.T) {
+				t.Run(fmt.Sprint(route, "/", framings[kind], "/", http10), func(t *testing.T) {
 					request := newRequest(route, 0, completeScript(kind, 200_000))
-					request.http10, request.timeLeft, request.readStall = old, 300*time.Millisecond, time.Second
-					if result := runRequests(t, []*requestScript{request})[0]; !result.brokenOff() {
-						t.Errorf("%d bytes, %v", len(result.body), result.err)
+					request.http10, request.timeLeft, request.readStall = http10, 300*time.Millisecond, time.Second
+					if result := runRequests(t, []*requestScript{request})[0]; !result.truncated() {
+						t.Errorf("a response of %d bytes looks complete, or there was none: %v", len(result.body), result.err)
 					}
 				})
 			}
@@ -281,32 +283,32 @@
 	}
 }
 
-// TestProxy_Killed_ResponseLooksIncomplete kills the proxy at each millisecond of a slow response: the system closes its
-// connections in order then, and what the client has got doesn't look complete. A response that the proxy reads completely before it
-// forwards any of it goes out in one moment, in which a kill may come or not; of a longer one some kills must have cut a part off.
+// TestProxy_Killed_ResponseLooksIncomplete kills the proxy at each millisecond of a slow response. The operating system then closes the
+// proxy's connections in an orderly way, and a truncated response must not look complete. The proxy forwards a short response at once,
+// after it has read all of it, so that a kill may not truncate any; of the long responses, some kill must truncate one.
 func TestProxy_Killed_ResponseLooksIncomplete(t *testing.T) {
 	const (
-		short = 10_000 // bytes, less than the proxy buffers
-		long  = 80_000 // more than that, also before the pause
+		short = 10_000 // bytes, less than the proxy buffers of a response
+		long  = 80_000 // more than the proxy buffers, even in the part before the pause
 	)
 	for _, size := range []int{short, long} {
-		for _, old := range []bool{false, true} {
+		for _, http10 := range []bool{false, true} {
 			for _, kind := range []responseKind{success, chunked, closeDelimited} {
-				t.Run(fmt.Sprint(size, "/", framings[kind], "/", old), func(t *testing.T) {
+				t.Run(fmt.Sprint(size, "/", framings[kind], "/", http10), func(t *testing.T) {
 					broken := 0
 					for at := range 40 {
 						slow := completeScript(kind, size)
 						slow.split, slow.splitDelay = size*9/10, 20*time.Millisecond
 						request := newRequest(onceRoute, 0, slow)
-						request.http10 = old
+						request.http10 = http10
 						killed := scenarioEvent{at: time.Duration(at) * time.Millisecond, kind: kill}
 						env := checkScenario(t, scenario{clients: [][]*requestScript{{request}}, events: []scenarioEvent{killed}})
-						if results := env.clients[0].results; len(results) > 0 && results[0].brokenOff() {
+						if results := env.clients[0].results; len(results) > 0 && results[0].truncated() {
 							broken++
 						}
 					}
 					if size == long && broken == 0 {
-						t.Error("no kill cut the response")
+						t.Error("no kill truncated the response")
 					}
 				})
 			}
@@ -314,7 +316,7 @@
 	}
 }
 
-// requireResponses checks that every request got a complete response of an endpoint.
+// requireResponses checks that every request got a complete response, with status 200 or 500.
 func requireResponses(t *testing.T, results []clientResult) {
 	t.Helper()
 	for _, result := range results {
--- a/internal/tier/exchangetest/campaign_test.go
+++ b/internal/tier/exchangetest/campaign_test.go
@@ -9,11 +9,11 @@
 
 // Flags of the campaign.
 var (
-	worlds    = flag.Int("worlds", 150, "worlds of the campaign")
-	firstSeed = flag.Uint64("seed", 1, "seed of the campaign's first world")
+	scenarios = flag.Int("worlds", 150, "number of scenarios of the campaign")
+	firstSeed = flag.Uint64("seed", 1, "seed of the campaign's first scenario")
 )
 
-// describe is a scenario in words, for a report.
+// describe returns a scenario as text, for a report.
 func describe(s scenario) string {
 	var text strings.Builder
 	for i, requests := range s.clients {
@@ -25,20 +25,20 @@
 	return text.String()
 }
 
-// checkScenario runs a scenario and reports the faults found. It returns the environment.
+// checkScenario runs a scenario and reports the violations that the oracle finds. It returns the environment.
 func checkScenario(t *testing.T, s scenario) *environment {
 	t.Helper()
 	env := runScenario(t, s)
-	if faults := judgeEnvironment(env); len(faults) > 0 {
-		t.Errorf("%s\n%s", strings.Join(faults, "\n"), describe(s))
+	if violations := checkEnvironment(env); len(violations) > 0 {
+		t.Errorf("%s\n%s", strings.Join(violations, "\n"), describe(s))
 	}
 	return env
 }
 
-// TestCampaign runs environments drawn from seeds. A breach is reported with its seed; -args -seed N -worlds 1 runs it alone.
+// TestCampaign runs scenarios drawn from seeds. A violation is reported with its seed; -args -seed N -worlds 1 runs that scenario alone.
 func TestCampaign(t *testing.T) {
 	var tally campaignStats
-	for i := range *worlds {
+	for i := range *scenarios {
 		seed := *firstSeed + uint64(i)
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			tally.count(checkScenario(t, drawScenario(seeded(seed))))
@@ -47,50 +47,50 @@
 			break
 		}
 	}
-	t.Logf("%d worlds: %+v", *worlds, tally)
-	if *worlds >= 100 {
+	t.Logf("%d scenarios: %+v", *scenarios, tally)
+	if *scenarios >= 100 {
 		tally.check(t)
 	}
 }
 
-// campaignStats counts what happened, so that a campaign in which a kind of outcome never comes is noticed.
-type campaignStats struct{ Requests, Sends, Complete, CutOff, Silent, Own, Left, TakenUp int }
+// campaignStats counts the outcomes of a campaign's requests, so that a campaign without some kind of outcome fails.
+type campaignStats struct{ Requests, Attempts, Complete, Truncated, Unanswered, ProxyOwn, Disconnected, Resumed int }
 
 func (c *campaignStats) count(env *environment) {
-	c.Sends += len(env.runs)
+	c.Attempts += len(env.attempts)
 	for _, client := range env.clients {
 		for _, result := range client.results {
 			c.Requests++
 			switch sealed := result.header.Get("X-Server-Seal") != ""; {
 			case !result.disconnectedAt.IsZero():
-				c.Left++
+				c.Disconnected++
 			case result.complete() && sealed:
 				c.Complete++
 			case result.complete():
-				c.Own++
+				c.ProxyOwn++
 			case result.answered:
-				c.CutOff++
+				c.Truncated++
 			default:
-				c.Silent++
+				c.Unanswered++
 			}
 		}
 	}
-	for _, r := range env.runs {
+	for _, r := range env.attempts {
 		if r.lastEvent > 0 {
-			c.TakenUp++
+			c.Resumed++
 		}
 	}
 }
 
 func (c *campaignStats) check(t *testing.T) {
-	for name, count := range map[string]int{"complete": c.Complete, "cut off": c.CutOff, "of the proxy's own": c.Own, "left": c.Left, "taken up": c.TakenUp} {
+	for name, count := range map[string]int{"complete": c.Complete, "truncated": c.Truncated, "proxy's own": c.ProxyOwn, "client disconnected": c.Disconnected, "resumed": c.Resumed} {
 		if count == 0 {
-			t.Errorf("no request was %s", name)
+			t.Errorf("no request of the campaign had the outcome %q", name)
 		}
 	}
 }
 
-// FuzzExchange runs environments drawn from the fuzzer's bytes.
+// FuzzExchange runs scenarios drawn from the fuzzer's bytes.
 func FuzzExchange(f *testing.F) {
 	f.Add([]byte(nil))
 	f.Add([]byte("0123456789abcdef0123456789abcdef"))
--- a/internal/tier/exchangetest/client_test.go
+++ b/internal/tier/exchangetest/client_test.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// frontAddress is where the proxy takes clients.
+// frontAddress is where the proxy accepts clients' connections.
 const frontAddress = "10.0.0.1:80"
 
-// clientResult is what a client got for a request.
+// clientResult is what a client received for a request.
 type clientResult struct {
 	request             *requestScript
 	startedAt           time.Time // when its first byte was sent
-	answered            bool      // a head came
+	answered            bool      // the head of a response was received
 	status              int
 	header              http.Header
 	body                []byte
-	err                 error     // at which the body ended; nil: it looks complete
-	disconnectedAt      time.Time // when the client left; zero: it didn't
-	unansweredPipelined bool      // it was sent ahead, and its connection ended with the response before
-	surplus             []byte    // bytes behind the response
+	err                 error     // error that ended the response; nil: it looks complete
+	disconnectedAt      time.Time // when the client disconnected before its response; zero: it didn't
+	unansweredPipelined bool      // it was pipelined, and its connection ended with the response to the request before it
+	surplus             []byte    // bytes received after the response
 }
 
-// client sends requests, one after the other, on as few connections as it can.
+// client sends requests one after the other, on the same connection as long as that stays open.
 type client struct {
 	env      *environment
 	requests []*requestScript
@@ -66,8 +66,8 @@
 	c.close()
 }
 
-// pipeline sends two requests and then reads the answers. The second one's time begins once its turn has come: the proxy can't know
-// how long it lay behind the first.
+// pipeline sends two requests and then reads the responses. The time of the second request starts with the end of the first response: the
+// proxy can't know how long the second request has waited behind the first.
 func (c *client) pipeline(first, second *requestScript) {
 	began := time.Now()
 	results := []clientResult{{request: first, startedAt: began}, {request: second, startedAt: began}}
@@ -105,7 +105,8 @@
 	return sendSplit(c.conn, wire, request.split, request.splitDelay)
 }
 
-// disconnect ends the connection without waiting for the response. What comes to one that ended its own direction only is read.
+// disconnect ends the connection without waiting for the response. A client that has only closed its own direction still reads the
+// response.
 func (c *client) disconnect(result *clientResult) {
 	result.disconnectedAt = time.Now()
 	result.request.disconnect.apply(c.conn)
@@ -114,7 +115,7 @@
 	}
 }
 
-// read reads a response. It returns false when the connection carries no further request.
+// read reads a response. It returns false if the connection can't carry a further request.
 func (c *client) read(result *clientResult) bool {
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: result.request.method})
 	if err != nil {
@@ -126,7 +127,7 @@
 	return result.err == nil && !response.Close
 }
 
-// close reads what nobody asked for, and closes the connection.
+// close reads what arrives after the last complete response, and closes the connection.
 func (c *client) close() {
 	if c.conn == nil {
 		return
@@ -140,8 +141,8 @@
 	c.conn = nil
 }
 
-// brokenOff reports whether a response has begun and not looked complete.
-func (result *clientResult) brokenOff() bool { return result.answered && result.err != nil }
+// truncated reports whether a response has begun and doesn't look complete.
+func (result *clientResult) truncated() bool { return result.answered && result.err != nil }
 
-// complete reports whether a response looked complete.
+// complete reports whether a response looks complete.
 func (result *clientResult) complete() bool { return result.answered && result.err == nil }
--- a/internal/tier/exchangetest/endpoint_test.go
+++ b/internal/tier/exchangetest/endpoint_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// endpoint runs one endpoint by the scripts of the requests that it gets.
+// endpoint is one endpoint, which follows the scripts of the requests that it receives.
 type endpoint struct {
 	id       string
 	address  string
@@ -20,7 +20,7 @@
 	listener net.Listener
 
 	mutex sync.Mutex
-	conns []*memoryConn // all that ever were
+	conns []*memoryConn // all accepted so far
 }
 
 func (e *endpoint) serve() {
@@ -41,7 +41,7 @@
 	}
 }
 
-// connections returns all connections that the endpoint ever had.
+// connections returns all connections that the endpoint has accepted so far.
 func (e *endpoint) connections() []*memoryConn {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -55,7 +55,7 @@
 	}
 }
 
-// exchange takes one request and answers it. It returns false when the connection ends.
+// exchange reads one request and answers it, both by its script. It returns false when the connection ends.
 func (e *endpoint) exchange(conn *memoryConn, ordinal int) bool {
 	head := conn.peekUntil("\r\n\r\n")
 	if head == nil {
@@ -138,7 +138,7 @@
 	return err == nil
 }
 
-// disconnect ends a connection. One that ends its own direction only goes on reading, until the other side ends too.
+// disconnect ends a connection. If it closes only its own direction, it goes on reading until the other side has closed, too.
 func disconnect(conn *memoryConn, how ending) {
 	how.apply(conn)
 	if how == halfClose {
@@ -146,20 +146,20 @@
 	}
 }
 
-// readBytes reads so many bytes. It returns false if they don't come.
+// readBytes reads count bytes. It returns false if the connection ends before.
 func readBytes(conn *memoryConn, count int) bool {
 	n, _ := io.CopyN(io.Discard, struct{ io.Reader }{conn}, int64(count))
 	return int(n) == count
 }
 
-// headerOf reads the header of a request's head.
+// headerOf parses the header fields in a request's head.
 func headerOf(head []byte) textproto.MIMEHeader {
 	_, fields, _ := bytes.Cut(head, []byte("\r\n"))
 	header, _ := textproto.NewReader(bufio.NewReader(bytes.NewReader(fields))).ReadMIMEHeader()
 	return header
 }
 
-// lastEventID is the last event that the client of a request has, by the request's header.
+// lastEventID returns the ID of the last event that a request's client has received, by its Last-Event-Id header; 0: none.
 func lastEventID(header textproto.MIMEHeader) int {
 	id, _ := strconv.Atoi(strings.TrimSpace(header.Get("Last-Event-Id")))
 	return id
--- a/internal/tier/exchangetest/environment_test.go
+++ b/internal/tier/exchangetest/environment_test.go
@@ -19,33 +19,33 @@
 
 const (
 	endpointCount = 3
-	maxAttempts   = 2 // of each route
+	maxAttempts   = 2 // per request that may have run, on each route
 	// cooldown is how long an environment runs on after its last request: longer than any deadline.
 	cooldown = 5 * time.Second
 )
 
-// scenarioEventKind is what happens to the proxy or around it.
+// scenarioEventKind is a kind of event that happens to the proxy, its configuration or an endpoint.
 type scenarioEventKind int
 
 const (
-	newConfiguration scenarioEventKind = iota // with other limits
-	endpointUnlisted                          // from the list
-	endpointBack
-	drain // the first step of SIGTERM
-	shutdown
-	crash // of an endpoint: it resets all its connections, and is back at once
-	kill  // of the proxy
+	newConfiguration scenarioEventKind = iota // a configuration with other limits takes effect
+	endpointUnlisted                          // the selector stops choosing an endpoint
+	endpointBack                              // the selector chooses the endpoint again
+	drain                                     // the first step of the proxy's shutdown after SIGTERM
+	shutdown                                  // of the proxy
+	crash                                     // of an endpoint: it resets all its connections, and is back at once
+	kill                                      // of the proxy
 	eventKinds
 )
 
-// scenarioEvent is one of these, at a time.
+// scenarioEvent is an event at a time after the start.
 type scenarioEvent struct {
 	at       time.Duration
 	kind     scenarioEventKind
-	endpoint int
+	endpoint int // number of the endpoint that is unlisted, back or crashes; also makes the number of a newConfiguration
 }
 
-// scenario is all that an environment is to do.
+// scenario describes everything that happens in one run.
 type scenario struct {
 	clients        [][]*requestScript
 	events         []scenarioEvent
@@ -60,7 +60,7 @@
 	return slices.ContainsFunc(s.events, func(e scenarioEvent) bool { return e.kind == kind })
 }
 
-// environment is a proxy that runs with its clients and endpoints.
+// environment is a running proxy with its clients, endpoints and stores.
 type environment struct {
 	scenario  scenario
 	network   *memoryNetwork
@@ -68,16 +68,16 @@
 	routes    atomic.Pointer[proxy.Routes]
 	endpoints []*endpoint
 	clients   []*client
-	requests  map[string]*requestScript
+	requests  map[string]*requestScript // by attempt ID
 	stores    *fakeStores
 	running   sync.WaitGroup
 
 	mutex    sync.Mutex
-	runs     []*endpointAttempt
-	unlisted map[int]bool // endpoints that aren't listed
+	attempts []*endpointAttempt
+	unlisted map[int]bool // endpoints that the selector doesn't choose, by number
 }
 
-// runScenario runs a scenario and returns the environment with all that happened in it.
+// runScenario runs a scenario and returns its environment, which has recorded what happened.
 func runScenario(t *testing.T, s scenario) (env *environment) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -113,7 +113,7 @@
 	return env
 }
 
-// configuration has a route of each kind. Each number has limits of its own.
+// configuration returns a configuration with a route of each kind. Configurations with different numbers have different limits.
 func configuration(number int) *model.Configuration {
 	c := &model.Configuration{
 		Version:  uint64(number),
@@ -136,7 +136,7 @@
 	return c
 }
 
-// run lets everything happen, and then ends it.
+// run runs the clients and events to their end, and then stops the proxy and the endpoints.
 func (env *environment) run(t *testing.T) {
 	var clients sync.WaitGroup
 	for _, c := range env.clients {
@@ -190,7 +190,7 @@
 	}
 }
 
-// attemptStarted records that an endpoint has the head of a request. It returns nil for one that no client sent.
+// attemptStarted records that an endpoint has received the head of a request. It returns nil if no client sent that request.
 func (env *environment) attemptStarted(current endpointAttempt, header textproto.MIMEHeader) *endpointAttempt {
 	current.request = env.requests[header.Get("X-Attempt-Id")]
 	if current.request == nil {
@@ -198,7 +198,7 @@
 	}
 	env.mutex.Lock()
 	defer env.mutex.Unlock()
-	for _, other := range env.runs {
+	for _, other := range env.attempts {
 		if other.request == current.request {
 			current.index++
 		}
@@ -206,11 +206,11 @@
 	if current.script().fromFirstEvent {
 		current.lastEvent = 0
 	}
-	env.runs = append(env.runs, &current)
+	env.attempts = append(env.attempts, &current)
 	return &current
 }
 
-// responseWritten records that an endpoint has written all of a response that it was to write.
+// responseWritten records that an endpoint has written all that its script lets it write of a response.
 func (env *environment) responseWritten(current *endpointAttempt) {
 	env.mutex.Lock()
 	defer env.mutex.Unlock()
@@ -251,7 +251,7 @@
 	return proxy.Selection{}, &proxy.RejectionError{RetryAfter: 100 * time.Millisecond}
 }
 
-// firstEndpoint is the number of the endpoint that a request goes to first.
+// firstEndpoint returns the number of the endpoint to which a request is sent first.
 func firstEndpoint(id string) int {
 	hash := fnv.New32a()
 	hash.Write([]byte(id))
--- a/internal/tier/exchangetest/memory_conn_test.go
+++ b/internal/tier/exchangetest/memory_conn_test.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// latency is the time that bytes, and the end of a connection, take from one side to the other.
+	// latency is the time that bytes, and the end of a connection, need from one side to the other.
 	latency = time.Millisecond
-	// windowBytes bounds what is on the way or unread in one direction.
+	// windowBytes bounds the bytes that are in transit or unread in one direction.
 	windowBytes = 64 << 10
 )
 
@@ -23,31 +23,31 @@
 	offset int
 }
 
-// inbound is what comes in at one side of a connection.
+// inbound is the state of what one side of a connection receives.
 type inbound struct {
 	inTransit int    // bytes sent and not arrived
 	unread    []byte // bytes arrived and not read
 	closed    bool   // the other side's orderly end has arrived
 	reset     bool   // a reset has arrived
 
-	received []byte    // every byte that ever arrived
-	arrivals []arrival // when its parts arrived
+	received []byte    // all bytes that have arrived, read or not
+	arrivals []arrival // when the parts of received arrived
 	endedAt  time.Time // when the end or the reset arrived; zero: not yet
 }
 
-// memoryConn is one side of a connection. It behaves as TCP does on Linux: bytes that arrived before a reset can still be
-// read, a close with unread bytes is a reset, and so is the response to bytes that arrive after a close.
+// memoryConn is one side of a connection. It behaves as TCP does on Linux: bytes that arrived before a reset can still be read, closing
+// with unread bytes sends a reset, and so do bytes that arrive after the close.
 type memoryConn struct {
-	mutex      *sync.Mutex // of both sides
+	mutex      *sync.Mutex // shared by both sides; guards all fields of both
 	change     *sync.Cond
 	local      net.Addr
 	peer       *memoryConn
 	in         inbound
-	deliveries []func() // what is on the way to this side
+	deliveries []func() // changes in transit to this side, in order
 
 	closed        bool
 	writeClosed   bool
-	linger        bool // a close is orderly
+	linger        bool // Close ends the connection in an orderly way; else by a reset
 	readDeadline  time.Time
 	writeDeadline time.Time
 }
@@ -61,8 +61,7 @@
 	return near, far
 }
 
-// schedule applies a change to this side after latency, in the order in which the changes were sent. The caller
-// holds the mutex.
+// schedule applies a change to this side after latency, in the order in which the changes were sent. The mutex must be held.
 func (c *memoryConn) schedule(change func()) {
 	c.deliveries = append(c.deliveries, change)
 	time.AfterFunc(latency, func() {
@@ -75,7 +74,7 @@
 	})
 }
 
-// arrive takes bytes that have arrived at this side. The caller holds the mutex.
+// arrive adds bytes that have arrived at this side. The mutex must be held.
 func (c *memoryConn) arrive(data []byte) {
 	c.in.inTransit -= len(data)
 	if c.in.reset {
@@ -90,12 +89,12 @@
 	c.in.unread = append(c.in.unread, data...)
 }
 
-// sendReset sends a reset to the other side. The caller holds the mutex.
+// sendReset sends a reset to the other side. The mutex must be held.
 func (c *memoryConn) sendReset() {
 	c.peer.endLater(func(in *inbound) { in.reset = true })
 }
 
-// endLater ends this side after latency. The caller holds the mutex.
+// endLater ends what this side receives after latency. The mutex must be held.
 func (c *memoryConn) endLater(end func(*inbound)) {
 	c.schedule(func() {
 		end(&c.in)
@@ -199,7 +198,7 @@
 	return nil
 }
 
-// Reset closes the connection by a reset.
+// Reset closes the connection with a reset.
 func (c *memoryConn) Reset() {
 	_ = c.SetLinger(0)
 	c.Close()
@@ -212,7 +211,8 @@
 	return !c.closed && len(c.in.unread) == 0 && !c.in.reset && !c.in.closed
 }
 
-// peekUntil waits until the unread bytes hold the delimiter, and returns them up to its end. It returns nil if they never will.
+// peekUntil waits until the unread bytes contain the delimiter, and returns them up to its end. It returns nil if the connection ends
+// before.
 func (c *memoryConn) peekUntil(delimiter string) []byte {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -227,7 +227,7 @@
 	}
 }
 
-// snapshot is a copy of what came in at one side.
+// snapshot returns a copy of what this side has received.
 func (c *memoryConn) snapshot() inbound {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/tier/exchangetest/memory_network_test.go
+++ b/internal/tier/exchangetest/memory_network_test.go
@@ -12,12 +12,13 @@
 	"mastusher/internal/tier/network"
 )
 
-// memoryNetwork is a network in memory. Dial and the front address are the proxy's.
+// memoryNetwork is a network in memory. Only the proxy uses Dial, and only the proxy listens on frontAddress; both kinds of sockets are
+// tracked, so that kill can close them.
 type memoryNetwork struct {
 	mutex         sync.Mutex
 	listeners     map[string]*memoryListener
 	clientSides   []*memoryConn // the proxy's sides of its connections to clients
-	endpointSides []*memoryConn // and to endpoints
+	endpointSides []*memoryConn // the proxy's sides of its connections to endpoints
 	killed        bool
 }
 
@@ -64,7 +65,7 @@
 	return !m.killed
 }
 
-// kill closes all of the proxy's sockets, as the system does when a process is killed.
+// kill closes all of the proxy's sockets, as the operating system does when a process is killed.
 func (m *memoryNetwork) kill() {
 	m.mutex.Lock()
 	m.killed = true
--- a/internal/tier/exchangetest/oracle_test.go
+++ b/internal/tier/exchangetest/oracle_test.go
@@ -9,69 +9,73 @@
 	"time"
 )
 
-// disconnectGrace is the time after a client has disconnected in which the work for it ends.
+// disconnectGrace is the time after a client has disconnected within which the work for its request must end.
 const disconnectGrace = 500 * time.Millisecond
 
-// timeLeftSlack is how much longer an endpoint may be allowed to work than its client waits: the way of the request's head.
+// timeLeftSlack is by how much an endpoint's deadline may exceed its client's, because of the time that the request's head is in transit.
 const timeLeftSlack = 30 * time.Millisecond
 
-// receivedRequest is a request, or the part of one, as it arrived at an endpoint.
+// receivedRequest is a request, or a part of one, that arrived at an endpoint.
 type receivedRequest struct {
-	timeLeft time.Duration // as the endpoint read it
+	timeLeft time.Duration // X-Time-Left-Ms that the endpoint received
 	request  *requestScript
-	attempt  *endpointAttempt // nil: the endpoint had closed the connection
+	attempt  *endpointAttempt // nil: the endpoint had closed the connection before
 	at       time.Time
 	conn     *memoryConn
 }
 
-// provedNotRun reports whether the endpoint promised that it didn't run it and won't.
+// provedNotRun reports whether the endpoint's response guarantees that the endpoint has not run the request and never will.
 func (s receivedRequest) provedNotRun() bool { return s.attempt != nil && s.attempt.provedNotRun() }
 
-// oracle judges an environment by every byte that went over its connections.
+// oracle checks an environment by every byte that was sent over its connections.
 type oracle struct {
-	env      *environment
-	attempts map[*requestScript][]receivedRequest // in the order of their arrival
-	faults   []string
+	env        *environment
+	attempts   map[*requestScript][]receivedRequest // in the order of their arrival
+	violations []string
 }
 
-// judgeEnvironment returns the faults found in an environment that has ended.
-func judgeEnvironment(env *environment) []string {
+// checkEnvironment returns the violations of the proxy's invariants in an environment that has ended. Most begin with their kind:
+// UNASKED (something was sent that no client asked for), MIXED (bytes of another origin), TWICE (sent again after it may have run),
+// BUDGET (too much time, too many attempts or uncounted tokens), REFUSED (rejected as not run after it may have run), LOST (not served,
+// or a turn's end not committed), ORDER (events of a stream) and GONE (work for a client that has disconnected).
+func checkEnvironment(env *environment) []string {
 	o := &oracle{env: env, attempts: make(map[*requestScript][]receivedRequest)}
 	for _, e := range env.endpoints {
 		for _, conn := range e.connections() {
 			o.readAttempts(e, conn)
 		}
 	}
-	for _, sends := range o.attempts {
-		slices.SortStableFunc(sends, func(a, b receivedRequest) int { return a.at.Compare(b.at) })
+	for _, attempts := range o.attempts {
+		slices.SortStableFunc(attempts, func(a, b receivedRequest) int { return a.at.Compare(b.at) })
 	}
 	for _, c := range env.clients {
 		for i := range c.results {
-			o.judgeRequest(&c.results[i])
+			o.checkRequest(&c.results[i])
 		}
 	}
-	return append(o.faults, env.stores.faults...)
+	return append(o.violations, env.stores.violations...)
 }
 
-func (o *oracle) fault(request *requestScript, format string, args ...any) {
-	o.faults = append(o.faults, fmt.Sprintf("%s %s %s: ", request.id, request.method, request.route)+fmt.Sprintf(format, args...))
+// report records a violation that concerns one request.
+func (o *oracle) report(request *requestScript, format string, args ...any) {
+	o.violations = append(o.violations, fmt.Sprintf("%s %s %s: ", request.id, request.method, request.route)+fmt.Sprintf(format, args...))
 }
 
-// readAttempts reads all that arrived on a connection to an endpoint: requests that clients sent, byte for byte, and nothing else.
+// readAttempts parses all bytes that arrived on a connection to an endpoint, which must be requests that clients sent and nothing else.
 func (o *oracle) readAttempts(e *endpoint, conn *memoryConn) {
 	seen := conn.snapshot()
 	for offset, ordinal := 0, 0; offset < len(seen.received); ordinal++ {
 		at := arrivedAt(seen.arrivals, offset)
 		used, err := o.readAttempt(e, conn, seen.received[offset:], ordinal, at)
 		if err != nil {
-			o.faults = append(o.faults, fmt.Sprintf("UNASKED %s, request %d of a connection: %v", e.id, ordinal, err))
+			o.violations = append(o.violations, fmt.Sprintf("UNASKED %s, request %d of a connection: %v", e.id, ordinal, err))
 			return
 		}
 		offset += used
 	}
 }
 
-// arrivedAt returns when a byte arrived.
+// arrivedAt returns when the byte at an offset arrived.
 func arrivedAt(arrivals []arrival, offset int) time.Time {
 	at := time.Time{}
 	for _, one := range arrivals {
@@ -83,7 +87,7 @@
 	return at
 }
 
-// readAttempt reads one request and returns the number of its bytes.
+// readAttempt parses the request at the beginning of data, checks it and returns the number of its bytes.
 func (o *oracle) readAttempt(e *endpoint, conn *memoryConn, data []byte, ordinal int, at time.Time) (used int, err error) {
 	head, body, found := bytes.Cut(data, []byte("\r\n\r\n"))
 	if !found {
@@ -100,18 +104,18 @@
 	want := request.forwardedBody()
 	have := body[:min(len(body), len(want))]
 	if !bytes.HasPrefix(want, have) {
-		return 0, fmt.Errorf("%s: other bytes where its body is due: %.80q", request.id, have)
+		return 0, fmt.Errorf("%s: other bytes in place of its body: %.80q", request.id, have)
 	}
 	left, err := strconv.Atoi(header.Get("X-Time-Left-Ms"))
 	if err != nil {
-		return 0, fmt.Errorf("%s: time left: %w", request.id, err)
+		return 0, fmt.Errorf("%s: X-Time-Left-Ms: %w", request.id, err)
 	}
 	o.attempts[request] = append(o.attempts[request], receivedRequest{request: request, attempt: o.attemptOn(conn, ordinal), at: at, conn: conn,
 		timeLeft: time.Duration(left) * time.Millisecond})
 	return len(head) + len("\r\n\r\n") + len(have), nil
 }
 
-// checkPartialHead checks the last bytes on a connection, which are less than a head.
+// checkPartialHead checks that an incomplete head, the last bytes on a connection, is the beginning of some request.
 func (o *oracle) checkPartialHead(data []byte) error {
 	for _, request := range o.env.requests {
 		line := request.method + " " + request.target() + " HTTP/1.1\r\n"
@@ -146,9 +150,9 @@
 	return nil
 }
 
-// attemptOn returns what an endpoint made of a request on a connection; nil if it didn't take it.
+// attemptOn returns an endpoint's attempt by its connection and its place there; nil if the endpoint didn't handle that request.
 func (o *oracle) attemptOn(conn *memoryConn, ordinal int) *endpointAttempt {
-	for _, r := range o.env.runs {
+	for _, r := range o.env.attempts {
 		if r.conn == conn && r.ordinal == ordinal {
 			return r
 		}
@@ -156,99 +160,100 @@
 	return nil
 }
 
-// judgeRequest judges what became of one request.
-func (o *oracle) judgeRequest(result *clientResult) {
-	o.judgeAttempts(result)
+// checkRequest checks the attempts and the response of one request.
+func (o *oracle) checkRequest(result *clientResult) {
+	o.checkAttempts(result)
 	if result.request.route == turnRoute {
-		o.judgeTurn(result)
+		o.checkTurn(result)
 	}
 	if !result.disconnectedAt.IsZero() {
-		o.judgeDisconnect(result)
+		o.checkDisconnect(result)
 	}
 	if len(result.surplus) > 0 {
-		o.fault(result.request, "MIXED: bytes that nobody asked for: %.80q", result.surplus)
+		o.report(result.request, "MIXED: bytes after the response: %.80q", result.surplus)
 	}
 	if result.unansweredPipelined {
 		return
 	}
 	if o.env.scenario.faultFree && (!result.complete() || result.status != 200) {
-		o.judgeLoss(result)
+		o.checkLoss(result)
 	}
 	if !result.answered {
-		if o.env.scenario.keepsRunning() && !result.unansweredPipelined && result.disconnectedAt.IsZero() && !o.mayBreakOff(result.request) {
-			o.fault(result.request, "no answer: %v", result.err)
+		if o.env.scenario.keepsRunning() && !result.unansweredPipelined && result.disconnectedAt.IsZero() && !o.mayStayUnanswered(result.request) {
+			o.report(result.request, "no response: %v", result.err)
 		}
 		return
 	}
-	o.judgeResponse(result)
+	o.checkResponse(result)
 }
 
-// judgeLoss judges a request that was not served though nobody caused a fault: it may have come too late for a proxy that shuts
-// down, and wasn't forwarded then.
-func (o *oracle) judgeLoss(result *clientResult) {
+// checkLoss checks a request that was not served in a scenario without faults: this is allowed only if the proxy was shutting down, and
+// has neither forwarded nor answered it.
+func (o *oracle) checkLoss(result *clientResult) {
 	if o.env.scenario.keepsRunning() || result.answered || len(o.attempts[result.request]) > 0 {
-		o.fault(result.request, "LOST: status %d, %v, after %d sends", result.status, result.err, len(o.attempts[result.request]))
+		o.report(result.request, "LOST: status %d, error %v, after %d attempts", result.status, result.err, len(o.attempts[result.request]))
 	}
 }
 
-// mayBreakOff reports whether an endpoint may have broken off the response to a request, its client not taken it, or the stores not its end. What of it the proxy
-// had not forwarded yet is dropped then, and the client may see a close alone.
-func (o *oracle) mayBreakOff(request *requestScript) bool {
+// mayStayUnanswered reports whether a request may stay without a response: an endpoint may have truncated its response, the client may
+// not have read it, or the stores may not have committed the turn's end. The proxy then drops what it has not forwarded yet, and the
+// client may only see its connection close.
+func (o *oracle) mayStayUnanswered(request *requestScript) bool {
 	notSafe := request.route == turnRoute && request.endResult != commitAccepted
-	return notSafe || o.env.scenario.has(crash) || request.readStall > 0 || slices.ContainsFunc(o.attempts[request], func(s receivedRequest) bool { return s.attempt != nil && s.attempt.breaksOff() })
+	return notSafe || o.env.scenario.has(crash) || request.readStall > 0 || slices.ContainsFunc(o.attempts[request], func(s receivedRequest) bool { return s.attempt != nil && s.attempt.truncates() })
 }
 
-// judgeAttempts judges how often a request was sent.
-func (o *oracle) judgeAttempts(result *clientResult) {
-	request, sends := result.request, o.attempts[result.request]
-	unpromised := 0
-	for i, send := range sends {
-		if until := send.at.Add(send.timeLeft); until.After(result.startedAt.Add(request.timeLeft + timeLeftSlack)) {
-			o.fault(request, "BUDGET: an endpoint may work until %v after the client", until.Sub(result.startedAt.Add(request.timeLeft)))
+// checkAttempts checks how often, and with how much time left, a request was sent to endpoints.
+func (o *oracle) checkAttempts(result *clientResult) {
+	request, attempts := result.request, o.attempts[result.request]
+	mayHaveRun := 0
+	for i, received := range attempts {
+		if until := received.at.Add(received.timeLeft); until.After(result.startedAt.Add(request.timeLeft + timeLeftSlack)) {
+			o.report(request, "BUDGET: an endpoint's deadline is %v after the client's", until.Sub(result.startedAt.Add(request.timeLeft)))
 		}
-		if send.provedNotRun() {
+		if received.provedNotRun() {
 			continue
 		}
-		unpromised++
-		if !request.route.retryable() && i < len(sends)-1 {
-			o.fault(request, "TWICE: send %d of %d may have run, and others followed", i+1, len(sends))
+		mayHaveRun++
+		if !request.route.retryable() && i < len(attempts)-1 {
+			o.report(request, "TWICE: attempt %d of %d may have run, and others followed", i+1, len(attempts))
 		}
 	}
-	if unpromised > maxAttempts {
-		o.fault(request, "BUDGET: %d sends that may have run", unpromised)
+	if mayHaveRun > maxAttempts {
+		o.report(request, "BUDGET: %d attempts that may have run", mayHaveRun)
 	}
-	if request.sendLimit >= 0 && request.sendLimit < len(request.wire()) && len(sends) > 0 {
-		o.fault(request, "UNASKED: sent on though only %d of its bytes had come", request.sendLimit)
+	if request.sendLimit >= 0 && request.sendLimit < len(request.wire()) && len(attempts) > 0 {
+		o.report(request, "UNASKED: forwarded though its client had sent only %d bytes of it", request.sendLimit)
 	}
-	if result.answered && impliesNotRun(result.status) && !request.route.retryable() && unpromised > 0 {
-		o.fault(request, "REFUSED: %d after a send that may have run", result.status)
+	if result.answered && impliesNotRun(result.status) && !request.route.retryable() && mayHaveRun > 0 {
+		o.report(request, "REFUSED: status %d after an attempt that may have run", result.status)
 	}
 }
 
-// impliesNotRun reports whether a client takes a status for a promise that its request has not run and won't.
+// impliesNotRun reports whether a status guarantees to the client that its request has not run and never will.
 func impliesNotRun(status int) bool { return slices.Contains([]int{402, 408, 421, 429, 503}, status) }
 
-// rejectionStatuses are the responses to turns that the stores reject.
+// rejectionStatuses are the statuses of responses to turns that the stores don't accept.
 var rejectionStatuses = map[beginKind]int{budgetExhausted: 402, turnNotFound: 404, storesUnavailable: 503}
 
-// judgeTurn judges what became of a turn: it runs only if the stores took it, and looks complete only once its end is committed there.
-func (o *oracle) judgeTurn(result *clientResult) {
+// checkTurn checks that a turn runs only if the stores accepted it, and looks complete only if they committed its end.
+func (o *oracle) checkTurn(result *clientResult) {
 	if result.request.beginResult != turnAccepted && len(o.attempts[result.request]) > 0 {
-		o.fault(result.request, "UNASKED: the stores refused it, and it was sent")
+		o.report(result.request, "UNASKED: sent although the stores did not accept the turn")
 	}
 	if !result.answered || result.status != 200 || result.request.method == "HEAD" {
 		return
 	}
 	end, safe := o.env.stores.firstCommit(result.request.id)
 	if result.complete() && (!safe || !end.Complete || string(end.Output) != outputOf(result.body)) {
-		o.fault(result.request, "LOST: looks complete, and the stores have %v, %+v", safe, end)
+		o.report(result.request, "LOST: looks complete, but the stores committed: %v, %+v", safe, end)
 	}
 	if events := int64(bytes.Count(result.body, []byte("\n\n"))); safe && end.Tokens < events {
-		o.fault(result.request, "BUDGET: %d events came, and the stores were told of %d tokens", events, end.Tokens)
+		o.report(result.request, "BUDGET: the client received %d events, and the stores counted %d tokens", events, end.Tokens)
 	}
 }
 
-// outputOf returns the data of all events with a line feed behind each line.
+// outputOf returns the data of all events, each line followed by a line feed.
 func outputOf(events []byte) string {
 	var output strings.Builder
 	for line := range strings.Lines(string(events)) {
@@ -259,57 +264,57 @@
 	return output.String()
 }
 
-// judgeDisconnect judges what was done for a client that had disconnected.
-func (o *oracle) judgeDisconnect(result *clientResult) {
+// checkDisconnect checks that the work for a client ends soon after it has disconnected.
+func (o *oracle) checkDisconnect(result *clientResult) {
 	until := result.disconnectedAt.Add(disconnectGrace)
-	for _, send := range o.attempts[result.request] {
-		if send.at.After(until) {
-			o.fault(result.request, "GONE: sent %v after its client had left", send.at.Sub(result.disconnectedAt))
+	for _, received := range o.attempts[result.request] {
+		if received.at.After(until) {
+			o.report(result.request, "GONE: sent to an endpoint %v after its client had disconnected", received.at.Sub(result.disconnectedAt))
 		}
-		ended := send.conn.snapshot().endedAt
-		atWork := send.attempt != nil && (send.attempt.done.IsZero() || send.attempt.done.After(until))
+		ended := received.conn.snapshot().endedAt
+		atWork := received.attempt != nil && (received.attempt.done.IsZero() || received.attempt.done.After(until))
 		if atWork && (ended.IsZero() || ended.After(until)) {
-			o.fault(result.request, "GONE: its endpoint isn't told that its client has left")
+			o.report(result.request, "GONE: the endpoint's connection was not closed after its client had disconnected")
 		}
 	}
 }
 
-// judgeResponse judges a response that has begun, and whether it may look as complete as it does.
-func (o *oracle) judgeResponse(result *clientResult) {
+// checkResponse checks the origin of a response that has begun, and that it looks complete only if it is.
+func (o *oracle) checkResponse(result *clientResult) {
 	seal := result.header.Get("X-Server-Seal")
 	if seal == "" {
 		partial := result.request.sendLimit >= 0 && result.status == 400
 		refused := result.request.route == turnRoute && result.status == rejectionStatuses[result.request.beginResult]
 		if !partial && !refused && !slices.Contains([]int{502, 503, 504}, result.status) {
-			o.fault(result.request, "MIXED: %d of the proxy's own", result.status)
+			o.report(result.request, "MIXED: unexpected status %d of the proxy's own", result.status)
 		}
 		return
 	}
 	first := o.attemptWithSeal(result.request, seal)
 	if first == nil {
-		o.fault(result.request, "MIXED: the answer of another request, %q", seal)
+		o.report(result.request, "MIXED: no attempt of this request has the seal %q", seal)
 		return
 	}
 	if result.status != first.status() || result.status/100 == 2 && result.header.Get("X-Attempt-Id") != result.request.id {
-		o.fault(result.request, "MIXED: %d, and the endpoint said %d", result.status, first.status())
+		o.report(result.request, "MIXED: status %d, want the endpoint's %d", result.status, first.status())
 		return
 	}
 	if result.request.route.streaming() && result.status == 200 && result.request.method != "HEAD" {
-		o.judgeStream(result, first)
+		o.checkStream(result, first)
 		return
 	}
 	body, complete := first.completeBody()
 	if result.complete() && (!complete || !bytes.Equal(body, result.body)) {
-		o.fault(result.request, "MIXED: %d bytes look complete, the endpoint's are %d, whole: %v", len(result.body), len(body), complete)
+		o.report(result.request, "MIXED: %d bytes look complete, want the endpoint's %d, complete: %v", len(result.body), len(body), complete)
 	}
-	if result.brokenOff() && !bytes.HasPrefix(first.body(), result.body) {
-		o.fault(result.request, "MIXED: other bytes than the endpoint's: %.80q", result.body)
+	if result.truncated() && !bytes.HasPrefix(first.body(), result.body) {
+		o.report(result.request, "MIXED: other bytes than the endpoint's: %.80q", result.body)
 	}
 }
 
-// attemptWithSeal returns the run of a request that has a seal.
+// attemptWithSeal returns the attempt of a request whose response has the seal.
 func (o *oracle) attemptWithSeal(request *requestScript, seal string) *endpointAttempt {
-	for _, r := range o.env.runs {
+	for _, r := range o.env.attempts {
 		if r.request == request && r.seal() == seal {
 			return r
 		}
@@ -317,14 +322,14 @@
 	return nil
 }
 
-// judgeStream judges the events of a stream: each once, in order, of one run or of runs that were resumed.
-func (o *oracle) judgeStream(result *clientResult, first *endpointAttempt) {
+// checkStream checks that each event of a stream occurs once, in order, and is from one attempt or from attempts that resumed the stream.
+func (o *oracle) checkStream(result *clientResult, first *endpointAttempt) {
 	last, current, rest := 0, first, result.body
 	for len(rest) > 0 {
 		event, tail, found := bytes.Cut(rest, []byte("\n\n"))
 		if !found {
 			if !lacksLastByte(result, event, first, last+1) {
-				o.fault(result.request, "ORDER: half an event, %.80q", rest)
+				o.report(result.request, "ORDER: incomplete event %.80q", rest)
 			}
 			return
 		}
@@ -332,24 +337,25 @@
 		last++
 		by := o.attemptOfEvent(result.request, append(bytes.Clone(event), "\n\n"...), last)
 		if by == nil || by.index < current.index || by != first && !result.request.route.retryable() {
-			o.fault(result.request, "ORDER: in the place of event %d: %q", last, event)
+			o.report(result.request, "ORDER: in place of event %d: %q", last, event)
 			return
 		}
 		current = by
 	}
 	if result.complete() && !o.mayEnd(result.request, current, last) {
-		o.fault(result.request, "ORDER: looks complete after event %d", last)
+		o.report(result.request, "ORDER: looks complete after event %d", last)
 	}
 }
 
-// lacksLastByte reports whether the last event of a turn's cut response lacks its last byte alone, which waits until its end is committed.
+// lacksLastByte reports whether the last event of a turn's truncated response lacks only its last byte, which the proxy holds back until
+// the turn's end is committed.
 func lacksLastByte(result *clientResult, event []byte, by *endpointAttempt, number int) bool {
-	return result.brokenOff() && result.request.route == turnRoute && string(event)+"\n" == string(by.event(number))
+	return result.truncated() && result.request.route == turnRoute && string(event)+"\n" == string(by.event(number))
 }
 
-// attemptOfEvent returns the run that an event of a request is of; nil if it isn't the event with that number.
+// attemptOfEvent returns the attempt whose event with that number equals event; nil: none.
 func (o *oracle) attemptOfEvent(request *requestScript, event []byte, number int) *endpointAttempt {
-	for _, r := range o.env.runs {
+	for _, r := range o.env.attempts {
 		if r.request == request && bytes.Equal(event, r.event(number)) {
 			return r
 		}
@@ -357,9 +363,9 @@
 	return nil
 }
 
-// mayEnd reports whether a run, or one that resumed the stream after it, ends after that event.
+// mayEnd reports whether the stream of an attempt, or of a later one that resumed it, ends after event number last.
 func (o *oracle) mayEnd(request *requestScript, from *endpointAttempt, last int) bool {
-	for _, r := range o.env.runs {
+	for _, r := range o.env.attempts {
 		if r.request != request || r.index < from.index || r != from && !request.route.retryable() {
 			continue
 		}
--- a/internal/tier/exchangetest/raw_test.go
+++ b/internal/tier/exchangetest/raw_test.go
@@ -15,8 +15,9 @@
 	"time"
 )
 
-// FuzzAnswerBytes has an endpoint answer with any bytes. A success reaches the client only with its request's id and a seal, a request
-// that runs once is sent again only after a promise, and the next request gets its own answer.
+// FuzzAnswerBytes has an endpoint answer with arbitrary bytes. A success must reach the client only with its request's ID and a seal, a
+// request that isn't retryable must be sent again only after a guarantee that it has not run, and the next request must get its own
+// response.
 func FuzzAnswerBytes(f *testing.F) {
 	for _, kind := range []responseKind{success, chunked, closeDelimited, informational, failure, rejected, notRun, misdirected, withoutID, foreign, unsealed} {
 		request := newRequest(onceRoute, 0, completeScript(kind, 2))
@@ -32,31 +33,31 @@
 			raw.raw, raw.end = answer, ending(end%4)
 			first, second := newRequest(route, 0, raw, completeScript(success, 2)), newRequest(safeRoute, 1, completeScript(success, 2))
 			first.id, second.id = idForFirstEndpoint(0), idForFirstEndpoint(1)
-			judgeRaw(t, runScenario(t, scenario{clients: [][]*requestScript{{first, second}}}), answer)
+			checkRaw(t, runScenario(t, scenario{clients: [][]*requestScript{{first, second}}}), answer)
 		}
 	})
 }
 
-// judgeRaw judges an environment whose first request was answered with any bytes.
-func judgeRaw(t *testing.T, env *environment, answer []byte) {
+// checkRaw checks an environment whose first request was answered with arbitrary bytes.
+func checkRaw(t *testing.T, env *environment, answer []byte) {
 	t.Helper()
 	results := env.clients[0].results
 	first, second := results[0], results[1]
 	if first.answered && first.status/100 == 2 && (first.header.Get("X-Attempt-Id") != first.request.id || first.header.Get("X-Server-Seal") == "") {
-		t.Errorf("%d with %v", first.status, first.header)
+		t.Errorf("a success without the request's ID or without a seal: status %d, header %v", first.status, first.header)
 	}
 	promisedNotRun := bytes.Contains(answer, []byte(" 421 ")) || bytes.Contains(bytes.ToLower(answer), []byte("x-not-run"))
-	sends := 0
-	for _, r := range env.runs {
+	attempts := 0
+	for _, r := range env.attempts {
 		if r.request == first.request {
-			sends++
+			attempts++
 		}
 	}
-	if !first.request.route.retryable() && sends > 1 && !promisedNotRun {
-		t.Errorf("sent %d times after %q", sends, answer)
+	if !first.request.route.retryable() && attempts > 1 && !promisedNotRun {
+		t.Errorf("sent %d times after %q", attempts, answer)
 	}
 	if !second.complete() || second.status != 200 || second.header.Get("X-Attempt-Id") != second.request.id {
-		t.Errorf("the next request got %d, %v, %v", second.status, second.header, second.err)
+		t.Errorf("the next request got status %d, header %v, error %v", second.status, second.header, second.err)
 	}
 }
 
@@ -65,8 +66,8 @@
 	headerLine  = regexp.MustCompile("^[!#$%&'*+.^_`|~0-9A-Za-z-]+: ?[^\r\n\x00]*$")
 )
 
-// FuzzRequestBytes has a client send any bytes. What endpoints get are requests that nobody could read in two ways, each one that the
-// client sent, with its method, target and body.
+// FuzzRequestBytes has a client send arbitrary bytes. Endpoints must receive only unambiguous requests, each with the method, target and
+// body of a request that the client sent.
 func FuzzRequestBytes(f *testing.F) {
 	inner := newRequest(onceRoute, 7).wire()
 	for _, chunks := range []int{0, 2} {
@@ -101,13 +102,13 @@
 			}
 		})
 		sent := requestsIn(data)
-		for _, tap := range arrived {
-			checkRequests(t, tap, sent)
+		for _, received := range arrived {
+			checkRequests(t, received, sent)
 		}
 	})
 }
 
-// requestsIn reads the requests that a client's bytes are, each in the form of sentForm.
+// requestsIn parses the requests in a client's bytes, and returns each in the form of sentForm.
 func requestsIn(data []byte) []string {
 	var sent []string
 	reader := bufio.NewReader(bytes.NewReader(data))
@@ -125,7 +126,7 @@
 	}
 }
 
-// skipLineEnds passes over line ends behind a request, which old clients send.
+// skipLineEnds skips line ends after a request, which old clients send.
 func skipLineEnds(reader *bufio.Reader) {
 	for {
 		next, err := reader.Peek(1)
@@ -136,7 +137,7 @@
 	}
 }
 
-// sentForm is what must be the same of a request at both ends.
+// sentForm returns, as text, the parts of a request that must be the same at client and endpoint.
 func sentForm(request *http.Request, body []byte) string {
 	target := request.RequestURI
 	if !strings.HasPrefix(target, "/") {
@@ -145,48 +146,48 @@
 	return fmt.Sprintf("%s %s %q", request.Method, target, body)
 }
 
-// checkRequests checks all bytes that came on a connection to an endpoint.
-func checkRequests(t *testing.T, tap []byte, sent []string) {
+// checkRequests checks all bytes that an endpoint received on a connection.
+func checkRequests(t *testing.T, received []byte, sent []string) {
 	t.Helper()
-	for len(tap) > 0 {
-		head, _, found := bytes.Cut(tap, []byte("\r\n\r\n"))
+	for len(received) > 0 {
+		head, _, found := bytes.Cut(received, []byte("\r\n\r\n"))
 		if !found {
-			t.Errorf("half a head: %q", tap)
+			t.Errorf("incomplete head: %q", received)
 			return
 		}
 		checkLines(t, strings.Split(string(head), "\r\n"))
-		counted := &countingReader{Reader: bytes.NewReader(tap)}
+		counted := &countingReader{Reader: bytes.NewReader(received)}
 		buffered := bufio.NewReader(counted)
 		request, err := http.ReadRequest(buffered)
 		if err != nil {
-			t.Errorf("%q: %v", tap, err)
+			t.Errorf("%q is not a request: %v", received, err)
 			return
 		}
 		body, err := io.ReadAll(request.Body)
 		if form := sentForm(request, body); err != nil || !slices.Contains(sent, form) {
-			t.Errorf("no client sent %s, %v; sent were %q", form, err, sent)
+			t.Errorf("an endpoint received %s, error %v, which the client didn't send; it sent %q", form, err, sent)
 			return
 		}
-		tap = tap[counted.count-buffered.Buffered():]
+		received = received[counted.count-buffered.Buffered():]
 	}
 }
 
-// checkLines checks the form of a request's head.
+// checkLines checks the syntax of a request's head, and that it has the fields that make it unambiguous.
 func checkLines(t *testing.T, lines []string) {
 	t.Helper()
 	if !requestLine.MatchString(lines[0]) {
-		t.Errorf("request line %q", lines[0])
+		t.Errorf("malformed request line %q", lines[0])
 	}
 	counts := make(map[string]int)
 	for _, line := range lines[1:] {
 		if !headerLine.MatchString(line) {
-			t.Errorf("header line %q", line)
+			t.Errorf("malformed header line %q", line)
 		}
 		name, _, _ := strings.Cut(line, ":")
 		counts[strings.ToLower(name)]++
 	}
 	if counts["host"] != 1 || counts["x-expected-server"] != 1 || counts["content-length"] > 1 || counts["transfer-encoding"] > 0 {
-		t.Errorf("fields %v in %q", counts, lines)
+		t.Errorf("missing, repeated or forbidden header fields: %v in %q", counts, lines)
 	}
 }
 
--- a/internal/tier/exchangetest/scenario_draw_test.go
+++ b/internal/tier/exchangetest/scenario_draw_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// drawSource is where the numbers of a scenario come from: a seed, or the bytes that a fuzzer tries.
+// drawSource supplies the random numbers of a scenario, either from a seed or from a fuzzer's bytes.
 type drawSource struct {
-	random *rand.Rand
-	data   []byte
+	random *rand.Rand // nil: the numbers come from data
+	data   []byte     // the fuzzer's bytes that are not used yet
 }
 
 func seeded(seed uint64) *drawSource { return &drawSource{random: rand.New(rand.NewPCG(seed, 1))} }
 
-// below returns a number from 0 to limit-1; 0 once the bytes are used up.
+// below returns a number from 0 to limit-1; 0 once the fuzzer's bytes are used up.
 func (s *drawSource) below(limit int) int {
 	if s.random != nil {
 		return s.random.IntN(limit)
@@ -29,10 +29,10 @@
 	return number % limit
 }
 
-// one draws whether an event of probability 1/in happens.
+// one draws true with probability 1/in.
 func (s *drawSource) one(in int) bool { return s.below(in) == in-1 }
 
-// upTo returns a time of full milliseconds.
+// upTo returns a duration in whole milliseconds.
 func (s *drawSource) upTo(milliseconds int) time.Duration {
 	return time.Duration(s.below(milliseconds+1)) * time.Millisecond
 }
@@ -40,7 +40,7 @@
 // oneOf returns one of several values.
 func oneOf[T any](s *drawSource, values ...T) T { return values[s.below(len(values))] }
 
-// drawScenario draws a complete scenario. In one of eight the endpoints and the clients cause no fault.
+// drawScenario draws a scenario. In one of eight, neither endpoints nor clients cause a fault.
 func drawScenario(s *drawSource) scenario {
 	faulty := !s.one(8)
 	p := scenario{faultFree: !faulty}
@@ -66,7 +66,7 @@
 	return p
 }
 
-// drawRequest draws what a client does with a request, and what becomes of it. faulty: either side may cause faults.
+// drawRequest draws what the client and the endpoints do with a request. If faulty is set, either side may cause faults.
 func drawRequest(source *drawSource, id string, faulty bool) *requestScript {
 	request := &requestScript{
 		id:         id,
@@ -96,7 +96,7 @@
 	return request
 }
 
-// drawFaults draws how a client disconnects or stalls, what the stores answer, and what becomes of each attempt.
+// drawFaults draws how a client disconnects or stalls, what the stores answer, and what the endpoints do with each attempt.
 func drawFaults(source *drawSource, request *requestScript) {
 	if source.one(6) {
 		request.disconnect, request.disconnectDelay = oneOf(source, orderlyClose, resetClose, halfClose), source.upTo(60)
@@ -120,7 +120,7 @@
 	}
 }
 
-// drawFaultFreeAttempt draws an attempt that goes well.
+// drawFaultFreeAttempt draws an attempt without a fault.
 func drawFaultFreeAttempt(s *drawSource, r *requestScript) attemptScript {
 	script := completeScript(oneOf(s, success, success, chunked, informational, closeDelimited), 0)
 	script.size = drawSize(s, r)
@@ -128,7 +128,7 @@
 	return script
 }
 
-// drawSize draws the bytes of a response, or the events of a stream.
+// drawSize draws the number of bytes of a response, or of events of a stream.
 func drawSize(s *drawSource, r *requestScript) int {
 	if r.route.streaming() {
 		return oneOf(s, 3, 1, 8, 0)
@@ -136,7 +136,7 @@
 	return oneOf(s, 10, 0, 1, 5000, 40_000, 200_000)
 }
 
-// drawAttempt draws what becomes of an attempt.
+// drawAttempt draws an attempt that may have faults.
 func drawAttempt(s *drawSource, r *requestScript) attemptScript {
 	script := drawFaultFreeAttempt(s, r)
 	if s.one(2) {
@@ -148,7 +148,7 @@
 	}
 	faults := 6
 	if r.route == resumeRoute {
-		faults = 3 // broken off more often, so that many streams are resumed
+		faults = 3 // more truncated responses, so that many streams are resumed
 		script.size = 8
 	}
 	switch s.below(faults) {
--- a/internal/tier/exchangetest/script_test.go
+++ b/internal/tier/exchangetest/script_test.go
@@ -16,23 +16,23 @@
 	onceRoute   routeKind = "once"
 	streamRoute routeKind = "stream"
 	resumeRoute routeKind = "resume"
-	turnRoute   routeKind = "turn" // a stream that the stores remember
+	turnRoute   routeKind = "turn" // a stream that the stores record
 )
 
-// retryable reports whether a request may run more than once.
+// retryable reports whether a request on this route may run more than once.
 func (r routeKind) retryable() bool { return r == safeRoute || r == resumeRoute }
 
-// streaming reports whether a success is a stream of events.
+// streaming reports whether a successful response on this route is a stream of events.
 func (r routeKind) streaming() bool { return r == streamRoute || r == resumeRoute || r == turnRoute }
 
 // ending is how a side ends a connection.
 type ending int
 
 const (
-	keepOpen     ending = iota // it doesn't
+	keepOpen     ending = iota // it doesn't end it
 	orderlyClose               // by an orderly close
 	resetClose                 // by a reset
-	halfClose                  // its own direction only
+	halfClose                  // it closes only its own direction
 )
 
 func (e ending) apply(conn *memoryConn) {
@@ -46,34 +46,34 @@
 	}
 }
 
-// responseKind is what an endpoint answers.
+// responseKind is the kind of response that an endpoint sends.
 type responseKind int
 
 const (
-	success        responseKind = iota // with a length, or with chunks if it is a stream and no turn
-	chunked                            // with chunks
-	closeDelimited                     // with no end but that of the connection
-	informational                      // 1xx answers, then a success
+	success        responseKind = iota // with a Content-Length; chunked if it is a stream and not a turn
+	chunked                            // a success with chunked encoding
+	closeDelimited                     // a success whose end is that of the connection
+	informational                      // 1xx responses, then a success
 	failure                            // 500
-	rejected                           // 400 with X-Not-Run, which goes to the client
+	rejected                           // 400 with X-Not-Run, which the proxy forwards to the client
 	notRun                             // 503 with X-Not-Run
 	misdirected                        // 421
 	unavailable                        // 503 without X-Not-Run
 	withoutID                          // a success without X-Attempt-Id
-	foreign                            // a success with another request's id, then nothing
-	foreignNotRun                      // 503 with X-Not-Run and another request's id, then nothing
+	foreign                            // a success with another request's ID, and no further response
+	foreignNotRun                      // 503 with X-Not-Run and another request's ID, and no further response
 	unsealed                           // a success without X-Server-Seal
-	garbage                            // bytes that are no response
-	noResponse                         // nothing
+	garbage                            // bytes that are not an HTTP response
+	noResponse                         // no bytes at all
 	answerKinds
-	rawBytes // those of the script
+	rawBytes // the bytes in the script
 )
 
-// provesNotRun reports whether a response says that the request was not run and won't be.
+// provesNotRun reports whether a response guarantees that the request has not run and never will.
 func (k responseKind) provesNotRun() bool { return k == notRun || k == misdirected || k == rejected }
 
-// mayReachClient reports whether a response may go to a client as its request's own, where it comes completely. A 503 that doesn't promise
-// anything may where the request may run more than once anyway.
+// mayReachClient reports whether the proxy may forward a complete response of this kind to the client. It may forward a 503 without
+// X-Not-Run only if the request is retryable.
 func (k responseKind) mayReachClient(route routeKind) bool {
 	return k <= rejected || k == unavailable && route.retryable()
 }
@@ -82,22 +82,22 @@
 type attemptScript struct {
 	kind           responseKind
 	size           int           // bytes of the body, or events
-	early          bool          // it answers before it has read the body
-	readOnDelay    time.Duration // after an early response, until it reads the rest
-	readLimit      int           // it reads so many bytes of the request and then ends the connection; -1: all
+	early          bool          // it answers before it has read the request's body
+	readOnDelay    time.Duration // after an early response, until it reads the rest of the body
+	readLimit      int           // bytes of the request after which it ends the connection; -1: it reads all
 	delay          time.Duration // before the response
-	split          int           // bytes of the response that come first
-	splitDelay     time.Duration // after those
+	split          int           // bytes of the response that are sent first
+	splitDelay     time.Duration // after the first bytes
 	breakAfter     int           // bytes of the response after which the connection ends; -1: all are sent
-	end            ending        // after the response
-	endDelay       time.Duration // before that end
+	end            ending        // how it ends the connection after the response
+	endDelay       time.Duration // before it ends the connection
 	secondResponse bool          // a second response to the same request follows
-	secondDelay    time.Duration // before that
-	raw            []byte        // the response, with rawBytes
-	fromFirstEvent bool          // a stream begins with its first event, whichever the client has
+	secondDelay    time.Duration // before the second response
+	raw            []byte        // the response, if kind is rawBytes
+	fromFirstEvent bool          // a stream begins with its first event, regardless of Last-Event-Id
 }
 
-// completeScript is a script without faults.
+// completeScript returns a script that reads the whole request and sends a complete response.
 func completeScript(kind responseKind, size int) attemptScript {
 	return attemptScript{kind: kind, size: size, readLimit: -1, breakAfter: -1}
 }
@@ -107,24 +107,24 @@
 	id              string
 	route           routeKind
 	method          string
-	http10          bool            // it speaks HTTP/1.0: the end of its connection may be that of its response
+	http10          bool            // the client speaks HTTP/1.0: the end of the connection may mark the end of the response
 	size            int             // bytes of the body
-	chunks          int             // the body comes in so many chunks; 0: with a length
-	startDelay      time.Duration   // before it is sent
+	chunks          int             // number of chunks of the body; 0: it has a Content-Length
+	startDelay      time.Duration   // before the request is sent
 	split           int             // bytes that are sent first
-	splitDelay      time.Duration   // after those
+	splitDelay      time.Duration   // after the first bytes
 	sendLimit       int             // bytes after which the client disconnects; -1: it sends all
 	disconnect      ending          // how it disconnects
 	pipelined       bool            // the next request follows at once, before this one's response
 	disconnectDelay time.Duration   // how long after its request it disconnects
-	readStall       time.Duration   // it reads nothing of its response for so long
+	readStall       time.Duration   // time before the client reads its response
 	attemptTimeout  time.Duration   // after which the proxy abandons an attempt; 0: never
 	timeLeft        time.Duration   // X-Time-Left-Ms
-	attempts        []attemptScript // what becomes of each attempt; the last one holds for all further ones
+	attempts        []attemptScript // what the endpoints do with each attempt; the last one applies to all further attempts
 
 	beginResult beginKind // what the stores answer to a turn
-	chain       int       // bytes of what came before it
-	endResult   endKind   // what the stores answer to its end
+	chain       int       // bytes of the inputs and outputs of the turns before it
+	endResult   endKind   // what the stores answer to the turn's end
 }
 
 // beginKind is what the stores answer to the beginning of a turn.
@@ -132,9 +132,9 @@
 
 const (
 	turnAccepted      beginKind = iota
-	budgetExhausted             // its budget is spent
-	turnNotFound                // it names no turn that they know
-	storesUnavailable           // they can't be reached
+	budgetExhausted             // the program's budget is used up
+	turnNotFound                // it continues a turn that the stores don't know
+	storesUnavailable           // the stores can't be reached
 	beginKinds
 )
 
@@ -143,30 +143,30 @@
 
 const (
 	commitAccepted     endKind = iota
-	commitDelayed              // after a while
-	firstCommitFails           // the first time it doesn't reach them
-	firstCommitAckLost         // the first time their answer is lost
-	commitUnknown              // they don't know the turn any more
-	commitNeverArrives         // it never reaches them
+	commitDelayed              // committed after lateDelay
+	firstCommitFails           // the first call doesn't reach the stores
+	firstCommitAckLost         // the response to the first call is lost
+	commitUnknown              // the stores no longer know the turn
+	commitNeverArrives         // no call reaches the stores
 	endKinds
 )
 
-// disconnects reports whether the client disconnects before its response.
+// disconnects reports whether the client disconnects without waiting for its response.
 func (r *requestScript) disconnects() bool { return r.sendLimit >= 0 || r.disconnect != keepOpen }
 
-// script returns what becomes of an attempt, counted from 0.
-func (r *requestScript) script(send int) attemptScript {
-	return r.attempts[min(send, len(r.attempts)-1)]
+// script returns the script of an attempt, counted from 0.
+func (r *requestScript) script(attempt int) attemptScript {
+	return r.attempts[min(attempt, len(r.attempts)-1)]
 }
 
 func (r *requestScript) target() string { return "/" + string(r.route) + "/" + r.id + "?x=%2f" }
 
-// body is the request's own: no two requests have the same.
+// body returns the request's body. Bodies contain the request's ID, so that those of two requests differ.
 func (r *requestScript) body() []byte {
 	return pattern("body of "+r.id+" ", r.size)
 }
 
-// forwardedBody is the body that endpoints get: before a turn's own, what came before it.
+// forwardedBody returns the body that endpoints must receive: for a turn, the chain of the turns before it and then its own body.
 func (r *requestScript) forwardedBody() []byte {
 	if r.route != turnRoute {
 		return r.body()
@@ -174,7 +174,7 @@
 	return append(pattern("chain of "+r.id+" ", r.chain), r.body()...)
 }
 
-// pattern repeats a text up to a length.
+// pattern repeats a text up to size bytes.
 func pattern(text string, size int) []byte {
 	return bytes.Repeat([]byte(text), size/len(text)+1)[:size]
 }
@@ -197,7 +197,7 @@
 	return []byte(head + "\r\n")
 }
 
-// chunkBody frames bytes in about so many chunks.
+// chunkBody encodes bytes in about count chunks.
 func chunkBody(data []byte, count int) []byte {
 	var framed []byte
 	for fragment := max(len(data)/max(count, 1), 1); len(data) > 0; {
@@ -217,22 +217,22 @@
 	request   *requestScript
 	index     int // counted from 0
 	endpoint  string
-	lastEvent int // the last event that the client has
+	lastEvent int // ID of the last event that the client has; 0: none
 
 	conn    *memoryConn
 	ordinal int       // among the connection's requests, counted from 0
 	done    time.Time // when the endpoint had nothing more to do for it
-	written bool      // all of the response that the endpoint was to write is on its way
+	written bool      // the endpoint has written all that its script lets it write of the response
 }
 
 func (r endpointAttempt) script() attemptScript { return r.request.script(r.index) }
 
-// seal is the seal of the run's response.
+// seal returns the seal of the attempt's response.
 func (r endpointAttempt) seal() string {
 	return fmt.Sprintf("%s.%s.%d", r.endpoint, r.request.id, r.index)
 }
 
-// status is that of the run's response.
+// status returns the status of the attempt's response.
 func (r endpointAttempt) status() int {
 	switch r.script().kind {
 	case failure:
@@ -247,7 +247,7 @@
 	return 200
 }
 
-// body is the complete body of the run's response.
+// body returns the complete body of the attempt's response.
 func (r endpointAttempt) body() []byte {
 	script := r.script()
 	if r.request.route.streaming() && r.status() == 200 {
@@ -260,7 +260,7 @@
 	return pattern("answer "+r.seal()+" ", script.size)
 }
 
-// event is one event of the run's stream. Each third has a version.
+// event returns one event of the attempt's stream. Every third event has a field versions.
 func (r endpointAttempt) event(id int) []byte {
 	text := fmt.Sprintf("id: %d\ndata: %s\ndata: event %d\n\n", id, r.seal(), id)
 	if id%3 == 0 {
@@ -269,28 +269,28 @@
 	return []byte(text)
 }
 
-// breaksOff reports whether the endpoint ends the connection in the middle of the response.
-func (r endpointAttempt) breaksOff() bool {
+// truncates reports whether the endpoint ends the connection in the middle of the response.
+func (r endpointAttempt) truncates() bool {
 	broken := r.script().breakAfter
 	return broken >= 0 && broken < len(r.answer())
 }
 
-// provedNotRun reports whether the head of the run's response came, and promises that the request was not run.
+// provedNotRun reports whether the complete head of the attempt's response was sent, and guarantees that the request has not run.
 func (r endpointAttempt) provedNotRun() bool {
 	script := r.script()
 	if !script.kind.provesNotRun() || script.readLimit >= 0 || !r.written {
 		return false
 	}
-	return !r.breaksOff() || bytes.Contains(r.answer()[:script.breakAfter], []byte("\r\n\r\n"))
+	return !r.truncates() || bytes.Contains(r.answer()[:script.breakAfter], []byte("\r\n\r\n"))
 }
 
-// completeBody returns the body that a client may take for the run's complete one, if there is any.
+// completeBody returns the body that may look to a client like the attempt's complete one, if there is any.
 func (r endpointAttempt) completeBody() (body []byte, complete bool) {
 	script := r.script()
 	switch {
 	case script.readLimit >= 0 || !script.kind.mayReachClient(r.request.route):
 		return nil, false
-	case r.breaksOff():
+	case r.truncates():
 		return r.truncatedBody()
 	case r.request.method == "HEAD":
 		return nil, true
@@ -298,7 +298,8 @@
 	return r.body(), script.kind != closeDelimited || script.end != resetClose
 }
 
-// truncatedBody is completeBody where the connection ended in the middle: orderly, that is the end of an close-delimited answer.
+// truncatedBody is completeBody for a connection that ended in the middle of the response. An orderly close there looks like the end of a
+// close-delimited response.
 func (r endpointAttempt) truncatedBody() (body []byte, complete bool) {
 	script := r.script()
 	if script.kind != closeDelimited || script.end == resetClose || r.request.method == "HEAD" {
@@ -308,7 +309,7 @@
 	return body, complete
 }
 
-// head is the head of a response up to its framing.
+// head returns the head of a response up to the fields of its framing.
 func (r endpointAttempt) head(status int, id, seal string) string {
 	head := fmt.Sprintf("HTTP/1.1 %d Status\r\n", status)
 	if id != "" {
@@ -323,7 +324,7 @@
 	return head
 }
 
-// answer returns the bytes of the run's response.
+// answer returns the bytes of the attempt's response.
 func (r endpointAttempt) answer() []byte {
 	id, seal, body := r.request.id, r.seal(), r.body()
 	script := r.script()
@@ -364,7 +365,7 @@
 	return append([]byte(head), body...)
 }
 
-// chunks frames the body of a response: a stream's chunks end in the middle of its events too.
+// chunks encodes the body of a response in chunks. The chunks of a stream also end in the middle of events.
 func (r endpointAttempt) chunks(body []byte) []byte {
 	return chunkBody(body, 1+strings.Count(string(body), "\n")/2)
 }
--- a/internal/tier/exchangetest/stores_test.go
+++ b/internal/tier/exchangetest/stores_test.go
@@ -11,7 +11,7 @@
 	"mastusher/internal/tier/wait"
 )
 
-// storeDelay is how long the stores take, and lateDelay how long where they are late.
+// storeDelay is the stores' usual response time, and lateDelay that of a commitDelayed.
 const (
 	storeDelay = 2 * time.Millisecond
 	lateDelay  = 60 * time.Millisecond
@@ -19,14 +19,14 @@
 
 var errStores = errors.New("the stores can't be reached")
 
-// fakeStores runs the stores by the scripts of the turns.
+// fakeStores implements the stores, which follow the scripts of the turns.
 type fakeStores struct {
 	environment *environment
 
-	mutex     sync.Mutex
-	attempted map[string]bool              // turns whose end was sent once
-	committed map[string][]program.EndTurn // of each turn, in the order of acceptance
-	faults    []string
+	mutex      sync.Mutex
+	attempted  map[string]bool              // turns for which End was called
+	committed  map[string][]program.EndTurn // accepted ends of each turn, in the order of acceptance
+	violations []string
 }
 
 // Begin implements proxy.Programs.
@@ -36,7 +36,7 @@
 		return program.Result{}, err
 	}
 	if !bytes.Equal(turn.Input, request.body()) {
-		s.fault("UNASKED " + request.id + ": the stores were told another input")
+		s.report("UNASKED " + request.id + ": the stores received another input than the client sent")
 	}
 	switch request.beginResult {
 	case budgetExhausted:
@@ -76,13 +76,13 @@
 	return program.Result{Verdict: program.Accepted}, nil
 }
 
-func (s *fakeStores) fault(text string) {
+func (s *fakeStores) report(text string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.faults = append(s.faults, text)
+	s.violations = append(s.violations, text)
 }
 
-// firstCommit returns what the stores took first as the end of a turn.
+// firstCommit returns the first end of a turn that the stores accepted.
 func (s *fakeStores) firstCommit(id string) (end program.EndTurn, taken bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
