--- a/internal/tier/exchangetest/boundary_test.go
+++ b/internal/tier/exchangetest/boundary_test.go
@@ -16,8 +16,8 @@
 )
 
 // newRequest returns a request whose client causes no fault, with a script for each attempt.
-func newRequest(route routeKind, id int, attempts ...attemptScript) *requestScript {
-	return &requestScript{id: fmt.Sprint("r", id), route: route, method: "POST", size: 5, sendLimit: -1, timeLeft: time.Second, attempts: attempts}
+func newRequest(route routeKind, id int, scripts ...attemptScript) *requestScript {
+	return &requestScript{id: fmt.Sprint("r", id), route: route, method: "POST", size: 5, sendLimit: -1, timeLeft: time.Second, attempts: scripts}
 }
 
 // responseLength returns the length of the response to a request's first attempt.
@@ -268,12 +268,12 @@
 // TestResponse_ClientReadsNothing_LooksIncomplete has a client read nothing of a long response until the proxy abandons it. What the client
 // then reads must not look complete, not even where only the end of its connection marks the end of the response.
 func TestResponse_ClientReadsNothing_LooksIncomplete(t *testing.T) {
-	for _, http10 := range []bool{false, true} {
+	for _, isHTTP10 := range []bool{false, true} {
 		for _, route := range []routeKind{onceRoute, safeRoute} {
 			for _, kind := range []responseKind{success, chunked, closeDelimited} {
-				t.Run(fmt.Sprint(route, "/", framings[kind], "/", http10), func(t *testing.T) {
+				t.Run(fmt.Sprint(route, "/", framings[kind], "/", isHTTP10), func(t *testing.T) {
 					request := newRequest(route, 0, completeScript(kind, 200_000))
-					request.http10, request.timeLeft, request.readStall = http10, 300*time.Millisecond, time.Second
+					request.http10, request.timeLeft, request.readStall = isHTTP10, 300*time.Millisecond, time.Second
 					if result := runRequests(t, []*requestScript{request})[0]; !result.truncated() {
 						t.Errorf("a response of %d bytes looks complete, or there was none: %v", len(result.body), result.err)
 					}
@@ -292,15 +292,15 @@
 		long  = 80_000 // more than the proxy buffers, even in the part before the pause
 	)
 	for _, size := range []int{short, long} {
-		for _, http10 := range []bool{false, true} {
+		for _, isHTTP10 := range []bool{false, true} {
 			for _, kind := range []responseKind{success, chunked, closeDelimited} {
-				t.Run(fmt.Sprint(size, "/", framings[kind], "/", http10), func(t *testing.T) {
+				t.Run(fmt.Sprint(size, "/", framings[kind], "/", isHTTP10), func(t *testing.T) {
 					broken := 0
 					for at := range 40 {
 						slow := completeScript(kind, size)
 						slow.split, slow.splitDelay = size*9/10, 20*time.Millisecond
 						request := newRequest(onceRoute, 0, slow)
-						request.http10 = http10
+						request.http10 = isHTTP10
 						killed := scenarioEvent{at: time.Duration(at) * time.Millisecond, kind: kill}
 						env := checkScenario(t, scenario{clients: [][]*requestScript{{request}}, events: []scenarioEvent{killed}})
 						if results := env.clients[0].results; len(results) > 0 && results[0].truncated() {
--- a/internal/tier/exchangetest/oracle_test.go
+++ b/internal/tier/exchangetest/oracle_test.go
@@ -45,8 +45,8 @@
 			o.readAttempts(e, conn)
 		}
 	}
-	for _, attempts := range o.attempts {
-		slices.SortStableFunc(attempts, func(a, b receivedRequest) int { return a.at.Compare(b.at) })
+	for _, arrived := range o.attempts {
+		slices.SortStableFunc(arrived, func(a, b receivedRequest) int { return a.at.Compare(b.at) })
 	}
 	for _, c := range env.clients {
 		for i := range c.results {
@@ -205,9 +205,9 @@
 
 // checkAttempts checks how often, and with how much time left, a request was sent to endpoints.
 func (o *oracle) checkAttempts(result *clientResult) {
-	request, attempts := result.request, o.attempts[result.request]
+	request, arrived := result.request, o.attempts[result.request]
 	mayHaveRun := 0
-	for i, received := range attempts {
+	for i, received := range arrived {
 		if until := received.at.Add(received.timeLeft); until.After(result.startedAt.Add(request.timeLeft + timeLeftSlack)) {
 			o.report(request, "BUDGET: an endpoint's deadline is %v after the client's", until.Sub(result.startedAt.Add(request.timeLeft)))
 		}
@@ -215,14 +215,14 @@
 			continue
 		}
 		mayHaveRun++
-		if !request.route.retryable() && i < len(attempts)-1 {
-			o.report(request, "TWICE: attempt %d of %d may have run, and others followed", i+1, len(attempts))
+		if !request.route.retryable() && i < len(arrived)-1 {
+			o.report(request, "TWICE: attempt %d of %d may have run, and others followed", i+1, len(arrived))
 		}
 	}
 	if mayHaveRun > maxAttempts {
 		o.report(request, "BUDGET: %d attempts that may have run", mayHaveRun)
 	}
-	if request.sendLimit >= 0 && request.sendLimit < len(request.wire()) && len(attempts) > 0 {
+	if request.sendLimit >= 0 && request.sendLimit < len(request.wire()) && len(arrived) > 0 {
 		o.report(request, "UNASKED: forwarded though its client had sent only %d bytes of it", request.sendLimit)
 	}
 	if result.answered && impliesNotRun(result.status) && !request.route.retryable() && mayHaveRun > 0 {
--- a/internal/tier/exchangetest/raw_test.go
+++ b/internal/tier/exchangetest/raw_test.go
@@ -47,14 +47,14 @@
 		t.Errorf("a success without the request's ID or without a seal: status %d, header %v", first.status, first.header)
 	}
 	promisedNotRun := bytes.Contains(answer, []byte(" 421 ")) || bytes.Contains(bytes.ToLower(answer), []byte("x-not-run"))
-	attempts := 0
+	sendCount := 0
 	for _, r := range env.attempts {
 		if r.request == first.request {
-			attempts++
+			sendCount++
 		}
 	}
-	if !first.request.route.retryable() && attempts > 1 && !promisedNotRun {
-		t.Errorf("sent %d times after %q", attempts, answer)
+	if !first.request.route.retryable() && sendCount > 1 && !promisedNotRun {
+		t.Errorf("sent %d times after %q", sendCount, answer)
 	}
 	if !second.complete() || second.status != 200 || second.header.Get("X-Attempt-Id") != second.request.id {
 		t.Errorf("the next request got status %d, header %v, error %v", second.status, second.header, second.err)
@@ -102,8 +102,8 @@
 			}
 		})
 		sent := requestsIn(data)
-		for _, received := range arrived {
-			checkRequests(t, received, sent)
+		for _, stream := range arrived {
+			checkRequests(t, stream, sent)
 		}
 	})
 }
