--- a/internal/tier/exchangetest/boundary_test.go
+++ b/internal/tier/exchangetest/boundary_test.go
@@ -8,7 +8,7 @@
 
 var (
 	allRoutes  = []routeKind{onceRoute, safeRoute, streamRoute, resumeRoute}
-	withTurns  = append(allRoutes, turnRoute)
+	withTurns  = append(allRoutes, turnRoute) // allRoutes and that of turns
 	allEndings = []ending{orderlyClose, resetClose, halfClose}
 	endings    = map[ending]string{orderlyClose: "closed", resetClose: "reset", halfClose: "half-closed"}
 	framings   = map[responseKind]string{success: "success", chunked: "chunked", closeDelimited: "close-delimited", informational: "after 1xx",
--- a/internal/tier/exchangetest/endpoint_test.go
+++ b/internal/tier/exchangetest/endpoint_test.go
@@ -89,7 +89,7 @@
 	return true
 }
 
-// answer writes a run's response. It returns false when the connection has ended.
+// answer writes an attempt's response. It returns false when the connection has ended.
 func (e *endpoint) answer(conn *memoryConn, current *endpointAttempt) bool {
 	script, wire := current.script(), current.answer()
 	if script.kind == noResponse {
--- a/internal/tier/exchangetest/environment_test.go
+++ b/internal/tier/exchangetest/environment_test.go
@@ -73,8 +73,8 @@
 	running   sync.WaitGroup
 
 	mutex    sync.Mutex
-	attempts []*endpointAttempt
-	unlisted map[int]bool // endpoints that the selector doesn't choose, by number
+	attempts []*endpointAttempt // of all requests, in the order of their start
+	unlisted map[int]bool       // endpoints that the selector doesn't choose, by number
 }
 
 // runScenario runs a scenario and returns its environment, which has recorded what happened.
--- a/internal/tier/exchangetest/oracle_test.go
+++ b/internal/tier/exchangetest/oracle_test.go
@@ -199,8 +199,8 @@
 // not have read it, or the stores may not have committed the turn's end. The proxy then drops what it has not forwarded yet, and the
 // client may only see its connection close.
 func (o *oracle) mayStayUnanswered(request *requestScript) bool {
-	notSafe := request.route == turnRoute && request.endResult != commitAccepted
-	return notSafe || o.env.scenario.has(crash) || request.readStall > 0 || slices.ContainsFunc(o.attempts[request], func(s receivedRequest) bool { return s.attempt != nil && s.attempt.truncates() })
+	uncommitted := request.route == turnRoute && request.endResult != commitAccepted
+	return uncommitted || o.env.scenario.has(crash) || request.readStall > 0 || slices.ContainsFunc(o.attempts[request], func(s receivedRequest) bool { return s.attempt != nil && s.attempt.truncates() })
 }
 
 // checkAttempts checks how often, and with how much time left, a request was sent to endpoints.
@@ -244,11 +244,11 @@
 	if !result.answered || result.status != 200 || result.request.method == "HEAD" {
 		return
 	}
-	end, safe := o.env.stores.firstCommit(result.request.id)
-	if result.complete() && (!safe || !end.Complete || string(end.Output) != outputOf(result.body)) {
-		o.report(result.request, "LOST: looks complete, but the stores committed: %v, %+v", safe, end)
+	end, committed := o.env.stores.firstCommit(result.request.id)
+	if result.complete() && (!committed || !end.Complete || string(end.Output) != outputOf(result.body)) {
+		o.report(result.request, "LOST: looks complete, but the stores committed: %v, %+v", committed, end)
 	}
-	if events := int64(bytes.Count(result.body, []byte("\n\n"))); safe && end.Tokens < events {
+	if events := int64(bytes.Count(result.body, []byte("\n\n"))); committed && end.Tokens < events {
 		o.report(result.request, "BUDGET: the client received %d events, and the stores counted %d tokens", events, end.Tokens)
 	}
 }
