--- a/cmd/mastusher/fleet.go
+++ b/cmd/mastusher/fleet.go
@@ -256,7 +256,7 @@
 
 // fleetCommands are the commands that talk to a relay of a fleet.
 func fleetCommands(o *options) []*cobra.Command {
-	t := &fleetTool{o: o, pollGap: 20 * time.Millisecond, putToRelay: peer.Ask}
+	t := &fleetTool{o: o, pollGap: 20 * time.Millisecond, putToRelay: peer.SendAdminRequest}
 	fleet := &cobra.Command{Use: "fleet", Short: "the relays that act together"}
 	pol := &cobra.Command{Use: "policy", Short: "change what a fleet in service goes by, everywhere or nowhere"}
 	for _, c := range []*cobra.Command{fleet, pol} {
--- a/cmd/mastusher/plugin.go
+++ b/cmd/mastusher/plugin.go
@@ -68,7 +68,7 @@
 
 // newQuietHost returns a host of a configuration's plug-ins that logs nothing.
 func newQuietHost(cfg *config.Config) (*plugin.Host, error) {
-	return plugin.New(cfg, []rules.Front{platform.Guard, activitypub.Guard}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	return plugin.New(cfg, []rules.Front{platform.PluginHeaders, activitypub.PluginHeaders}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
 // pluginCommand checks, tries and measures plug-ins, and reloads those of a running relay.
--- a/cmd/mastusher/replay.go
+++ b/cmd/mastusher/replay.go
@@ -180,7 +180,7 @@
 // printCoreDifference prints the first turn in which the core does otherwise.
 func printCoreDifference(w io.Writer, res *capture.Result, d *engine.CoreDifferenceError) {
 	if d.Turn != nil && d.ModuleActions != nil && reflect.DeepEqual(d.Turn.Events, d.ModuleEvents) {
-		printDifference(w, res, &capture.DifferenceError{Turn: d.Turn, Got: d.ModuleActions, State: capture.Explain(d.State, res, capture.Concerned(d.Turn, d.ModuleActions))})
+		printDifference(w, res, &capture.DifferenceError{Turn: d.Turn, Got: d.ModuleActions, State: capture.Explain(d.State, res, capture.ConcernedEndpoints(d.Turn, d.ModuleActions))})
 	}
 	fmt.Fprintf(w, "the core's turn %v after the start differs: %s\n", d.Input.Now-res.First, d.Reason)
 	printList(w, "events", d.Input.Events, func(e capture.CoreEvent) string { return res.CoreEvent(&e) })
--- a/cmd/mastusher/serve.go
+++ b/cmd/mastusher/serve.go
@@ -168,7 +168,7 @@
 		return err
 	}
 	r.shape.rules.LoadPlugins = r.shape.prepare
-	r.core.Govern(engine.Mandate{}, nil)
+	r.core.SetMandate(engine.Mandate{}, nil)
 	r.core.Restore(time.Now())
 	fleet, err := peer.Open(r.cfg, r.shape.rules, r.log, r.core, r.shape.apply)
 	if err != nil {
@@ -232,7 +232,7 @@
 	if !cfg.PluginHost.On {
 		return nil, nil
 	}
-	host, err := plugin.New(cfg, []rules.Front{platform.Guard, activitypub.Guard}, log)
+	host, err := plugin.New(cfg, []rules.Front{platform.PluginHeaders, activitypub.PluginHeaders}, log)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/mastusher/shape.go
+++ b/cmd/mastusher/shape.go
@@ -43,7 +43,7 @@
 		s.log.Error("policy in force not applied, nothing is accepted", "version", mandate.Version, "err", err)
 		return
 	}
-	s.core.Govern(engine.Mandate{Mandate: forCore, Until: at.At(mandate.Until)}, done)
+	s.core.SetMandate(engine.Mandate{Mandate: forCore, Until: at.At(mandate.Until)}, done)
 }
 
 // adopt has the plug-ins run with the settings of a policy.
@@ -54,7 +54,7 @@
 		return nil
 	}
 	if s.plugins != nil {
-		cfg, err := s.rules.Shaped(mandate.Doc)
+		cfg, err := s.rules.WithPluginSettings(mandate.Doc)
 		if err == nil {
 			err = s.plugins.Reload(cfg)
 		}
--- a/cmd/relay-simulator/fleet.go
+++ b/cmd/relay-simulator/fleet.go
@@ -85,7 +85,7 @@
 			if err := json.Unmarshal(text, &history); err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			if b := checker.Judge(history, checker.Options{Slack: slack}); b != nil {
+			if b := checker.Check(history, checker.Options{Slack: slack}); b != nil {
 				fmt.Fprintln(cmd.OutOrStdout(), b)
 				return errFleetViolation
 			}
--- a/cmd/relay-simulator/loadtest.go
+++ b/cmd/relay-simulator/loadtest.go
@@ -34,10 +34,10 @@
 		{At: after(16), Text: "partner 2 refuses all, with a wait of 0.8 s", Do: set(2, func(b *loadtest.Behavior) { b.RetryAfter = 800 * time.Millisecond })},
 		{At: after(21), Text: "partner 2 takes calls again", Do: set(2, func(b *loadtest.Behavior) { b.RetryAfter = 0 })},
 		{At: after(26), Text: "the endpoint of partner 3 drains, another takes its place", Do: func(test *loadtest.LoadTest) {
-			test.List(demoPartners, 3, "ready")
-			test.List(3, 3, "draining")
+			test.PublishStatus(demoPartners, 3, "ready")
+			test.PublishStatus(3, 3, "draining")
 		}},
-		{At: after(28), Text: "the old endpoint of partner 3 is gone", Do: func(test *loadtest.LoadTest) { test.List(3, 3, "gone") }},
+		{At: after(28), Text: "the old endpoint of partner 3 is gone", Do: func(test *loadtest.LoadTest) { test.PublishStatus(3, 3, "gone") }},
 		{At: after(36), Text: "the relay is killed (SIGKILL) and started again", Do: kill},
 		{At: after(43), Text: "partner 4 hangs", Do: set(4, func(b *loadtest.Behavior) { b.Hangs = true })},
 		{At: after(45), Text: "the relay is killed while calls hang, and started again", Do: kill},
--- a/cmd/relay-simulator/main.go
+++ b/cmd/relay-simulator/main.go
@@ -77,7 +77,7 @@
 		}
 		return nil
 	}}
-	cmd.Flags().StringVar(&name, "policy", "module", "one of "+strings.Join(experiment.Policies(), ", "))
+	cmd.Flags().StringVar(&name, "policy", "module", "one of "+strings.Join(experiment.PolicyNames(), ", "))
 	cmd.Flags().Uint64Var(&seed, "seed", 0, "in the place of the world's")
 	cmd.Flags().StringVar(&page, "html", "", "write a page with plots there")
 	return cmd
@@ -206,12 +206,12 @@
 		}
 		for _, p := range policies {
 			if policy.ByName[p] == nil {
-				return &argumentError{"--policies", fmt.Sprintf("%q is none of %s", p, strings.Join(experiment.Policies(), ", "))}
+				return &argumentError{"--policies", fmt.Sprintf("%q is none of %s", p, strings.Join(experiment.PolicyNames(), ", "))}
 			}
 		}
 		return runExperiment(cmd.OutOrStdout(), progress, x, runtime.GOMAXPROCS(0), "", page)
 	}}
-	cmd.Flags().StringSliceVar(&policies, "policies", experiment.Policies(), "their names")
+	cmd.Flags().StringSliceVar(&policies, "policies", experiment.PolicyNames(), "their names")
 	cmd.Flags().IntVar(&seeds, "seeds", 3, "how many, from the world's on")
 	cmd.Flags().StringVar(&page, "html", "", "write a page with plots there")
 	return cmd
@@ -322,7 +322,7 @@
 func listCommand() *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "tell the policies, rules, troubles and keys to sweep that there are", Args: cobra.NoArgs, Run: func(cmd *cobra.Command, _ []string) {
 		w := cmd.OutOrStdout()
-		fmt.Fprintln(w, "policies:", strings.Join(experiment.Policies(), ", "))
+		fmt.Fprintln(w, "policies:", strings.Join(experiment.PolicyNames(), ", "))
 		fmt.Fprintln(w, "troubles:", strings.Join(simulator.FaultKinds(), ", "))
 		var rules []string
 		for _, r := range simulator.Rules {
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -220,7 +220,7 @@
 
 // toEndpoint translates a member of an endpoint list; weight converts its weight to calls per second.
 func toEndpoint(m wire.Member, weight func(float64) float64) control.Endpoint {
-	e := control.Endpoint{ID: m.Target, Zone: int(m.Site), Kind: int(m.Kind), Destination: int(m.Destination), Weight: weight(float64(m.Units))}
+	e := control.Endpoint{ID: m.Target, Zone: int(m.Site), Kind: int(m.Kind), Destination: int(m.Destination), ListedLimit: weight(float64(m.Units))}
 	switch m.Condition {
 	case 0:
 	case 3:
@@ -273,9 +273,9 @@
 	for _, action := range actions {
 		switch action.Kind {
 		case control.Send:
-			a.reply.Assign(action.ID, action.Endpoint, uint32(action.For/time.Microsecond))
+			a.reply.Assign(action.ID, action.Endpoint, uint32(action.Duration/time.Microsecond))
 		case control.Refuse:
-			a.reply.Decline(action.ID, uint32(action.For/time.Microsecond))
+			a.reply.Decline(action.ID, uint32(action.Duration/time.Microsecond))
 		case control.Fail:
 			a.reply.DropRequest(action.ID)
 		case control.Cancel:
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -19,7 +19,7 @@
 		t.Errorf("%d refused, want the store to stay one message short of full", len(refused))
 	}
 	for _, a := range refused[:10] {
-		if a.ID%2 == 0 || a.For <= 0 {
+		if a.ID%2 == 0 || a.Duration <= 0 {
 			t.Errorf("%v: a payment was shed before the notices, or For is not positive", a)
 		}
 	}
--- a/control/config.go
+++ b/control/config.go
@@ -12,27 +12,27 @@
 // The effects of sending a message again.
 const (
 	Unsafe Effect = iota // must never take effect twice
-	Keyed                // the endpoints in Group drop a repeat for the time Memory
+	Keyed                // the endpoints in DedupScope drop a repeat for the time DedupWindow
 	Safe                 // may be repeated any number of times
 )
 
-// Group says which endpoints of a destination recognize the repeat of a keyed message.
-type Group uint8
+// DedupScope says which endpoints of a destination recognize the repeat of a keyed message.
+type DedupScope uint8
 
 // The groups of endpoints that share their record of keys.
 const (
-	GroupEndpoint Group = iota // the endpoint itself
-	GroupZone                  // all endpoints in its zone
-	GroupAll                   // all endpoints of the destination
+	DedupPerEndpoint    DedupScope = iota // the endpoint itself
+	DedupPerZone                          // all endpoints in its zone
+	DedupPerDestination                   // all endpoints of the destination
 )
 
 // Class is one class of messages. The tags are the keys that captures store, here and in the rest of this file.
 type Class struct {
-	Name    string        `cbor:"Name"`
-	Effect  Effect        `cbor:"Effect"`
-	Group   Group         `cbor:"Group"`   // only used by a Keyed class
-	Memory  time.Duration `cbor:"Memory"`  // how long after the first attempt a repeat of a keyed message is dropped
-	InOrder bool          `cbor:"InOrder"` // messages with the same key are sent one at a time, in order of arrival
+	Name        string        `cbor:"Name"`
+	Effect      Effect        `cbor:"Effect"`
+	DedupScope  DedupScope    `cbor:"Group"`   // only used by a Keyed class
+	DedupWindow time.Duration `cbor:"Memory"`  // how long after the first attempt a repeat of a keyed message is dropped
+	InOrder     bool          `cbor:"InOrder"` // messages with the same key are sent one at a time, in order of arrival
 
 	LatencyTarget time.Duration `cbor:"Aim"`       // a message delivered within this time earns its full Value
 	Deadline      time.Duration `cbor:"Deadline"`  // a message is given up after this time; above 0
@@ -42,8 +42,8 @@
 
 // Kind is one kind of destination.
 type Kind struct {
-	SeparateRoutes bool `cbor:"Apart"`   // each endpoint is a route of its own, with its own limit, wait and health
-	PerCall        int  `cbor:"PerCall"` // most messages in one call; values below 1 count as 1
+	SeparateRoutes     bool `cbor:"Apart"`   // each endpoint is a route of its own, with its own limit, wait and health
+	MaxMessagesPerCall int  `cbor:"PerCall"` // most messages in one call; values below 1 count as 1
 }
 
 // Tenant is one of the parties that share the service.
@@ -152,7 +152,7 @@
 	}
 	for i, class := range set.Classes {
 		prefix := fmt.Sprintf("Classes[%d].", i)
-		fields = append(fields, field{prefix + "Aim", float64(class.LatencyTarget), 0}, field{prefix + "Memory", float64(class.Memory), 0},
+		fields = append(fields, field{prefix + "Aim", float64(class.LatencyTarget), 0}, field{prefix + "Memory", float64(class.DedupWindow), 0},
 			field{prefix + "Deadline", float64(class.Deadline), 1}, field{prefix + "Worth", class.Value, 0},
 			field{prefix + "LateWorth", class.LateValue, 0})
 	}
--- a/control/doc.go
+++ b/control/doc.go
@@ -20,7 +20,7 @@
 // These hold whatever the health or load of a destination. maySend enforces them before each send:
 //
 //   - Each message gets exactly one final answer, and none is sent at or after its deadline.
-//   - An Unsafe message that may have run is never sent again, a Keyed one only to its Group of endpoints and within its Memory.
+//   - An Unsafe message that may have run is never sent again, a Keyed one only within its DedupScope and DedupWindow.
 //   - Messages with the same key in an ordered class are sent one at a time, in order of arrival.
 //   - Nothing is sent to an endpoint that is draining or removed, nor to a route before the end of a wait that it asked for.
 //   - A route that recovers from an outage is not overloaded again: see slowStartMargin.
--- a/control/endpoint_list.go
+++ b/control/endpoint_list.go
@@ -27,8 +27,8 @@
 			endpoint = s.addEndpoint(listed)
 		}
 		endpoint.state, endpoint.destination.poolStale, endpoint.destination.maxRate = listed.State, true, listed.MaxRate
-		if listed.Weight > 0 && endpoint.route.reportedAt == 0 { // the weight counts until the first report
-			endpoint.route.reportedLimit, endpoint.route.reportedRemaining = listed.Weight, 1
+		if listed.ListedLimit > 0 && endpoint.route.reportedAt == 0 { // the weight counts until the first report
+			endpoint.route.reportedLimit, endpoint.route.reportedRemaining = listed.ListedLimit, 1
 		}
 	}
 	s.destinationOrder = slices.DeleteFunc(s.destinationOrder, s.retireDestination)
@@ -80,7 +80,7 @@
 		dest.demand.startedAt = s.now
 		dest.latencies.counts = make([]float64, len(s.bounds))
 	}
-	endpoint := &endpointState{id: listed.ID, zone: listed.Zone, kind: Kind{PerCall: 1}, destination: dest}
+	endpoint := &endpointState{id: listed.ID, zone: listed.Zone, kind: Kind{MaxMessagesPerCall: 1}, destination: dest}
 	if listed.Kind >= 0 && listed.Kind < len(s.settings.Kinds) {
 		endpoint.kind, endpoint.kindIndex = s.settings.Kinds[listed.Kind], listed.Kind
 	}
--- a/control/events.go
+++ b/control/events.go
@@ -58,9 +58,9 @@
 	Destination int    `cbor:"4,keyasint,omitempty"`
 	State       State  `cbor:"5,keyasint,omitempty"`
 
-	// Weight is the calls a second that the endpoint's route accepts from all senders together, as far as the list knows. 0: not known.
+	// ListedLimit is the calls a second that the endpoint's route accepts from all senders together, as far as the list knows. 0: not known.
 	// It is used until the route itself reports a limit.
-	Weight float64 `cbor:"6,keyasint,omitempty"`
+	ListedLimit float64 `cbor:"6,keyasint,omitempty"`
 	// MaxRate is the operator's bound on the calls a second to Destination from all senders together. 0: none.
 	MaxRate float64 `cbor:"7,keyasint,omitempty"`
 }
@@ -96,8 +96,8 @@
 
 // The kinds of actions, with the fields that each one uses.
 const (
-	Send      ActionKind = iota + 1 // ID, Endpoint, For (time-out)
-	Refuse                          // ID, For (when to submit it again)
+	Send      ActionKind = iota + 1 // ID, Endpoint, Duration (time-out)
+	Refuse                          // ID, Duration (when to submit it again)
 	Fail                            // ID
 	Cancel                          // ID, Attempt
 	Wake                            // At
@@ -113,7 +113,7 @@
 	ID       uint64        `cbor:"2,keyasint,omitempty"`
 	Endpoint uint32        `cbor:"3,keyasint,omitempty"`
 	Attempt  int           `cbor:"4,keyasint,omitempty"`
-	For      time.Duration `cbor:"5,keyasint,omitempty"`
+	Duration time.Duration `cbor:"5,keyasint,omitempty"`
 	At       time.Duration `cbor:"6,keyasint,omitempty"` // on the clock of Step
 	Text     string        `cbor:"7,keyasint,omitempty"`
 }
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -11,7 +11,7 @@
 func Example() {
 	sender, err := control.New(control.Settings{
 		Peers: 1, Slots: 4, MaxAttempts: 3, MaxRetryAfter: time.Second,
-		Kinds: []control.Kind{{PerCall: 1}},
+		Kinds: []control.Kind{{MaxMessagesPerCall: 1}},
 		Classes: []control.Class{{Name: "notice", Effect: control.Safe, LatencyTarget: time.Second,
 			Deadline: 5 * time.Second, Value: 1}},
 	}, 1)
@@ -27,7 +27,7 @@
 	for _, a := range sender.Step(now, events, nil) {
 		switch a.Kind {
 		case control.Send:
-			fmt.Printf("send message %d to endpoint %d, wait %v\n", a.ID, a.Endpoint, a.For)
+			fmt.Printf("send message %d to endpoint %d, wait %v\n", a.ID, a.Endpoint, a.Duration)
 		case control.Wake:
 			fmt.Printf("call Step again in %v\n", a.At-now)
 		}
--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -13,13 +13,13 @@
 	return Settings{Peers: 2, Slots: 8, MaxOpen: 100, MaxAttempts: 6, Cancel: true, OverQuotaValue: 0.2,
 		MaxRetryAfter: 2 * time.Second, DrainGrace: time.Second, SlowStartShare: 0.2, SlowStart: 10 * time.Second,
 		OverloadWindow: 2 * time.Second, OverloadMultiple: 2, InDoubtDelay: time.Second,
-		Kinds: []Kind{{PerCall: 1}, {SeparateRoutes: true, PerCall: 3}},
+		Kinds: []Kind{{MaxMessagesPerCall: 1}, {SeparateRoutes: true, MaxMessagesPerCall: 3}},
 		Classes: []Class{
 			{Name: "notice", Effect: Safe, LatencyTarget: time.Second, Deadline: 8 * time.Second, Value: 1, LateValue: 0.5},
-			{Name: "order", Effect: Keyed, Group: GroupZone, Memory: 4 * time.Second, LatencyTarget: time.Second,
+			{Name: "order", Effect: Keyed, DedupScope: DedupPerZone, DedupWindow: 4 * time.Second, LatencyTarget: time.Second,
 				Deadline: 20 * time.Second, Value: 2, LateValue: 0.5},
 			{Name: "payment", Effect: Unsafe, LatencyTarget: time.Second, Deadline: 20 * time.Second, Value: 4, LateValue: 0.5},
-			{Name: "update", Effect: Keyed, Group: GroupAll, Memory: 4 * time.Second, InOrder: true, LatencyTarget: time.Second,
+			{Name: "update", Effect: Keyed, DedupScope: DedupPerDestination, DedupWindow: 4 * time.Second, InOrder: true, LatencyTarget: time.Second,
 				Deadline: 20 * time.Second, Value: 1, LateValue: 0.5},
 		}}
 }
--- a/control/invariants_test.go
+++ b/control/invariants_test.go
@@ -122,8 +122,8 @@
 		const start = time.Hour
 		p := newRandomService(s, start+time.Duration(rapid.IntRange(1, 9000).Draw(t, "drain after ms"))*time.Millisecond)
 		p.limit = rapid.Float64Range(0, 200).Draw(t, "limit")
-		p.events = []Event{{Kind: Listed, Complete: true, Endpoints: []Endpoint{{ID: 1, Weight: weight}, {ID: 2, Destination: 1, Weight: weight},
-			{ID: 3, Zone: 1, Weight: weight}, {ID: 4, Zone: 1, Kind: 1, Destination: 2, Weight: weight}}}}
+		p.events = []Event{{Kind: Listed, Complete: true, Endpoints: []Endpoint{{ID: 1, ListedLimit: weight}, {ID: 2, Destination: 1, ListedLimit: weight},
+			{ID: 3, Zone: 1, ListedLimit: weight}, {ID: 4, Zone: 1, Kind: 1, Destination: 2, ListedLimit: weight}}}}
 		for now := start; now < start+20*time.Second; now += randomServiceTick {
 			p.step(t, now, now < start+8*time.Second)
 		}
@@ -209,7 +209,7 @@
 	t.Helper()
 	id, route := action.ID, cmp.Or(p.routes[action.Endpoint], action.Endpoint)
 	if first, ran := p.ran[id]; ran && (p.classes[id] == 2 ||
-		p.classes[id] == 1 && (first.zone != p.zones[action.Endpoint] || now >= first.at+p.sender.settings.Classes[1].Memory)) {
+		p.classes[id] == 1 && (first.zone != p.zones[action.Endpoint] || now >= first.at+p.sender.settings.Classes[1].DedupWindow)) {
 		t.Fatalf("%v at %v: sent again in class %d, though it may have run in zone %d at %v", action, now, p.classes[id], first.zone, first.at)
 	}
 	if p.draining && action.Endpoint == 1 || now < p.waits[route] || now >= p.deadlines[id] || p.finalAnswers[id] > 0 {
--- a/control/many_senders_test.go
+++ b/control/many_senders_test.go
@@ -181,7 +181,7 @@
 	t.Helper()
 	set := settings()
 	set.Peers, set.Slots, set.Cancel = peers, 100, true
-	set.Kinds = []Kind{{PerCall: 1, SeparateRoutes: separateRoutes}}
+	set.Kinds = []Kind{{MaxMessagesPerCall: 1, SeparateRoutes: separateRoutes}}
 	list := func(rate float64) []Endpoint { return []Endpoint{{ID: 1, MaxRate: rate}, {ID: 2, MaxRate: rate}} }
 	var all []*harness
 	for i := range peers {
--- a/control/message.go
+++ b/control/message.go
@@ -71,7 +71,7 @@
 	}
 	need, limit := max(minTimeLeft, toDuration(fastest)), msg.deadline
 	if msg.ranOn != nil && msg.class.Effect == Keyed {
-		limit = min(limit, msg.ranAt+msg.class.Memory)
+		limit = min(limit, msg.ranAt+msg.class.DedupWindow)
 	}
 	return limit-s.now < need
 }
@@ -79,12 +79,12 @@
 // finish gives a message without an attempt in flight its one final answer: Refuse, with the time after which to submit it again, if that
 // is safe; otherwise Fail.
 func (s *Sender) finish(msg *message) {
-	if msg.ranOn == nil || msg.class.Effect == Safe || msg.class.Effect == Keyed && msg.class.Group == GroupAll {
+	if msg.ranOn == nil || msg.class.Effect == Safe || msg.class.Effect == Keyed && msg.class.DedupScope == DedupPerDestination {
 		retryAfter := s.drainTime(msg.destination)
 		for _, route := range msg.destination.routes {
 			retryAfter = max(retryAfter, route.waitUntil-s.now)
 		}
-		s.emit(Action{Kind: Refuse, ID: msg.id, For: min(retryAfter, s.settings.MaxRetryAfter)})
+		s.emit(Action{Kind: Refuse, ID: msg.id, Duration: min(retryAfter, s.settings.MaxRetryAfter)})
 	} else {
 		s.emit(Action{Kind: Fail, ID: msg.id})
 	}
--- a/control/message_test.go
+++ b/control/message_test.go
@@ -10,7 +10,7 @@
 	for class, want := range map[int]ActionKind{0: Refuse, 2: Fail} {
 		harness := newHarness(t, settings(), Endpoint{ID: 1})
 		sent := actionsOf(harness.step(harness.arrive(1, class)), Send)
-		if len(sent) != 1 || sent[0].For != settings().Classes[class].Deadline {
+		if len(sent) != 1 || sent[0].Duration != settings().Classes[class].Deadline {
 			t.Fatalf("sent %v, want one attempt until the deadline while call times aren't known", sent)
 		}
 		harness.wait(settings().Classes[class].Deadline)
@@ -47,7 +47,7 @@
 	ev := harness.arrive(1, 2)
 	ev.Deadline = harness.now + 500*ms
 	acts := harness.step(ev)
-	if got := actionsOf(acts, Refuse); len(got) != 1 || got[0].For <= 0 || len(actionsOf(acts, Send)) != 0 {
+	if got := actionsOf(acts, Refuse); len(got) != 1 || got[0].Duration <= 0 || len(actionsOf(acts, Send)) != 0 {
 		t.Errorf("actions %v, want only a Refuse with a positive For", acts)
 	}
 }
--- a/control/oracle_test.go
+++ b/control/oracle_test.go
@@ -113,13 +113,13 @@
 		o.t.Fatalf("%v: sent before the end of a wait", action)
 	case class.Effect == Unsafe && len(msg.mayHaveRun) > 0:
 		o.t.Fatalf("%v: unsafe message sent again", action)
-	case action.For <= 0 || now+action.For > msg.arrival.Deadline:
+	case action.Duration <= 0 || now+action.Duration > msg.arrival.Deadline:
 		o.t.Fatalf("%v: time-out is not positive, or ends after the deadline", action)
 	}
 	if class.Effect == Keyed && len(msg.mayHaveRun) > 0 {
 		first := msg.mayHaveRun[0]
-		if now >= first.at+class.Memory || class.Group == GroupZone && endpoint.Zone != first.endpoint.Zone ||
-			class.Group == GroupEndpoint && endpoint.ID != first.endpoint.ID {
+		if now >= first.at+class.DedupWindow || class.DedupScope == DedupPerZone && endpoint.Zone != first.endpoint.Zone ||
+			class.DedupScope == DedupPerEndpoint && endpoint.ID != first.endpoint.ID {
 			o.t.Fatalf("%v: keyed message outside its group or window", action)
 		}
 	}
@@ -154,7 +154,7 @@
 	endpoint := o.endpoints[action.Endpoint]
 	best, sent := 0, 0.0
 	for i, at := range o.sends[route] {
-		if at > back && i > 0 && o.sends[route][i-1] == at && o.settings.Kinds[endpoint.Kind].PerCall > 1 {
+		if at > back && i > 0 && o.sends[route][i-1] == at && o.settings.Kinds[endpoint.Kind].MaxMessagesPerCall > 1 {
 			sent += batchedMessageCost // a further message in the same call
 			continue
 		} else if at > back {
@@ -192,7 +192,7 @@
 		answerAt = now + time.Hour
 	}
 	o.calls = append(o.calls, &oracleCall{id: action.ID, attempt: msg.attempts, endpoint: o.endpoints[action.Endpoint],
-		sentAt: now, answerAt: answerAt, resolveAt: min(answerAt, now+action.For)})
+		sentAt: now, answerAt: answerAt, resolveAt: min(answerAt, now+action.Duration)})
 	msg.attempts++
 }
 
@@ -206,7 +206,7 @@
 	}
 	class := o.settings.Classes[msg.arrival.Class]
 	if action.Kind == Refuse && len(msg.mayHaveRun) > 0 &&
-		(class.Effect == Unsafe || class.Effect == Keyed && class.Group != GroupAll) {
+		(class.Effect == Unsafe || class.Effect == Keyed && class.DedupScope != DedupPerDestination) {
 		o.t.Fatalf("%v: Refuse for a message that may have run and must not be submitted again", action)
 	}
 	msg.closed = true
--- a/control/rate_limit_test.go
+++ b/control/rate_limit_test.go
@@ -111,7 +111,7 @@
 // Further messages in a call cost little. At a recovering route that allows few calls, queued messages share a call.
 func TestRecoveringRoute_SeveralMessages_ShareCalls(t *testing.T) {
 	set := settings()
-	set.Peers, set.Kinds[1].PerCall = 80, 10
+	set.Peers, set.Kinds[1].MaxMessagesPerCall = 80, 10
 	harness := newHarness(t, set, Endpoint{ID: 1, Kind: 1})
 	harness.sender.endpoints[1].route.health, harness.sender.endpoints[1].route.healthSince, harness.sender.endpoints[1].route.reportedLimit = recovering, harness.now, 40
 	harness.sender.endpoints[1].route.refilledAt = harness.now
@@ -135,7 +135,7 @@
 	for _, weight := range []float64{0, 16} {
 		set := settings()
 		set.Slots = 40
-		harness := newHarness(t, set, Endpoint{ID: 1, Weight: weight})
+		harness := newHarness(t, set, Endpoint{ID: 1, ListedLimit: weight})
 		id := uint64(0)
 		for harness.now < time.Hour+20*time.Second { // two messages a second; all are refused for ten seconds
 			id++
@@ -162,12 +162,12 @@
 
 // A report takes precedence over the listed weight, which must not return with each change of the list.
 func TestReport_ListedWeight_IsOverridden(t *testing.T) {
-	harness := newHarness(t, settings(), Endpoint{ID: 1, Weight: 16})
+	harness := newHarness(t, settings(), Endpoint{ID: 1, ListedLimit: 16})
 	harness.step(harness.arrive(1, 1))
 	ev := outcome(1, 0, 1, Delivered)
 	ev.Reported, ev.Remaining, ev.Limit = true, 0.4, 6
 	harness.step(ev)
-	harness.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 1, Weight: 16}}})
+	harness.step(Event{Kind: Listed, Endpoints: []Endpoint{{ID: 1, ListedLimit: 16}}})
 	if testedRoute := harness.sender.endpoints[1].route; testedRoute.reportedLimit != 6 || testedRoute.reportedRemaining != 0.4 {
 		t.Errorf("limit %v, remaining %v, want the reported 6 and 0.4", testedRoute.reportedLimit, testedRoute.reportedRemaining)
 	}
--- a/control/restart_plan_test.go
+++ b/control/restart_plan_test.go
@@ -93,8 +93,8 @@
 	ev := harness.arrive(1, 0)
 	ev.Destination = 30
 	first := actionsOf(harness.step(ev), Send)[0]
-	if first.For >= time.Second || first.For < 100*ms {
-		t.Errorf("first call to an endpoint has time-out %v, want one set by the plan, 100 ms to 1 s", first.For)
+	if first.Duration >= time.Second || first.Duration < 100*ms {
+		t.Errorf("first call to an endpoint has time-out %v, want one set by the plan, 100 ms to 1 s", first.Duration)
 	}
 	endpoint := harness.sender.endpoints[first.Endpoint]
 	harness.now += 100 * ms
--- a/control/selection.go
+++ b/control/selection.go
@@ -57,7 +57,7 @@
 		if len(endpoint.inFlight) > 0 && endpoint.inFlight[0].sentAt >= endpoint.route.newestDelivered {
 			took = max(took, (s.now - endpoint.inFlight[0].sentAt).Seconds())
 		}
-		perCall = endpoint.kind.PerCall
+		perCall = endpoint.kind.MaxMessagesPerCall
 	}
 	return float64(max(1, min(perCall, len(dest.queue)))) / took
 }
@@ -82,8 +82,8 @@
 	case msg.ranOn == nil:
 		return true
 	case class.Effect == Unsafe, msg.isRetry && !s.hasRetryBudget(),
-		class.Effect == Keyed && (s.now >= msg.ranAt+class.Memory || class.Group == GroupZone && endpoint.zone != msg.ranOn.zone ||
-			class.Group == GroupEndpoint && endpoint != msg.ranOn):
+		class.Effect == Keyed && (s.now >= msg.ranAt+class.DedupWindow || class.DedupScope == DedupPerZone && endpoint.zone != msg.ranOn.zone ||
+			class.DedupScope == DedupPerEndpoint && endpoint != msg.ranOn):
 		return false
 	}
 	return true
@@ -180,7 +180,7 @@
 	endpoint.inFlight = append(endpoint.inFlight, msg)
 	route.inFlight++
 	route.sends.add(s.now)
-	s.emit(Action{Kind: Send, ID: msg.id, Endpoint: endpoint.id, For: timeout})
+	s.emit(Action{Kind: Send, ID: msg.id, Endpoint: endpoint.id, Duration: timeout})
 }
 
 // attemptTimeout returns the time-out of an attempt of msg at endpoint: the time until the deadline, or less if the plan restarts the
@@ -189,9 +189,9 @@
 	timeout := msg.deadline - s.now
 	window := msg.deadline // a keyed message is cut off only if a second call of the same length fits before this
 	if msg.class.Effect == Keyed && msg.ranOn != nil {
-		window = min(window, msg.ranAt+msg.class.Memory)
+		window = min(window, msg.ranAt+msg.class.DedupWindow)
 	} else if msg.class.Effect == Keyed {
-		window = min(window, s.now+msg.class.Memory)
+		window = min(window, s.now+msg.class.DedupWindow)
 	}
 	if msg.class.Effect != Unsafe && stop >= 0 && stop < len(s.bounds)-1 && s.hasRetryBudget() &&
 		s.now+2*toDuration(s.bounds[stop]) < window {
@@ -213,7 +213,7 @@
 		}
 		return
 	}
-	endpoint.callStep, endpoint.call = s.steps, &call{pending: 1, capacity: endpoint.kind.PerCall - 1}
+	endpoint.callStep, endpoint.call = s.steps, &call{pending: 1, capacity: endpoint.kind.MaxMessagesPerCall - 1}
 	s.slotsInUse++
 	endpoint.destination.callsInFlight++
 	endpoint.route.tokens--
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -177,7 +177,7 @@
 		if test.restarts {
 			want = toDuration(fast)
 		}
-		if len(sent) != 1 || sent[0].Endpoint != 2 || sent[0].For != want {
+		if len(sent) != 1 || sent[0].Endpoint != 2 || sent[0].Duration != want {
 			t.Errorf("%s: sent %v, want endpoint 2 with time-out %v", test.name, sent, want)
 			continue
 		}
@@ -194,14 +194,14 @@
 func TestKeyedMessage_EndOfWindow_RunsOn(t *testing.T) {
 	for memory, cut := range map[time.Duration]bool{4 * time.Second: true, 400 * ms: false} {
 		set := settings()
-		set.Classes[1].Memory = memory
+		set.Classes[1].DedupWindow = memory
 		harness := newHarness(t, set, Endpoint{ID: 1})
 		upperBounds := harness.sender.bounds
 		harness.sender.retryTimes = [2]float64{100, 100}
 		harness.sender.endpoints[1].own = *tableOf(upperBounds, map[float64]float64{upperBounds[15]: 90, upperBounds[len(upperBounds)-2]: 10})
 		harness.sender.endpoints[1].own.decayedAt = harness.now
 		sent := actionsOf(harness.step(harness.arrive(1, 1)), Send)
-		if len(sent) != 1 || (sent[0].For == toDuration(upperBounds[15])) != cut {
+		if len(sent) != 1 || (sent[0].Duration == toDuration(upperBounds[15])) != cut {
 			t.Errorf("window %v: sent %v, want the plan's time-out: %v", memory, sent, cut)
 		}
 	}
--- a/control/shared_limits.go
+++ b/control/shared_limits.go
@@ -216,7 +216,7 @@
 	dest := r.destination
 	seen := Observation{Endpoint: endpoint.id, SeparateRoute: endpoint.kind.SeparateRoutes, Limit: r.reportedLimit,
 		LimitAge: now - r.reportedAt, RetryAfter: max(r.waitUntil-now, 0), Value: 1}
-	messagesPerCall := float64(len(dest.routes) * max(endpoint.kind.PerCall, 1)) // of the destination's messages, for each call to this route
+	messagesPerCall := float64(len(dest.routes) * max(endpoint.kind.MaxMessagesPerCall, 1)) // of the destination's messages, for each call to this route
 	if seen.Demand = (dest.demand.rate(now) + float64(len(dest.queue))/2) / messagesPerCall; value > 0 {
 		seen.Value = value
 	}
--- a/control/shared_limits_test.go
+++ b/control/shared_limits_test.go
@@ -163,7 +163,7 @@
 func TestGrant_RemovedEndpoint_IsDiscarded(t *testing.T) {
 	set := settings()
 	set.Peers, set.Slots = 10, 200
-	set.Kinds = []Kind{{PerCall: 1, SeparateRoutes: true}}
+	set.Kinds = []Kind{{MaxMessagesPerCall: 1, SeparateRoutes: true}}
 	harness := newHarness(t, set, Endpoint{ID: 1})
 	harness.grantLease(0.05, harness.now+time.Hour, false, Grant{Endpoint: 1, ExtraShare: 0.5, Limit: 100, Unhealthy: true, HealthAge: time.Minute})
 	harness.calls(2*time.Second, 100)
--- a/internal/relay/activitypub/activitypub_test.go
+++ b/internal/relay/activitypub/activitypub_test.go
@@ -349,7 +349,7 @@
 		`{"id":"x"`: false,
 		``:          false,
 	} {
-		if got := Guard.Body(before, []byte(after)); got != want {
+		if got := PluginHeaders.Body(before, []byte(after)); got != want {
 			t.Errorf("%s: %v, want %v", after, got, want)
 		}
 	}
--- a/internal/relay/activitypub/front.go
+++ b/internal/relay/activitypub/front.go
@@ -20,9 +20,9 @@
 // Name is this front's name in the journal and in captures: it must not change.
 const Name = "activitypub"
 
-// Guard limits what plug-ins may change on this front: all headers but those that the signature or the protocol sets, and
+// PluginHeaders limits what plug-ins may change on this front: all headers but those that the signature or the protocol sets, and
 // the body before it is signed, as long as it stays the same activity by the same actor.
-var Guard = rules.Front{Name: Name, Owned: []string{"Accept", "Authorization", "Content-Digest", "Content-Type", "Date",
+var PluginHeaders = rules.Front{Name: Name, Owned: []string{"Accept", "Authorization", "Content-Digest", "Content-Type", "Date",
 	"Digest", "Signature", "Signature-*"}, Body: func(before, after []byte) bool {
 	if !gjson.ValidBytes(after) {
 		return false
--- a/internal/relay/activitypub/inbox.go
+++ b/internal/relay/activitypub/inbox.go
@@ -139,7 +139,7 @@
 		return true, nil
 	}
 	class := &f.messageClasses[message.Class]
-	if class.Effect == control.Unsafe || class.Effect == control.Keyed && now.Sub(before.ranAt) >= class.Memory {
+	if class.Effect == control.Unsafe || class.Effect == control.Keyed && now.Sub(before.ranAt) >= class.DedupWindow {
 		return false, &RequestError{409, "it may have taken effect, and can't be repeated any more"}
 	}
 	message.MayHaveRunAt = before.ranAt
--- a/internal/relay/activitypub/notices.go
+++ b/internal/relay/activitypub/notices.go
@@ -59,7 +59,7 @@
 	kind, outcome := "Reject", "given_up"
 	class := &f.messageClasses[notice.Class]
 	bounded := !notice.MayHaveRunAt.IsZero() && class.Effect == control.Keyed // may have taken effect: repeat only within its window
-	handedBack := notice.HandedBack && (!bounded || f.Now().Before(notice.MayHaveRunAt.Add(class.Memory)))
+	handedBack := notice.HandedBack && (!bounded || f.Now().Before(notice.MayHaveRunAt.Add(class.DedupWindow)))
 	if notice.Delivered {
 		kind, outcome = "Accept", "delivered"
 	} else if handedBack {
@@ -74,7 +74,7 @@
 	if handedBack { // when it may be submitted again, and, if it may have taken effect, until when
 		answer = fmt.Appendf(answer, `,"retryAfter":%s`, seconds(notice.RetryAfter))
 		if bounded {
-			answer = fmt.Appendf(answer, `,"endTime":"%s"`, notice.MayHaveRunAt.Add(class.Memory).UTC().Format(time.RFC3339Nano))
+			answer = fmt.Appendf(answer, `,"endTime":"%s"`, notice.MayHaveRunAt.Add(class.DedupWindow).UTC().Format(time.RFC3339Nano))
 		}
 	}
 	return append(answer, '}')
--- a/internal/relay/capture/core_events.go
+++ b/internal/relay/capture/core_events.go
@@ -11,16 +11,16 @@
 
 // Kinds of core events, each with the fields of CoreEvent that it uses.
 const (
-	Submitted    CoreKind = iota + 1 // Front, Arrival
-	Withdrawn                        // Ref
-	Moved                            // Front
-	DrainStarted                     // no fields
-	AttemptEnded                     // Number, Items, Outcomes
-	ListReported                     // Front, Number: of the watch, List
-	WatchEnded                       // Front, Number: of the watch, Text
-	Notified                         // Front, Accepted
-	Governed                         // Mandate
-	QuotaGranted                     // Shared
+	Submitted       CoreKind = iota + 1 // Front, Arrival
+	Withdrawn                           // Ref
+	DiscoveryMoved                      // Front
+	DrainStarted                        // no fields
+	AttemptEnded                        // Number, Items, Outcomes
+	ListReported                        // Front, Number: of the watch, List
+	WatchEnded                          // Front, Number: of the watch, Text
+	NoticesAnswered                     // Front, Accepted
+	MandateChanged                      // Mandate
+	QuotaGranted                        // Shared
 )
 
 // CoreEvent is one event from the core's queue.
--- a/internal/relay/capture/corpus_test.go
+++ b/internal/relay/capture/corpus_test.go
@@ -203,8 +203,8 @@
 			continue
 		}
 		result, took, wait := r.answer(at, action.Endpoint, action.ID)
-		if took > action.For {
-			result, took, wait = control.TimedOut, action.For, 0
+		if took > action.Duration {
+			result, took, wait = control.TimedOut, action.Duration, 0
 		}
 		r.calls = append(r.calls, timed{at + took, control.Event{Kind: control.Resolved, ID: action.ID, Attempt: r.attempts[action.ID],
 			Endpoint: action.Endpoint, Result: result, RetryAfter: wait}})
--- a/internal/relay/capture/describe.go
+++ b/internal/relay/capture/describe.go
@@ -36,9 +36,9 @@
 	kind := nameFor(actionNames[:], int(a.Kind), actionNames[0])
 	switch a.Kind {
 	case control.Send:
-		return fmt.Sprintf("send %s to %s within %v", res.message(a.ID), res.name(a.Endpoint), a.For)
+		return fmt.Sprintf("send %s to %s within %v", res.message(a.ID), res.name(a.Endpoint), a.Duration)
 	case control.Refuse:
-		return fmt.Sprintf("refuse %s, retry after %v", res.message(a.ID), a.For)
+		return fmt.Sprintf("refuse %s, retry after %v", res.message(a.ID), a.Duration)
 	case control.Wake:
 		return fmt.Sprintf("wake at %v", a.At)
 	case control.Close:
@@ -104,7 +104,7 @@
 		return s
 	case Withdrawn:
 		return res.message(event.Ref) + " is withdrawn: its client never received the answer"
-	case Moved:
+	case DiscoveryMoved:
 		return fmt.Sprintf("the discovery service of front %d has moved", event.Front)
 	case DrainStarted:
 		return "the relay is told to drain"
@@ -121,7 +121,7 @@
 		return fmt.Sprintf("endpoint list %d of front %d: %d destinations, complete %t", event.List.Index, event.Front, len(event.List.Destinations), event.List.Complete)
 	case WatchEnded:
 		return fmt.Sprintf("watch %d of front %d is lost: %s", event.Number, event.Front, event.Text)
-	case Notified:
+	case NoticesAnswered:
 		accepted := 0
 		for _, ok := range event.Accepted {
 			if ok {
--- a/internal/relay/capture/explain.go
+++ b/internal/relay/capture/explain.go
@@ -7,8 +7,8 @@
 	"mastusher/control"
 )
 
-// Concerned returns the endpoints that occur in a turn's events, its recorded actions, or the actions of a replay.
-func Concerned(t *Turn, got []control.Action) map[uint32]bool {
+// ConcernedEndpoints returns the endpoints that occur in a turn's events, its recorded actions, or the actions of a replay.
+func ConcernedEndpoints(t *Turn, got []control.Action) map[uint32]bool {
 	all := map[uint32]bool{}
 	for _, e := range t.Events {
 		if e.Kind == control.Resolved {
--- a/internal/relay/capture/fast.go
+++ b/internal/relay/capture/fast.go
@@ -101,7 +101,7 @@
 	f.int(3, int64(e.Kind))
 	f.int(4, int64(e.Destination))
 	f.uint(5, uint64(e.State))
-	f.float(6, e.Weight)
+	f.float(6, e.ListedLimit)
 	f.float(7, e.MaxRate)
 	return f.b
 }
@@ -138,7 +138,7 @@
 	f.uint(2, a.ID)
 	f.uint(3, uint64(a.Endpoint))
 	f.int(4, int64(a.Attempt))
-	f.int(5, int64(a.For))
+	f.int(5, int64(a.Duration))
 	f.int(6, int64(a.At))
 	f.text(7, a.Text)
 	return f.b
--- a/internal/relay/capture/replay.go
+++ b/internal/relay/capture/replay.go
@@ -156,7 +156,7 @@
 		p.result.Differ++
 		return nil
 	}
-	return &DifferenceError{Turn: t, Got: slices.Clone(p.actions), State: Explain(p.module.Snapshot(), p.result, Concerned(t, p.actions))}
+	return &DifferenceError{Turn: t, Got: slices.Clone(p.actions), State: Explain(p.module.Snapshot(), p.result, ConcernedEndpoints(t, p.actions))}
 }
 
 // count counts what becomes of messages in the replay, where the destinations' answers are those recorded.
--- a/internal/relay/capture/replay_test.go
+++ b/internal/relay/capture/replay_test.go
@@ -96,7 +96,7 @@
 	}
 	err = openText(t, text).Each(func(record any) error {
 		if turn, ok := record.(*Turn); ok && turn.No > after && no == 0 && len(turn.Actions) > 0 && turn.Actions[0].Kind == control.Send {
-			turn.Actions[0].For++
+			turn.Actions[0].Duration++
 			no = turn.No
 		}
 		recordType, _ := typeOf(record)
--- a/internal/relay/capture/world_test.go
+++ b/internal/relay/capture/world_test.go
@@ -36,10 +36,10 @@
 
 func settings() control.Settings {
 	return control.Settings{Peers: 1, Slots: 12, MaxOpen: 200, MaxAttempts: 6, Cancel: true, ValueHalves: true, MaxRetryAfter: 3 * time.Second,
-		Kinds: []control.Kind{{SeparateRoutes: true, PerCall: 4}, {PerCall: 1}}, DrainGrace: 250 * time.Millisecond, SlowStartShare: 0.21,
+		Kinds: []control.Kind{{SeparateRoutes: true, MaxMessagesPerCall: 4}, {MaxMessagesPerCall: 1}}, DrainGrace: 250 * time.Millisecond, SlowStartShare: 0.21,
 		SlowStart: 14 * time.Second, OverloadWindow: 2 * time.Second, OverloadMultiple: 2, ConnIdle: 15 * time.Second, ZoneFee: []float64{0, 0.05},
 		Classes: []control.Class{
-			{Name: "match-event", Effect: control.Keyed, Group: control.GroupAll, Memory: 4 * time.Second, LatencyTarget: 3 * time.Second, Deadline: 16 * time.Second, Value: 1, LateValue: 0.3},
+			{Name: "match-event", Effect: control.Keyed, DedupScope: control.DedupPerDestination, DedupWindow: 4 * time.Second, LatencyTarget: 3 * time.Second, Deadline: 16 * time.Second, Value: 1, LateValue: 0.3},
 			{Name: "score-state", Effect: control.Safe, LatencyTarget: 2 * time.Second, Deadline: 24 * time.Second, Value: 3, LateValue: 0.5},
 			{Name: "ordered", Effect: control.Unsafe, InOrder: true, LatencyTarget: 2 * time.Second, Deadline: 9 * time.Second, Value: 2, LateValue: 0.5}}}
 }
@@ -165,8 +165,8 @@
 			if !ok {
 				result = control.Delivered
 			}
-			if took > a.For || result == control.TimedOut {
-				result, took = control.TimedOut, a.For
+			if took > a.Duration || result == control.TimedOut {
+				result, took = control.TimedOut, a.Duration
 			}
 			w.inFlight[a.ID] = attempt{a.Endpoint, w.attempts[a.ID], w.now + took, result}
 			w.attempts[a.ID]++
--- a/internal/relay/config/activitypub.go
+++ b/internal/relay/config/activitypub.go
@@ -74,7 +74,7 @@
 	p.each(path+".inboxes", func(inbox string) { partner.Inboxes = append(partner.Inboxes, p.url(inbox)) })
 	p.require(path+".inboxes", len(partner.Inboxes) > 0, "want at least one inbox")
 	if kind := slices.Index(c.Settings.KindNames, partner.Kind); kind >= 0 && kind < len(c.Settings.Kinds) {
-		p.require(path+".kind", c.Settings.Kinds[kind].PerCall <= 1, "calls of this kind carry several messages, but an inbox takes one")
+		p.require(path+".kind", c.Settings.Kinds[kind].MaxMessagesPerCall <= 1, "calls of this kind carry several messages, but an inbox takes one")
 	}
 	p.require(path+".dest", !seen[partner.Destination], "used by another partner")
 	seen[partner.Destination] = true
--- a/internal/relay/engine/attempt.go
+++ b/internal/relay/engine/attempt.go
@@ -88,7 +88,7 @@
 func (c *Core) joins(attempt *Attempt, m *message) bool {
 	perCall := 1
 	if kind := slices.Index(c.settings.KindNames, attempt.To.Kind); kind >= 0 && kind < len(c.settings.Kinds) {
-		perCall = c.settings.Kinds[kind].PerCall
+		perCall = c.settings.Kinds[kind].MaxMessagesPerCall
 	}
 	size := 0
 	for _, item := range append(attempt.Items, Item{ID: m.entry.ID, Key: m.entry.Key, Body: m.entry.Body}) {
--- a/internal/relay/engine/core.go
+++ b/internal/relay/engine/core.go
@@ -21,7 +21,7 @@
 // Core is the relay's core; see the package comment.
 //
 // Only the goroutine that calls Run (in simulations: Step) may access its fields, except queue, ready, publishedMandate and drained.
-// Submit, SubmitAt, Withdraw, Ready, Govern, GrantQuota, Observe, Record, DiscoveryMoved, Drain, Drained and Stop may be called from any
+// Submit, SubmitAt, Withdraw, Ready, SetMandate, GrantQuota, Observe, Record, DiscoveryMoved, Drain, Drained and Stop may be called from any
 // goroutine: they either post an event to the queue, and block while it is full, or read an atomic value. All other methods must be called
 // before Run, or by its goroutine.
 type Core struct {
@@ -104,7 +104,7 @@
 	settings := cfg.Settings.Settings
 	settings.Classes = slices.Clone(settings.Classes)
 	for i := range settings.Classes {
-		settings.Classes[i].Memory = max(settings.Classes[i].Memory-cfg.Limits.WindowMargin, 0)
+		settings.Classes[i].DedupWindow = max(settings.Classes[i].DedupWindow-cfg.Limits.WindowMargin, 0)
 	}
 	return settings
 }
@@ -194,7 +194,7 @@
 		e.Deadline = latest
 	}
 	if e.MayHaveRun && e.MayHaveRunAt.After(now) {
-		e.MayHaveRunAt = now.Add(-class.Memory)
+		e.MayHaveRunAt = now.Add(-class.DedupWindow)
 	}
 }
 
--- a/internal/relay/engine/core_test.go
+++ b/internal/relay/engine/core_test.go
@@ -173,8 +173,8 @@
 	if ev := relay.core.moduleEvents[0]; ev.Tenant != 2 {
 		t.Errorf("the module gets tenant %d, want 2", ev.Tenant)
 	}
-	if eps := relay.core.moduleEvents[1].Endpoints; eps[0].Weight != 4.5 || eps[1].Weight != 0 {
-		t.Errorf("the module gets weights %v and %v, want 4.5 and 0", eps[0].Weight, eps[1].Weight)
+	if eps := relay.core.moduleEvents[1].Endpoints; eps[0].ListedLimit != 4.5 || eps[1].ListedLimit != 0 {
+		t.Errorf("the module gets weights %v and %v, want 4.5 and 0", eps[0].ListedLimit, eps[1].ListedLimit)
 	}
 	relay.turnAfter(time.Millisecond)
 	relay = newHarness(t, relay.dir, relay.now)
--- a/internal/relay/engine/destinations.go
+++ b/internal/relay/engine/destinations.go
@@ -85,7 +85,7 @@
 		state = control.Draining // no new calls go there
 	}
 	return control.Endpoint{ID: number, Zone: slices.Index(c.settings.Zones, d.Zone), Kind: slices.Index(c.settings.KindNames, d.Kind),
-		Destination: d.front.number<<20 + d.Partner, State: state, Weight: c.settings.Weight(d.Weight), MaxRate: c.mandate.RateLimitTo(d.Partner)}
+		Destination: d.front.number<<20 + d.Partner, State: state, ListedLimit: c.settings.Weight(d.Weight), MaxRate: c.mandate.RateLimitTo(d.Partner)}
 }
 
 // watchEnded is the event that a watch was lost.
--- a/internal/relay/engine/doc.go
+++ b/internal/relay/engine/doc.go
@@ -10,5 +10,5 @@
 // keeps its records; both can be replaced. CoreReplay replaces them with a capture (package capture), and compares everything that the
 // core does with the recording.
 //
-// In a fleet of relays, Govern sets what the fleet permits this relay to do (a Mandate), and GrantQuota its share of the common limits.
+// In a fleet of relays, SetMandate sets what the fleet permits this relay to do (a Mandate), and GrantQuota its share of the common limits.
 package engine
--- a/internal/relay/engine/message.go
+++ b/internal/relay/engine/message.go
@@ -122,11 +122,11 @@
 func (c *Core) end(m *message, a control.Action) {
 	if m.reply != nil { // in the turn of its arrival: the submission is refused, and no notice is needed
 		if m.refusal = (&Reply{Verdict: Failed}); a.Kind == control.Refuse {
-			m.refusal = &Reply{Verdict: Busy, RetryAfter: a.For}
+			m.refusal = &Reply{Verdict: Busy, RetryAfter: a.Duration}
 		}
 		return
 	}
-	n := journal.Notice{HandedBack: a.Kind == control.Refuse, RetryAfter: a.For}
+	n := journal.Notice{HandedBack: a.Kind == control.Refuse, RetryAfter: a.Duration}
 	c.addOutstanding(m, n)
 	c.journal.EndWithNotice(m.entry, n)
 	if n.HandedBack {
--- a/internal/relay/engine/random_run_test.go
+++ b/internal/relay/engine/random_run_test.go
@@ -203,17 +203,17 @@
 	if !run.inFleet || turn <= 2 || rng.IntN(8) != 0 {
 		return
 	}
-	mandate := Mandate{Mandate: capture.Mandate{Version: uint64(turn / 40), Worth: []float64{1 + rng.Float64(), 3}, Attempts: []int{rng.IntN(4), 0}},
+	mandate := Mandate{Mandate: capture.Mandate{Version: uint64(turn / 40), ClassValues: []float64{1 + rng.Float64(), 3}, MaxAttempts: []int{rng.IntN(4), 0}},
 		Until: run.shell.now.Add(time.Duration(rng.IntN(900)-100) * time.Millisecond)}
 	switch rng.IntN(5) {
 	case 0:
 		mandate.Halted = mandate.Version + 1
 	case 1:
-		mandate.Shut = []int{8}
+		mandate.BlockedPartners = []int{8}
 	case 2:
-		mandate.Closed, mandate.Stamp = true, true
+		mandate.RefusesNew, mandate.StampsAttempts = true, true
 	}
-	run.core.Govern(mandate, nil)
+	run.core.SetMandate(mandate, nil)
 }
 
 // recordRandomRun runs a core for a number of turns, records it from the given turn on, and returns the capture's folder.
--- a/internal/relay/engine/recording.go
+++ b/internal/relay/engine/recording.go
@@ -167,7 +167,7 @@
 	case withdrawn:
 		recorded = capture.CoreEvent{Kind: capture.Withdrawn, Ref: posted.ref}
 	case discoveryMoved:
-		recorded = capture.CoreEvent{Kind: capture.Moved, Front: c.frontNumber(posted.front)}
+		recorded = capture.CoreEvent{Kind: capture.DiscoveryMoved, Front: c.frontNumber(posted.front)}
 	case drain:
 		recorded.Kind = capture.DrainStarted
 	case mandateChanged:
@@ -175,7 +175,7 @@
 		if mandate.Until = 0; !posted.Mandate.Until.IsZero() {
 			mandate.Until = c.moduleTime(posted.Mandate.Until)
 		}
-		recorded = capture.CoreEvent{Kind: capture.Governed, Mandate: &mandate}
+		recorded = capture.CoreEvent{Kind: capture.MandateChanged, Mandate: &mandate}
 	case quotaGranted:
 		recorded = capture.CoreEvent{Kind: capture.QuotaGranted, Shared: posted.onModuleClock(c)}
 	case attemptEnded:
@@ -191,7 +191,7 @@
 	case watchEnded:
 		recorded = capture.CoreEvent{Kind: capture.WatchEnded, Front: posted.front.number, Number: uint64(posted.watch), Text: posted.err.Error()}
 	case notifyCallEnded:
-		recorded = capture.CoreEvent{Kind: capture.Notified, Front: posted.front.number, Accepted: posted.accepted}
+		recorded = capture.CoreEvent{Kind: capture.NoticesAnswered, Front: posted.front.number, Accepted: posted.accepted}
 	default:
 		return recorded, false
 	}
--- a/internal/relay/engine/replay.go
+++ b/internal/relay/engine/replay.go
@@ -149,8 +149,8 @@
 	}
 	c.recorder, c.shell, c.keepActions = &r.recorded, inertShell{}, true
 	c.restoreState(state, func(f capture.FrontState) Front { return recordedFront{f.NotifiesDeliveries} })
-	if mandate := state.Mandate; mandate != nil && (len(mandate.Worth) > 0 || len(mandate.Quotas) > 0) {
-		c.policy.Reconfigure(mandate.Worth, mandate.Quotas)
+	if mandate := state.Mandate; mandate != nil && (len(mandate.ClassValues) > 0 || len(mandate.Quotas) > 0) {
+		c.policy.Reconfigure(mandate.ClassValues, mandate.Quotas)
 	}
 	for _, ref := range slices.Sorted(maps.Keys(c.messages)) {
 		memory.Restore(c.messages[ref].entry)
@@ -169,8 +169,8 @@
 		WatchSpread: s.WatchSpread, EndedRetention: s.EndedRetention, MaxEnded: s.MaxEnded}
 	cfg.Settings.Classes = slices.Clone(cfg.Settings.Classes)
 	for i := range cfg.Settings.Classes { // the reverse of ModuleSettings
-		if class := &cfg.Settings.Classes[i]; class.Memory > 0 {
-			class.Memory += s.WindowMargin
+		if class := &cfg.Settings.Classes[i]; class.DedupWindow > 0 {
+			class.DedupWindow += s.WindowMargin
 		}
 	}
 	return cfg
--- a/internal/relay/engine/replay_events.go
+++ b/internal/relay/engine/replay_events.go
@@ -11,7 +11,7 @@
 // front of moduleOutcomes, which holds those in the module's events of the same turn. If the event does not match the core's state, it
 // returns one of the errors of replay_errors.go.
 func (c *Core) replayedEvent(recorded *capture.CoreEvent, now time.Time, moduleOutcomes *[]Outcome) (event, error) {
-	if recorded.Front >= len(c.frontsInOrder) || recorded.Front < 0 && recorded.Kind != capture.Submitted && recorded.Kind != capture.Moved {
+	if recorded.Front >= len(c.frontsInOrder) || recorded.Front < 0 && recorded.Kind != capture.Submitted && recorded.Kind != capture.DiscoveryMoved {
 		return nil, unknownFrontError(recorded.Front)
 	}
 	name := "?"
@@ -23,11 +23,11 @@
 		return c.replayedArrival(recorded.Arrival, name, now)
 	case capture.Withdrawn:
 		return withdrawn{recorded.Ref}, nil
-	case capture.Moved:
+	case capture.DiscoveryMoved:
 		return discoveryMoved{name}, nil
 	case capture.DrainStarted:
 		return drain{}, nil
-	case capture.Governed:
+	case capture.MandateChanged:
 		if recorded.Mandate == nil {
 			return nil, errMandateMissing
 		}
@@ -47,7 +47,7 @@
 			err = ErrWatchTimeout
 		}
 		return watchEnded{c.frontsInOrder[recorded.Front], int(recorded.Number), err}, nil
-	case capture.Notified:
+	case capture.NoticesAnswered:
 		f := c.frontsInOrder[recorded.Front]
 		if f.cancelNotify == nil || len(f.sending) != len(recorded.Accepted) {
 			return nil, errNoticesNotInFlight
--- a/internal/relay/engine/replay_test.go
+++ b/internal/relay/engine/replay_test.go
@@ -56,7 +56,7 @@
 // check fails the test for each kind that no replay has covered.
 func (coverage *replayCoverage) check(t *testing.T) {
 	t.Helper()
-	for kind := capture.Submitted; kind <= capture.Notified; kind++ {
+	for kind := capture.Submitted; kind <= capture.NoticesAnswered; kind++ {
 		if coverage.events[kind] == 0 {
 			t.Errorf("no event of kind %d was replayed", kind)
 		}
--- a/internal/relay/engine/turn.go
+++ b/internal/relay/engine/turn.go
@@ -122,7 +122,7 @@
 		attempt := open[s.action.Endpoint]
 		if attempt == nil || !c.joins(attempt, s.message) {
 			c.lastAttempt++
-			attempt = &Attempt{number: c.lastAttempt, To: *d, Timeout: s.action.For, sampleBytes: -1, scheduledAt: now, cancel: func() {}}
+			attempt = &Attempt{number: c.lastAttempt, To: *d, Timeout: s.action.Duration, sampleBytes: -1, scheduledAt: now, cancel: func() {}}
 			attempts = append(attempts, attempt)
 			if open == nil {
 				open = map[uint32]*Attempt{}
@@ -142,10 +142,10 @@
 		c.count(entry.Class, entry.Tenant, entry.Destination, countRepeats)
 	}
 	c.log.Debug("route step", "id", entry.ID, "class", entry.Class, "attempt", entry.Attempts-1, "destination", attempt.To.Name,
-		"within", s.action.For)
-	attempt.Timeout = min(attempt.Timeout, s.action.For)
+		"within", s.action.Duration)
+	attempt.Timeout = min(attempt.Timeout, s.action.Duration)
 	if class := &c.settings.Classes[entry.Class]; entry.MayHaveRun && class.Effect == control.Keyed {
-		if end := entry.MayHaveRunAt.Add(class.Memory - c.limits.WindowMargin/2); attempt.WriteBefore.IsZero() || end.Before(attempt.WriteBefore) {
+		if end := entry.MayHaveRunAt.Add(class.DedupWindow - c.limits.WindowMargin/2); attempt.WriteBefore.IsZero() || end.Before(attempt.WriteBefore) {
 			attempt.WriteBefore = end
 		}
 	}
--- a/internal/relay/fleet/checker/check.go
+++ b/internal/relay/fleet/checker/check.go
@@ -85,8 +85,8 @@
 	From, Until time.Duration // Until 0: for as long as Version is in force
 }
 
-// Judge returns a breach in a history; nil: the history keeps all rules.
-func Judge(history []Entry, o Options) *BreachError {
+// Check returns a breach in a history; nil: the history keeps all rules.
+func Check(history []Entry, o Options) *BreachError {
 	sorted := sortByTime(history)
 	state := historyChecker{options: o, reports: map[uint64]Entry{}, acted: map[uint64]Entry{}, outcomes: map[string]string{}}
 	for i, entry := range sorted {
--- a/internal/relay/fleet/checker/check_test.go
+++ b/internal/relay/fleet/checker/check_test.go
@@ -48,7 +48,7 @@
 		{"recorded breach", []Entry{{At: 50 * ms, Kind: Breached, Text: "sent twice"}}, Options{}, NoOtherBreach},
 	} {
 		got := ""
-		if b := Judge(append(append([]Entry{}, good...), test.more...), test.options); b != nil {
+		if b := Check(append(append([]Entry{}, good...), test.more...), test.options); b != nil {
 			got = b.Rule
 		}
 		if got != test.want {
--- a/internal/relay/fleet/node/leader.go
+++ b/internal/relay/fleet/node/leader.go
@@ -187,7 +187,7 @@
 		l.leading = true
 		if n.lessee != nil {
 			l.allocator = quota.NewAllocator(quota.Options{MinimumSum: n.config.GuaranteedShare, LeaseDuration: n.maxLeaseDuration(),
-				ServeAlone: n.config.ServeWhenPartitioned}, n.engine.Position().Term, n.now)
+				ServeWhenPartitioned: n.config.ServeWhenPartitioned}, n.engine.Position().Term, n.now)
 		}
 		n.log("became fleet leader", "members", len(n.applied.Members))
 	}
--- a/internal/relay/fleet/node/node.go
+++ b/internal/relay/fleet/node/node.go
@@ -91,7 +91,7 @@
 		pendingRequests: map[uint64]time.Duration{}, positionAnswers: map[string]bool{}, remembered: map[uint64]consensus.LogPosition{},
 		memberRelays: map[uint64]string{}, startedAt: now}
 	if cfg.GuaranteedShare > 0 {
-		n.lessee = &quota.Lessee{ServeAlone: cfg.ServeWhenPartitioned}
+		n.lessee = &quota.Lessee{ServeWhenPartitioned: cfg.ServeWhenPartitioned}
 	}
 	n.voterIndex = int(n.random() % uint64(max(len(cfg.Voters), 1)))
 	if !slices.Contains(cfg.Voters, cfg.Name) {
--- a/internal/relay/fleet/peer/client.go
+++ b/internal/relay/fleet/peer/client.go
@@ -14,9 +14,9 @@
 // answerTimeout is the time without an answer after which Ask repeats a request: datagrams may be lost.
 const answerTimeout = 300 * time.Millisecond
 
-// Ask sends an operator's request to the relay with this configuration on this machine, and repeats it until the relay answers. If ctx is
+// SendAdminRequest sends an operator's request to the relay with this configuration on this machine, and repeats it until the relay answers. If ctx is
 // done before that, the error wraps the cause.
-func Ask(ctx context.Context, cfg *config.Peers, request node.AdminRequest) (*node.Status, error) {
+func SendAdminRequest(ctx context.Context, cfg *config.Peers, request node.AdminRequest) (*node.Status, error) {
 	conn, err := net.Dial("udp4", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("peer: %w", err)
--- a/internal/relay/fleet/peer/rules.go
+++ b/internal/relay/fleet/peer/rules.go
@@ -102,9 +102,9 @@
 	return r.LoadPlugins(effective)
 }
 
-// Shaped returns this relay's configuration with the plug-ins' settings of a document, which is empty for no policy. The result must not be
-// changed. Shaped fails if the document can't be parsed.
-func (r *Rules) Shaped(doc []byte) (*config.Config, error) {
+// WithPluginSettings returns this relay's configuration with the plug-ins' settings of a document, which is empty for no policy. The result must not be
+// changed. WithPluginSettings fails if the document can't be parsed.
+func (r *Rules) WithPluginSettings(doc []byte) (*config.Config, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(doc) == 0 {
@@ -143,7 +143,7 @@
 	out := capture.Mandate{Version: s.Version, Halted: s.Halted}
 	set := &cfg.Settings
 	for i := range set.Classes {
-		out.Worth = append(out.Worth, set.Classes[i].Value)
+		out.ClassValues = append(out.ClassValues, set.Classes[i].Value)
 	}
 	for _, t := range set.Tenants {
 		out.Quotas = append(out.Quotas, t.Quota)
@@ -155,12 +155,12 @@
 	if err != nil {
 		return out, err
 	}
-	out.Stamp, out.Closed = d.Stamp, !d.AcceptsMessages(cfg.Peers.Name)
-	out.Attempts = make([]int, len(set.Classes))
+	out.StampsAttempts, out.RefusesNew = d.Stamp, !d.AcceptsMessages(cfg.Peers.Name)
+	out.MaxAttempts = make([]int, len(set.Classes))
 	for i := range set.Classes {
 		c := d.Classes[set.Classes[i].Name]
-		if out.Attempts[i] = c.Attempts; c.Value != nil {
-			out.Worth[i] = *c.Value
+		if out.MaxAttempts[i] = c.Attempts; c.Value != nil {
+			out.ClassValues[i] = *c.Value
 		}
 	}
 	for i, name := range set.TenantNames {
@@ -174,13 +174,13 @@
 			continue // Parse has checked it
 		}
 		if p.Shut {
-			out.Shut = append(out.Shut, n)
+			out.BlockedPartners = append(out.BlockedPartners, n)
 		}
 		if p.Limit > 0 {
-			out.Most = append(out.Most, capture.PartnerRateLimit{Partner: n, Limit: p.Limit})
+			out.PartnerRateLimits = append(out.PartnerRateLimits, capture.PartnerRateLimit{Partner: n, Limit: p.Limit})
 		}
 	}
-	slices.Sort(out.Shut)
-	slices.SortFunc(out.Most, func(a, b capture.PartnerRateLimit) int { return cmp.Compare(a.Partner, b.Partner) })
+	slices.Sort(out.BlockedPartners)
+	slices.SortFunc(out.PartnerRateLimits, func(a, b capture.PartnerRateLimit) int { return cmp.Compare(a.Partner, b.Partner) })
 	return out, nil
 }
--- a/internal/relay/fleet/quota/allocator.go
+++ b/internal/relay/fleet/quota/allocator.go
@@ -7,9 +7,9 @@
 
 // Options configure an Allocator.
 type Options struct {
-	MinimumSum    float64       // sum of all guaranteed minimums, as a fraction. More serves partitioned relays better, but leaves less to lease by demand
-	LeaseDuration time.Duration // from the arrival of a request until its lease has expired by any relay's clock
-	ServeAlone    bool          // partitioned relays keep spending their guaranteed minimums
+	MinimumSum           float64       // sum of all guaranteed minimums, as a fraction. More serves partitioned relays better, but leaves less to lease by demand
+	LeaseDuration        time.Duration // from the arrival of a request until its lease has expired by any relay's clock
+	ServeWhenPartitioned bool          // partitioned relays keep spending their guaranteed minimums
 }
 
 // Shares are added in integer units, so that sums have no rounding errors.
@@ -120,7 +120,7 @@
 }
 
 // sumMinimums recomputes minimumSum and reservedMinimumSum. Relays that were not heard from count as well: they may spend the minimum that
-// a former leader granted for LeaseDuration after the start, and with ServeAlone for ever.
+// a former leader granted for LeaseDuration after the start, and with ServeWhenPartitioned for ever.
 func (l *Allocator) sumMinimums() {
 	l.minimumSum, l.reservedMinimumSum = 0, 0
 	for _, name := range l.roster {
@@ -128,7 +128,7 @@
 		if relay != nil {
 			minimum = relay.minimum
 		}
-		if (relay == nil || !relay.reported) && (l.options.ServeAlone || !l.allReported(l.splitAt)) {
+		if (relay == nil || !relay.reported) && (l.options.ServeWhenPartitioned || !l.allReported(l.splitAt)) {
 			minimum = max(minimum, l.minimumPerRelay())
 		}
 		l.minimumSum += minimum
@@ -168,7 +168,7 @@
 			bound[key] = max(bound[key], units)
 		}
 	}
-	if l.options.ServeAlone { // then a guaranteed minimum is valid until another replaces it
+	if l.options.ServeWhenPartitioned { // then a guaranteed minimum is valid until another replaces it
 		minimum = max(minimum, relay.lastingMinimum)
 	}
 	for key, units := range relay.bound {
--- a/internal/relay/fleet/quota/lessee.go
+++ b/internal/relay/fleet/quota/lessee.go
@@ -4,13 +4,13 @@
 
 // Lessee has a relay's quota lease, with times on its own clock. It is not safe for concurrent use: the relay's node.Node owns it.
 type Lessee struct {
-	ServeAlone bool // a partitioned relay keeps spending its guaranteed minimum, which does not expire; must not be changed
+	ServeWhenPartitioned bool // a partitioned relay keeps spending its guaranteed minimum, which does not expire; must not be changed
 
 	newestTerm   uint64  // newest term of an allocator that sent a grant
 	term, number uint64  // of the current lease; 0: none
 	minimum      float64 // guaranteed fraction of each limit
 	shares       []KeyShare
-	expires      time.Duration // end of the shares; with ServeAlone the guaranteed minimum does not expire
+	expires      time.Duration // end of the shares; with ServeWhenPartitioned the guaranteed minimum does not expire
 	reportLeased bool          // the allocator has requested a report of the current lease
 	confirmed    [2]uint64     // term and number of the lease that the core has confirmed
 	demands      []Demand      // of the core, as last observed
@@ -55,7 +55,7 @@
 
 // Lease returns the current lease.
 func (p *Lessee) Lease() *Lease {
-	return &Lease{Term: p.term, Number: p.number, Minimum: p.minimum, Shares: p.shares, Expires: p.expires, MinimumLasts: p.ServeAlone}
+	return &Lease{Term: p.term, Number: p.number, Minimum: p.minimum, Shares: p.shares, Expires: p.expires, MinimumLasts: p.ServeWhenPartitioned}
 }
 
 // Confirm records that the core has applied a lease in place of all before it.
@@ -75,7 +75,7 @@
 	if p.expires <= now { // the lease has expired
 		r.LeaseTerm, r.LeaseNumber = 0, 0
 	}
-	if p.ServeAlone {
+	if p.ServeWhenPartitioned {
 		r.Minimum = toFloat16(p.minimum)
 	}
 	if p.reportLeased && p.confirmed == [2]uint64{p.term, p.number} && r.LeaseNumber != 0 { // before that the core may still spend more
--- a/internal/relay/fleet/quota/messages.go
+++ b/internal/relay/fleet/quota/messages.go
@@ -7,7 +7,7 @@
 	LeaseNumber  uint64 `cbor:"2,keyasint,omitempty"` // number of that lease; 0: none
 	Demands      []byte `cbor:"3,keyasint,omitempty"` // see EncodeDemands; nil: unchanged
 	LeasedShares []byte `cbor:"4,keyasint,omitempty"` // shares of that lease, if Grant.ReportLeased requested them
-	Minimum      uint16 `cbor:"5,keyasint,omitempty"` // guaranteed minimum, with LeasedShares; with ServeAlone always
+	Minimum      uint16 `cbor:"5,keyasint,omitempty"` // guaranteed minimum, with LeasedShares; with ServeWhenPartitioned always
 	Zone         int    `cbor:"6,keyasint,omitempty"`
 	NoDemand     bool   `cbor:"7,keyasint,omitempty"` // the relay has no demands
 	NewestTerm   uint64 `cbor:"8,keyasint,omitempty"` // newest term of an allocator that the relay knows: it rejects grants of older terms
--- a/internal/relay/fleet/quota/quota_test.go
+++ b/internal/relay/fleet/quota/quota_test.go
@@ -111,7 +111,7 @@
 	if s := lessee.HandleGrant(time.Second, grant(5)); s == nil || len(s.Shares) != 1 || s.Shares[0].Extra != 0.5 {
 		t.Errorf("the relay got lease %+v from a grant of the newest leader, want one share with Extra 0.5", s)
 	}
-	allocator := NewAllocator(Options{MinimumSum: 0.25, LeaseDuration: 2 * time.Second, ServeAlone: true}, 5, 0)
+	allocator := NewAllocator(Options{MinimumSum: 0.25, LeaseDuration: 2 * time.Second, ServeWhenPartitioned: true}, 5, 0)
 	allocator.SetRoster([]string{"a"})
 	demands := EncodeDemands([]Demand{{Key: 7, Rate: 1, Value: 1}})
 	allocator.HandleRequest(time.Millisecond, "a", 1, &Request{NewestTerm: 4, Demands: demands})
--- a/internal/relay/fleet/quota/requests.go
+++ b/internal/relay/fleet/quota/requests.go
@@ -21,8 +21,8 @@
 	relay.heardAt = now
 	relay.zone = r.Zone
 	relay.updateDemands(now, r)
-	knowsTerm := r.NewestTerm == l.term                                                 // before that the relay may still accept a grant of a former leader
-	if l.options.ServeAlone && !relay.reported && relay.firstIncarnation && knowsTerm { // its minimum does not expire
+	knowsTerm := r.NewestTerm == l.term                                                           // before that the relay may still accept a grant of a former leader
+	if l.options.ServeWhenPartitioned && !relay.reported && relay.firstIncarnation && knowsTerm { // its minimum does not expire
 		relay.lastingMinimum = max(relay.lastingMinimum, toUnits(fromFloat16(r.Minimum)))
 	}
 	switch {
--- a/internal/relay/fleet/simulation/explore.go
+++ b/internal/relay/fleet/simulation/explore.go
@@ -125,5 +125,5 @@
 		}
 		stuck = stuck || sum < 0.9
 	}
-	return checker.Judge(x.History, checker.Options{}), stuck
+	return checker.Check(x.History, checker.Options{}), stuck
 }
--- a/internal/relay/fleet/simulation/random.go
+++ b/internal/relay/fleet/simulation/random.go
@@ -265,7 +265,7 @@
 		run.History = append(run.History, e)
 	}
 	res.Changes, res.History = len(run.proposals), run.History
-	res.Breach = checker.Judge(run.History, checker.Options{})
+	res.Breach = checker.Check(run.History, checker.Options{})
 }
 
 // runningVoters counts the voters that run and are not paused.
--- a/internal/relay/fleet/simulation/scenario_test.go
+++ b/internal/relay/fleet/simulation/scenario_test.go
@@ -43,7 +43,7 @@
 // requireNoBreach fails the test if the history has a breach.
 func requireNoBreach(t *testing.T, world *World) {
 	t.Helper()
-	if b := checker.Judge(world.History, checker.Options{}); b != nil {
+	if b := checker.Check(world.History, checker.Options{}); b != nil {
 		t.Fatal(b)
 	}
 }
--- a/internal/relay/fleet/simulation/shared_bound_test.go
+++ b/internal/relay/fleet/simulation/shared_bound_test.go
@@ -25,7 +25,7 @@
 			run.injectSharedFault()
 		}
 		run.recoverShared()
-		if b := checker.Judge(run.History, checker.Options{ServePartitioned: run.ServeWhenPartitioned}); b != nil {
+		if b := checker.Check(run.History, checker.Options{ServePartitioned: run.ServeWhenPartitioned}); b != nil {
 			t.Fatalf("seed %d (serve %v): %v", seed, run.ServeWhenPartitioned, b)
 		}
 		_, sum := run.shares()
--- a/internal/relay/fleet/testcluster/admin.go
+++ b/internal/relay/fleet/testcluster/admin.go
@@ -15,7 +15,7 @@
 func (f *Fleet) Admin(r *Relay, request node.AdminRequest, timeout time.Duration) (*node.Status, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	status, err := peer.Ask(ctx, f.adminPeers[r.Name], request)
+	status, err := peer.SendAdminRequest(ctx, f.adminPeers[r.Name], request)
 	if err == nil {
 		f.recordStatus(r, status)
 	}
--- a/internal/relay/fleet/testcluster/history.go
+++ b/internal/relay/fleet/testcluster/history.go
@@ -54,7 +54,7 @@
 	res.History = f.history
 	res.StaleActs, res.MaxStaleness = checker.CountStaleActs(f.history)
 	// On a busy machine a call may be recorded a little after its start. A relay that acts in violation of a rule does so for longer.
-	res.Breach = checker.Judge(f.history, checker.Options{Slack: clockSlack, ServePartitioned: f.plan.WhenPartitioned == "serve",
+	res.Breach = checker.Check(f.history, checker.Options{Slack: clockSlack, ServePartitioned: f.plan.WhenPartitioned == "serve",
 		AllMustEnd: res.Stuck == "", Bounds: f.allBounds()})
 }
 
--- a/internal/relay/platform/front.go
+++ b/internal/relay/platform/front.go
@@ -16,8 +16,8 @@
 // Name is this front's name in the journal and in captures: it must not change.
 const Name = "platform"
 
-// Guard declares the headers that plug-ins must not set since the protocol uses them. Id, key and body are forwarded unchanged.
-var Guard = rules.Front{Name: Name, Owned: []string{"Idempotency-Key", "Retry-After", "X-Envelope", "X-No-Slot", "X-Policy-Version", "X-Request-Id",
+// PluginHeaders declares the headers that plug-ins must not set since the protocol uses them. Id, key and body are forwarded unchanged.
+var PluginHeaders = rules.Front{Name: Name, Owned: []string{"Idempotency-Key", "Retry-After", "X-Envelope", "X-No-Slot", "X-Policy-Version", "X-Request-Id",
 	"X-Retried", "X-Server-Load", "X-Timeout"}}
 
 // Front is an engine.Front of the platform's protocol.
--- a/internal/relay/simulator/call.go
+++ b/internal/relay/simulator/call.go
@@ -62,7 +62,7 @@
 	r.relays[i].inFlight[a.ID] = n
 	r.Stats.recordCall()
 	r.schedule(r.now+r.networkDelay(i, e, true), eventCallArrival, n, 0)
-	r.schedule(r.now+a.For, eventCallTimeout, n, c.generation)
+	r.schedule(r.now+a.Duration, eventCallTimeout, n, c.generation)
 }
 
 // respond sends the response to call n to its relay, which receives it one network delay later.
--- a/internal/relay/simulator/client.go
+++ b/internal/relay/simulator/client.go
@@ -68,7 +68,7 @@
 		return
 	}
 	r.Stats.recordRefusal()
-	r.resubmit(sub.message, i, a.For)
+	r.resubmit(sub.message, i, a.Duration)
 }
 
 // finishMessage records the outcome of message m for its client; later outcomes of the message are ignored.
--- a/internal/relay/simulator/experiment/experiment.go
+++ b/internal/relay/simulator/experiment/experiment.go
@@ -79,8 +79,8 @@
 	return all
 }
 
-// Policies returns the names of all policies, sorted.
-func Policies() (all []string) {
+// PolicyNames returns the names of all policies, sorted.
+func PolicyNames() (all []string) {
 	for k := range policy.ByName {
 		all = append(all, k)
 	}
@@ -101,7 +101,7 @@
 func (x *Experiment) validate() error {
 	for _, p := range x.Policies {
 		if policy.ByName[p] == nil {
-			return &simulator.FileError{Key: "policies", Reason: fmt.Sprintf("%q is not one of %s", p, strings.Join(Policies(), ", "))}
+			return &simulator.FileError{Key: "policies", Reason: fmt.Sprintf("%q is not one of %s", p, strings.Join(PolicyNames(), ", "))}
 		}
 	}
 	if len(x.Policies) == 0 || len(x.Seeds) == 0 {
--- a/internal/relay/simulator/fullrelay/fullrelay.go
+++ b/internal/relay/simulator/fullrelay/fullrelay.go
@@ -128,7 +128,7 @@
 		case response := <-a.reply:
 			switch response.Verdict {
 			case engine.Busy:
-				c.actions = append(c.actions, control.Action{Kind: control.Refuse, ID: a.id, For: response.RetryAfter})
+				c.actions = append(c.actions, control.Action{Kind: control.Refuse, ID: a.id, Duration: response.RetryAfter})
 			case engine.Failed, engine.Rejected:
 				c.actions = append(c.actions, control.Action{Kind: control.Fail, ID: a.id})
 			}
@@ -163,7 +163,7 @@
 	endpoint, _ := strconv.ParseUint(attempt.To.Name[1:], 10, 32)
 	c.calls[id] = done
 	attempt.MayWriteAt(c.wallTime(c.now))
-	c.actions = append(c.actions, control.Action{Kind: control.Send, ID: id, Endpoint: uint32(endpoint), For: until.Sub(c.wallTime(c.now))})
+	c.actions = append(c.actions, control.Action{Kind: control.Send, ID: id, Endpoint: uint32(endpoint), Duration: until.Sub(c.wallTime(c.now))})
 	return func() {
 		if c.calls[id] != nil {
 			c.actions = append(c.actions, control.Action{Kind: control.Cancel, ID: id})
@@ -183,7 +183,7 @@
 		c.notified[id] = true
 		action := control.Action{Kind: control.Fail, ID: id}
 		if notice.HandedBack {
-			action.Kind, action.For = control.Refuse, notice.RetryAfter
+			action.Kind, action.Duration = control.Refuse, notice.RetryAfter
 		}
 		c.actions = append(c.actions, action)
 	}
--- a/internal/relay/simulator/loadtest/loadtest.go
+++ b/internal/relay/simulator/loadtest/loadtest.go
@@ -183,8 +183,8 @@
 // Behavior returns how an endpoint answers calls now.
 func (l *LoadTest) Behavior(endpoint int) Behavior { return *l.behaviors[endpoint].Load() }
 
-// List publishes the status of an endpoint of a partner through discovery.
-func (l *LoadTest) List(endpoint, partner int, status string) {
+// PublishStatus publishes the status of an endpoint of a partner through discovery.
+func (l *LoadTest) PublishStatus(endpoint, partner int, status string) {
 	l.discovery.PublishUpdate(l.endpoints.Entry(endpoint, partner, "news-groups", "a", status))
 }
 
--- a/internal/relay/simulator/policy/policy.go
+++ b/internal/relay/simulator/policy/policy.go
@@ -173,7 +173,7 @@
 // idempotent.
 func (p *Simple) mayBeSent(m *pendingMessage) bool {
 	c := &p.settings.Classes[m.class]
-	return p.now < m.deadline && (!m.mayHaveRun || c.Effect == control.Safe || c.Effect == control.Keyed && p.now < m.mayHaveRunAt+c.Memory)
+	return p.now < m.deadline && (!m.mayHaveRun || c.Effect == control.Safe || c.Effect == control.Keyed && p.now < m.mayHaveRunAt+c.DedupWindow)
 }
 
 // refuse drops a message. It fails the message if an attempt may have run and the class is unsafe, otherwise the client may resubmit it.
@@ -182,7 +182,7 @@
 	if m.mayHaveRun && p.settings.Classes[m.class].Effect == control.Unsafe {
 		return append(out, control.Action{Kind: control.Fail, ID: m.id})
 	}
-	return append(out, control.Action{Kind: control.Refuse, ID: m.id, For: time.Second})
+	return append(out, control.Action{Kind: control.Refuse, ID: m.id, Duration: time.Second})
 }
 
 // handleList updates the states of the listed endpoints; endpoints missing from a complete list are removed.
@@ -239,7 +239,7 @@
 		p.inFlight++
 		target.inFlight++
 		timeout := min(p.options.Timeout, message.deadline-p.now)
-		out = append(out, control.Action{Kind: control.Send, ID: message.id, Endpoint: target.id, For: timeout})
+		out = append(out, control.Action{Kind: control.Send, ID: message.id, Endpoint: target.id, Duration: timeout})
 	}
 	p.queue = unsent
 	if wakeAt != 0 {
--- a/internal/relay/simulator/relay.go
+++ b/internal/relay/simulator/relay.go
@@ -95,7 +95,7 @@
 	binary.LittleEndian.PutUint64(b[8:], uint64(i)<<8|uint64(a.Kind))
 	binary.LittleEndian.PutUint64(b[16:], a.ID)
 	binary.LittleEndian.PutUint64(b[24:], uint64(a.Endpoint)<<32|uint64(uint32(a.Attempt)))
-	binary.LittleEndian.PutUint64(b[32:], uint64(a.For))
+	binary.LittleEndian.PutUint64(b[32:], uint64(a.Duration))
 	binary.LittleEndian.PutUint64(b[40:], uint64(a.At))
 	_, _ = r.hash.Write(b)
 	re := &r.relays[i]
--- a/internal/relay/simulator/sharing.go
+++ b/internal/relay/simulator/sharing.go
@@ -67,7 +67,7 @@
 	state := &r.sharing
 	state.Sharing, state.enabled, state.term, state.leadershipStart = config, true, 1, r.now
 	for i := range r.relays {
-		state.lessees, state.incarnations, state.endpointsByKey = append(state.lessees, &quota.Lessee{ServeAlone: config.ServeAlone}), append(state.incarnations, 1), append(state.endpointsByKey, nil)
+		state.lessees, state.incarnations, state.endpointsByKey = append(state.lessees, &quota.Lessee{ServeWhenPartitioned: config.ServeAlone}), append(state.incarnations, 1), append(state.endpointsByKey, nil)
 		state.relayNames = append(state.relayNames, string([]byte{'r', byte('0' + i/1000%10), byte('0' + i/100%10), byte('0' + i/10%10), byte('0' + i%10)}))
 		r.schedule(r.now+time.Duration(i)*time.Duration(config.Lease)/time.Duration(requestsPerLease*len(r.relays)), eventQuotaRequestDue, int32(i), 0)
 	}
@@ -76,7 +76,7 @@
 // resetRelay drops a restarted relay's lease and gives the relay a new incarnation.
 func (s *limitSharing) resetRelay(i int32) {
 	if s.enabled {
-		s.lessees[i] = &quota.Lessee{ServeAlone: s.ServeAlone}
+		s.lessees[i] = &quota.Lessee{ServeWhenPartitioned: s.ServeAlone}
 		s.incarnations[i]++
 	}
 }
@@ -163,7 +163,7 @@
 	}
 	if sharing.allocator == nil {
 		maxLease := time.Duration(float64(sharing.Lease)*(1+sharing.ClockDrift)) + time.Millisecond
-		sharing.allocator = quota.NewAllocator(quota.Options{MinimumSum: sharing.GuaranteedShare, LeaseDuration: maxLease, ServeAlone: sharing.ServeAlone}, sharing.term, r.now)
+		sharing.allocator = quota.NewAllocator(quota.Options{MinimumSum: sharing.GuaranteedShare, LeaseDuration: maxLease, ServeWhenPartitioned: sharing.ServeAlone}, sharing.term, r.now)
 		sharing.allocator.SetRoster(sharing.relayNames)
 	}
 	sharing.allocator.HandleRequest(r.now, sharing.relayNames[env.relay], env.incarnation, env.request)
--- a/internal/relay/simulator/world.go
+++ b/internal/relay/simulator/world.go
@@ -125,15 +125,15 @@
 		MaxRetryAfter: time.Duration(w.MaxRetryAfter), DrainGrace: time.Duration(w.DrainGrace), SlowStartShare: slowStartShare, SlowStart: 14 * time.Second,
 		OverloadWindow: overloadWindow, OverloadMultiple: overloadMultiple, ConnIdle: 15 * time.Second}
 	for _, p := range w.Partners {
-		s.Kinds = append(s.Kinds, control.Kind{SeparateRoutes: p.SeparateRoutes, PerCall: 1})
+		s.Kinds = append(s.Kinds, control.Kind{SeparateRoutes: p.SeparateRoutes, MaxMessagesPerCall: 1})
 	}
 	for _, c := range w.Classes {
-		class := control.Class{Name: c.Name, LatencyTarget: time.Duration(c.LatencyTarget), Deadline: time.Duration(c.Deadline), Value: c.Value, LateValue: 0.5, Memory: max(time.Duration(c.DedupWindow)-dedupMargin, 0)}
+		class := control.Class{Name: c.Name, LatencyTarget: time.Duration(c.LatencyTarget), Deadline: time.Duration(c.Deadline), Value: c.Value, LateValue: 0.5, DedupWindow: max(time.Duration(c.DedupWindow)-dedupMargin, 0)}
 		switch c.Effect {
 		case "safe":
 			class.Effect = control.Safe
 		case "keyed":
-			class.Effect, class.Group = control.Keyed, control.GroupAll
+			class.Effect, class.DedupScope = control.Keyed, control.DedupPerDestination
 		default:
 			class.Effect = control.Unsafe
 		}
--- a/internal/relay/wire/settings.go
+++ b/internal/relay/wire/settings.go
@@ -163,12 +163,12 @@
 // number.
 func (in *setup) kinds() (kinds []control.Kind) {
 	for i := range max(len(in.KindNames), len(in.FamilyInfo.KindApart), len(in.FamilyInfo.PerCall)) {
-		kind := control.Kind{PerCall: 1}
+		kind := control.Kind{MaxMessagesPerCall: 1}
 		if i < len(in.FamilyInfo.KindApart) {
 			kind.SeparateRoutes = in.FamilyInfo.KindApart[i]
 		}
 		if i < len(in.FamilyInfo.PerCall) {
-			kind.PerCall = in.FamilyInfo.PerCall[i]
+			kind.MaxMessagesPerCall = in.FamilyInfo.PerCall[i]
 		}
 		kinds = append(kinds, kind)
 	}
@@ -212,7 +212,7 @@
 // class converts a lane to the decision module's class. A missing effect or group has the most restrictive meaning.
 func (l *lane) class() control.Class {
 	class := control.Class{Name: l.Name, LatencyTarget: microseconds(l.LatencyTarget), Deadline: microseconds(l.Deadline), Value: l.Value,
-		LateValue: l.LateValue, Memory: microseconds(l.Memory), InOrder: l.InOrder}
+		LateValue: l.LateValue, DedupWindow: microseconds(l.Memory), InOrder: l.InOrder}
 	switch l.Effect {
 	case "pure":
 		class.Effect = control.Safe
@@ -221,9 +221,9 @@
 	}
 	switch l.Group {
 	case "all":
-		class.Group = control.GroupAll
+		class.DedupScope = control.DedupPerDestination
 	case "zone":
-		class.Group = control.GroupZone
+		class.DedupScope = control.DedupPerZone
 	}
 	return class
 }
--- a/internal/relay/wire/wire_test.go
+++ b/internal/relay/wire/wire_test.go
@@ -172,12 +172,12 @@
 		t.Fatal(err)
 	}
 	a := set.Classes[0]
-	if a.Effect != control.Keyed || a.Group != control.GroupZone || !a.InOrder || a.Memory != 15*time.Second ||
+	if a.Effect != control.Keyed || a.DedupScope != control.DedupPerZone || !a.InOrder || a.DedupWindow != 15*time.Second ||
 		set.Classes[1].Effect != control.Safe || set.Classes[2].Effect != control.Unsafe {
 		t.Errorf("classes: %+v", set.Classes)
 	}
 	if !set.MustSubscribe || set.Slots != 12 || set.SlowStart != 14*time.Second || set.InDoubtDelay != 700*time.Millisecond ||
-		set.MaxRetryAfter != 2*time.Second || !set.Kinds[0].SeparateRoutes || set.Kinds[0].PerCall != 5 {
+		set.MaxRetryAfter != 2*time.Second || !set.Kinds[0].SeparateRoutes || set.Kinds[0].MaxMessagesPerCall != 5 {
 		t.Errorf("settings: %+v", set)
 	}
 	for source, want := range map[string]float64{"nominal": 4, "rough": 4, "off": 0, "live": 0} {
--- a/internal/tier/balancer/affinity_test.go
+++ b/internal/tier/balancer/affinity_test.go
@@ -10,7 +10,7 @@
 // turnRequest returns a streaming request for one turn of a program with the given affinity key.
 func turnRequest(affinityKey uint64) Request {
 	return Request{Service: "models", Route: Route{Name: "turns", Kind: model.Streaming, MaxAttempts: 1, UsesAffinity: true},
-		TimeLeft: 4 * time.Second, PrefixTokens: 2000, NewTokens: 300, OutTokens: 24, AffinityKey: affinityKey}
+		TimeLeft: 4 * time.Second, PrefixTokens: 2000, UncachedTokens: 300, OutputTokens: 24, AffinityKey: affinityKey}
 }
 
 func TestSelect_Affinity_AgreesAcrossProxies(t *testing.T) {
@@ -57,7 +57,7 @@
 func TestSelect_PreferredEndpointCongested_GoesElsewhere(t *testing.T) {
 	balancer := newBalancer(endpointsOf("models", 9, 8))
 	r := Request{Service: "models", Route: Route{Name: "turns", Kind: model.Streaming, MaxAttempts: 1, UsesAffinity: true},
-		TimeLeft: 4 * time.Second, PrefixTokens: 500, NewTokens: 300, OutTokens: 24, AffinityKey: 12345}
+		TimeLeft: 4 * time.Second, PrefixTokens: 500, UncachedTokens: 300, OutputTokens: 24, AffinityKey: 12345}
 	preferred, elsewhere := balancer.Select(0, r).Endpoint.ID, false
 	for range 12 {
 		d := balancer.Select(0, r)
--- a/internal/tier/balancer/cost.go
+++ b/internal/tier/balancer/cost.go
@@ -19,9 +19,9 @@
 		factor += warmUpPenalty
 	}
 	cost := expected*factor + e.zonePenalty
-	if sel.request.OutTokens > 0 {
+	if sel.request.OutputTokens > 0 {
 		servicePace := e.service.work.pace.perToken(priorSecondsPerOutputToken)
-		cost += float64(sel.request.OutTokens) * e.pace.perToken(servicePace) * factor
+		cost += float64(sel.request.OutputTokens) * e.pace.perToken(servicePace) * factor
 	}
 	return cost + sel.affinityPenalty(e, inFlight)
 }
--- a/internal/tier/balancer/outcome.go
+++ b/internal/tier/balancer/outcome.go
@@ -163,10 +163,10 @@
 
 // recordOutputPace records the time per generated token of a complete stream.
 func (b *Balancer) recordOutputPace(a *Attempt, o Outcome) {
-	if !a.firstEventSeen || o.Tokens <= 1 {
+	if !a.firstEventSeen || o.OutputTokens <= 1 {
 		return
 	}
-	took, tokens := (b.now - a.firstEventAt).Seconds(), float64(o.Tokens)
+	took, tokens := (b.now - a.firstEventAt).Seconds(), float64(o.OutputTokens)
 	a.endpoint.pace.add(b.now, took, tokens)
 	a.endpoint.service.work.pace.add(b.now, took, tokens)
 }
--- a/internal/tier/balancer/properties_test.go
+++ b/internal/tier/balancer/properties_test.go
@@ -79,7 +79,7 @@
 	r.Route.UsesAffinity = rapid.Bool().Draw(t, "uses affinity")
 	r.MayHaveRun = r.AttemptsUsed > 0 && rapid.Bool().Draw(t, "may have run")
 	if rapid.Bool().Draw(t, "stream") {
-		r.Route.Kind, r.NewTokens, r.OutTokens = model.Streaming, rapid.IntRange(0, 2000).Draw(t, "tokens"), 24
+		r.Route.Kind, r.UncachedTokens, r.OutputTokens = model.Streaming, rapid.IntRange(0, 2000).Draw(t, "tokens"), 24
 	}
 	for _, e := range w.list {
 		if len(r.Excluded) < 3 && rapid.IntRange(0, 6).Draw(t, "excluded") == 0 {
--- a/internal/tier/balancer/request.go
+++ b/internal/tier/balancer/request.go
@@ -33,10 +33,10 @@
 	// Excluded holds the IDs of endpoints that the request must not be sent to, as it has been sent there before.
 	Excluded []string
 
-	AffinityKey  uint64 // hash of the request's program, session or subject; 0: none
-	PrefixTokens int    // prompt tokens cached by an endpoint that has recently served this AffinityKey
-	NewTokens    int    // prompt tokens that no endpoint has cached
-	OutTokens    int    // tokens to be generated
+	AffinityKey    uint64 // hash of the request's program, session or subject; 0: none
+	PrefixTokens   int    // prompt tokens cached by an endpoint that has recently served this AffinityKey
+	UncachedTokens int    // prompt tokens that no endpoint has cached
+	OutputTokens   int    // tokens to be generated
 }
 
 // Decision says to which endpoint an attempt is sent and how long it may last, or why the request is rejected.
@@ -95,10 +95,10 @@
 
 // Outcome describes the end of an attempt.
 type Outcome struct {
-	Kind    OutcomeKind
-	Elapsed time.Duration // from Sent to the end
-	Load    Load
-	Tokens  int // generated tokens
+	Kind         OutcomeKind
+	Elapsed      time.Duration // from Sent to the end
+	Load         Load
+	OutputTokens int // generated tokens
 }
 
 // Attempt is the balancer's record of an attempt. The caller must copy it from the Decision, and pass a pointer to the same copy to
--- a/internal/tier/balancer/selection.go
+++ b/internal/tier/balancer/selection.go
@@ -62,7 +62,7 @@
 	}
 	decision := sel.decide(svc, e)
 	decision.Attempt.route, decision.Attempt.routeName = route, r.Route.Name
-	decision.Attempt.promptTokens, decision.Attempt.outputTokens = float64(r.NewTokens), float64(r.OutTokens)
+	decision.Attempt.promptTokens, decision.Attempt.outputTokens = float64(r.UncachedTokens), float64(r.OutputTokens)
 	return decision
 }
 
@@ -72,7 +72,7 @@
 	if sel.retryable = r.Retryable; !sel.retryable {
 		sel.attemptsLeft = 1
 	}
-	work := svc.work.predict(sel.plan.kind, route, float64(r.NewTokens))
+	work := svc.work.predict(sel.plan.kind, route, float64(r.UncachedTokens))
 	sel.workScale = work / workUnit.Seconds()
 	sel.plan.refresh(b.now, sel.attemptsLeft)
 	return sel
--- a/internal/tier/balancer/stream_simulation_test.go
+++ b/internal/tier/balancer/stream_simulation_test.go
@@ -147,7 +147,7 @@
 		p, startedAt := policies[sim.arrivalRandom.IntN(proxies)], sim.now
 		i, _, a := p.selectEndpoint(sim.now, Request{Service: "models", TimeLeft: 4 * time.Second, AffinityKey: mix(session),
 			Route:        Route{Name: "turns", Kind: model.Streaming, MaxAttempts: 1, UsesAffinity: true},
-			PrefixTokens: history - 500, NewTokens: 500, OutTokens: outputTokens})
+			PrefixTokens: history - 500, UncachedTokens: 500, OutputTokens: outputTokens})
 		if i < 0 {
 			return
 		}
@@ -158,7 +158,7 @@
 			p.firstEvent(sim.now, i, a, l)
 		}
 		g.done = func(o Outcome) {
-			o.Elapsed, o.Tokens = sim.now-startedAt, outputTokens
+			o.Elapsed, o.OutputTokens = sim.now-startedAt, outputTokens
 			t.complete = append(t.complete, o.Elapsed.Seconds())
 			p.done(sim.now, i, a, o)
 			if number < turns {
--- a/internal/tier/command/process.go
+++ b/internal/tier/command/process.go
@@ -63,7 +63,7 @@
 	logger := log.With(env.Logger, "role", role, "node", loaded.NodeName)
 	p := &process{settings: loaded, logger: logger, pool: transport.NewPoolOn(env.Network), seed: seedOf(loaded.NodeName, role), env: env,
 		invariants: invariant.New(logger), metrics: metrics.New()}
-	p.pool.Measure(p.metrics)
+	p.pool.SetMeter(p.metrics)
 	return p, nil
 }
 
--- a/internal/tier/command/start.go
+++ b/internal/tier/command/start.go
@@ -39,7 +39,7 @@
 
 // listen opens the process's listener for other processes. The process before may still use its address.
 func (p *process) listen(ctx context.Context, address string, handlers *transport.Handlers) (server *transport.Server, err error) {
-	handlers.Measure(p.metrics)
+	handlers.SetMeter(p.metrics)
 	err = p.retryStart(ctx, "address of the link", func() error {
 		server, err = transport.ListenOn(p.env.Network, address, handlers, p.logger)
 		return err
--- a/internal/tier/controller/api_redirect.go
+++ b/internal/tier/controller/api_redirect.go
@@ -22,7 +22,7 @@
 	}
 	address := c.controlAddress(status.Leader)
 	if !isMember(status) {
-		address = cmp.Or(c.peerControlAddress(), c.controlAddress(status.Informant))
+		address = cmp.Or(c.peerControlAddress(), c.controlAddress(status.ExclusionReporter))
 	}
 	if address == "" {
 		return true, apierror.New(apierror.NotReady, "no leader of the configuration group is known now")
--- a/internal/tier/controller/api_rollouts.go
+++ b/internal/tier/controller/api_rollouts.go
@@ -57,9 +57,9 @@
 	}
 	switch result {
 	case rollout.Accepted:
-		level.Info(c.options.Logger).Log("msg", "roll-out accepted", "service", proposal.Service, "target", proposal.Target, "overMs", proposal.OverMs)
+		level.Info(c.options.Logger).Log("msg", "roll-out accepted", "service", proposal.Service, "target", proposal.Target, "overMs", proposal.DurationMs)
 		return e.NoContent(http.StatusOK)
-	case rollout.InProgress:
+	case rollout.AnotherInService:
 		return apierror.New(apierror.OperationInProgress, "another version of %s is being rolled out", proposal.Service)
 	}
 	return apierror.New(apierror.Internal, "the committed proposal has no known result")
@@ -67,8 +67,8 @@
 
 // rolloutProposal converts a request to a proposal.
 func (c *Controller) rolloutProposal(body *rolloutRequest) *rollout.Proposal {
-	proposal := rollout.Proposal{Service: body.Service, Target: body.Target, OverMs: int64(math.Round(1000 * body.OverS)),
-		AtMs: c.options.Now().UnixMilli(), DedupExpiredIndex: c.dedupExpiredIndex()}
+	proposal := rollout.Proposal{Service: body.Service, Target: body.Target, DurationMs: int64(math.Round(1000 * body.OverS)),
+		ProposedAtMs: c.options.Now().UnixMilli(), DedupExpiredIndex: c.dedupExpiredIndex()}
 	bounds := rollout.Bounds{Share: c.options.Settings.Bounds.BadVersionMaxShare(), Slack: c.options.Settings.Bounds.BadVersionSlack()}
 	proposal = proposal.WithBounds(bounds, c.proxyCount())
 	return &proposal
--- a/internal/tier/controller/api_test.go
+++ b/internal/tier/controller/api_test.go
@@ -267,7 +267,7 @@
 	wantState(rollout.InService)
 	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
-	decision := &rollout.Decision{Service: "lm", Target: "v2", Order: f.newestRollout("lm").Index, State: rollout.Finished}
+	decision := &rollout.Decision{Service: "lm", Target: "v2", ProposalIndex: f.newestRollout("lm").Index, State: rollout.Finished}
 	if _, err := f.group.Propose(ctx, Command{RolloutDecision: decision}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/tier/controller/dedup.go
+++ b/internal/tier/controller/dedup.go
@@ -19,7 +19,7 @@
 func (s *StateMachine) dedupEntries() []dedup.AcceptedOrder {
 	var accepted []dedup.AcceptedOrder
 	for _, proposal := range s.rollouts.RecentProposals() {
-		accepted = append(accepted, dedup.AcceptedOrder{Index: proposal.Index, AcceptedAtMs: proposal.AtMs})
+		accepted = append(accepted, dedup.AcceptedOrder{Index: proposal.Index, AcceptedAtMs: proposal.ProposedAtMs})
 	}
 	for _, operation := range s.decommissions.Operations() {
 		accepted = append(accepted, dedup.AcceptedOrder{Index: operation.Index, AcceptedAtMs: operation.AtMs})
--- a/internal/tier/controller/order_runs_test.go
+++ b/internal/tier/controller/order_runs_test.go
@@ -76,10 +76,10 @@
 		}
 		snapshot := m.controller.state.rollouts.Snapshot()
 		for _, started := range snapshot.Rollouts {
-			s.add(started.Service, started.Target, started.OverMs, started.Index)
+			s.add(started.Service, started.Target, started.DurationMs, started.Index)
 		}
 		for _, recent := range snapshot.Recent { // a roll-out may have been replaced between two observations
-			s.add(recent.Service, recent.Target, recent.OverMs, recent.Index)
+			s.add(recent.Service, recent.Target, recent.DurationMs, recent.Index)
 		}
 	}
 }
--- a/internal/tier/controller/reconciler.go
+++ b/internal/tier/controller/reconciler.go
@@ -84,7 +84,7 @@
 		return Actions{}
 	}
 	r.observePlacement(now, observed.Committed.placementIndex)
-	actions := Actions{GroupMembers: r.desiredControllers(now, observed.Group), Unmet: r.policy.Unmet(observed.Committed.placement)}
+	actions := Actions{GroupMembers: r.desiredControllers(now, observed.Group), Unmet: r.policy.UnmetLosses(observed.Committed.placement)}
 	if proposal := r.desiredPlacement(now, observed.Committed); proposal != nil {
 		actions.Commands = append(actions.Commands, Command{Placement: proposal})
 		return actions
@@ -95,7 +95,7 @@
 			actions.Commands = append(actions.Commands, Command{DecommissionDecision: r.finishDecommission(operation, observed.Committed)})
 		}
 	}
-	if len(active) > 0 || r.tracker.HasUnseen(observed.Committed.placement) {
+	if len(active) > 0 || r.tracker.HasUnseenStore(observed.Committed.placement) {
 		actions.StoresToQuery = r.storeAddresses()
 	}
 	return actions
@@ -160,7 +160,7 @@
 	if !r.tracker.HasCompleteView(now, r.tracker.Term()) || now.Sub(r.placementChangedAt) < balanceInterval || len(committed.decommissions.Active()) > 0 {
 		return false
 	}
-	return r.tracker.IsSettled(now, committed.placement)
+	return r.tracker.HasStableStores(now, committed.placement)
 }
 
 // isDrained reports whether nothing depends on a store any more, by the reports that are recent enough.
--- a/internal/tier/controller/rollout_analysis.go
+++ b/internal/tier/controller/rollout_analysis.go
@@ -60,7 +60,7 @@
 	c.mutex.Unlock()
 	elapsed := commitDelay + max(seenFor, knownFor)
 	if knownFor == 0 && seenFor >= reportTimeout {
-		return max(elapsed, c.options.Now().Sub(time.UnixMilli(current.AtMs)))
+		return max(elapsed, c.options.Now().Sub(time.UnixMilli(current.ProposedAtMs)))
 	}
 	return elapsed
 }
@@ -69,7 +69,7 @@
 func (c *Controller) proposeDecision(ctx context.Context, current rollout.Rollout, state rollout.State, target, baseline rollout.Stats) {
 	bounded, cancel := context.WithTimeout(ctx, decideTimeout)
 	defer cancel()
-	decision := &rollout.Decision{Service: current.Service, Target: current.Target, Order: current.Index, State: state}
+	decision := &rollout.Decision{Service: current.Service, Target: current.Target, ProposalIndex: current.Index, State: state}
 	if _, err := c.group.Propose(bounded, Command{RolloutDecision: decision}); err != nil {
 		level.Warn(c.options.Logger).Log("msg", "roll-out decision failed, retrying", "service", current.Service, "target", current.Target,
 			"state", state, "err", err)
--- a/internal/tier/controller/rollout_duplicates_test.go
+++ b/internal/tier/controller/rollout_duplicates_test.go
@@ -120,7 +120,7 @@
 	}
 	for _, active := range leader.controller.state.rollouts.Active() {
 		state := []rollout.State{rollout.Finished, rollout.Reverted}[c.random.IntN(2)]
-		decision := &rollout.Decision{Service: active.Service, Target: active.Target, Order: active.Index, State: state}
+		decision := &rollout.Decision{Service: active.Service, Target: active.Target, ProposalIndex: active.Index, State: state}
 		leader.controller.Group().ProposeAsync(Command{RolloutDecision: decision}, func(any, error) {})
 	}
 }
--- a/internal/tier/controller/rollout_late_duplicate_test.go
+++ b/internal/tier/controller/rollout_late_duplicate_test.go
@@ -82,7 +82,7 @@
 func (c rolloutOrders) decide(state rollout.State) {
 	c.t.Helper()
 	newest, _ := c.leader().controller.state.rollouts.Rollout("lm")
-	c.commit(Command{RolloutDecision: &rollout.Decision{Service: "lm", Target: newest.Target, Order: newest.Index, State: state}})
+	c.commit(Command{RolloutDecision: &rollout.Decision{Service: "lm", Target: newest.Target, ProposalIndex: newest.Index, State: state}})
 }
 
 func (c rolloutOrders) wantNewest(target string, state rollout.State) {
--- a/internal/tier/controller/rollout_test.go
+++ b/internal/tier/controller/rollout_test.go
@@ -66,7 +66,7 @@
 			// Given an order, the time when this process applied it, and a proxy's report.
 			f := newClockedFixture(t)
 			f.now = time.Hour - test.seen
-			proposal := &rollout.Proposal{Service: "lm", Target: "v2", OverMs: 12000, AtMs: timeOfDayAt(time.Hour - test.age).UnixMilli()}
+			proposal := &rollout.Proposal{Service: "lm", Target: "v2", DurationMs: 12000, ProposedAtMs: timeOfDayAt(time.Hour - test.age).UnixMilli()}
 			if got := f.apply(t, order, Command{Rollout: proposal}); got != rollout.Accepted {
 				t.Fatalf("the result of the order is %v", got)
 			}
@@ -108,7 +108,7 @@
 	f := newClockedFixture(t)
 	window := dedupWindowLength(f.options.Settings.Bounds)
 	sent := func() int64 { return timeOfDayAt(f.now).UnixMilli() }
-	f.apply(t, 4, Command{Rollout: &rollout.Proposal{Service: "lm", Target: "v2", OverMs: 1, AtMs: sent()}})
+	f.apply(t, 4, Command{Rollout: &rollout.Proposal{Service: "lm", Target: "v2", DurationMs: 1, ProposedAtMs: sent()}})
 	f.now += time.Second
 	retired := decommissionFor("storage-1")
 	retired.AtMs = sent()
--- a/internal/tier/controller/stored_format_test.go
+++ b/internal/tier/controller/stored_format_test.go
@@ -28,10 +28,10 @@
 	return map[string]Command{
 		"configure": {Configuration: &configuration.Proposal{Base: 3, Number: 8, Raw: json.RawMessage(`{"number":8,"x":"content"}`)}},
 		"place":     {Placement: &PlacementProposal{BaseIndex: 11, DecommissionsIndex: 12, Shards: storedShards()}},
-		"rollout": {Rollout: &rollout.Proposal{Service: "a", Target: "v2", OverMs: 60000, AtMs: 1764676800123, DedupExpiredIndex: 14,
+		"rollout": {Rollout: &rollout.Proposal{Service: "a", Target: "v2", DurationMs: 60000, ProposedAtMs: 1764676800123, DedupExpiredIndex: 14,
 			TrafficShare: 0.04, InitialAllowance: 2.5}},
 		"seen":   {ObservedVersion: &rollout.ObservedVersion{Service: "a", Version: "v1"}},
-		"decide": {RolloutDecision: &rollout.Decision{Service: "a", Target: "v2", Order: 15, State: rollout.Reverted}},
+		"decide": {RolloutDecision: &rollout.Decision{Service: "a", Target: "v2", ProposalIndex: 15, State: rollout.Reverted}},
 		"retire": {Decommission: &decommission.Proposal{Store: decommission.Store{Node: "storage-1", ID: "s-1"},
 			RunningStores: []decommission.Store{{Node: "storage-2", ID: "s-2"}}, MinRemaining: 3, AtMs: 1764676801234, DedupExpiredIndex: 16}},
 		"retired": {DecommissionDecision: &decommission.Decision{Node: "storage-1", IDs: []string{"s-1", "s-9"}, PlacementIndex: 17}},
@@ -76,7 +76,7 @@
 	t.Helper()
 	machine := NewStateMachine(func() {})
 	commands := storedCommands()
-	active, running := rollout.Proposal{Service: "b", Target: "v7", OverMs: 9000, AtMs: 1764676802345, TrafficShare: 0.05, InitialAllowance: 1}, *commands["retire"].Decommission
+	active, running := rollout.Proposal{Service: "b", Target: "v7", DurationMs: 9000, ProposedAtMs: 1764676802345, TrafficShare: 0.05, InitialAllowance: 1}, *commands["retire"].Decommission
 	running.Store = decommission.Store{Node: "storage-3", ID: "s-3"}
 	running.RunningStores = []decommission.Store{{Node: "storage-4", ID: "s-4"}, {Node: "storage-5", ID: "s-5"}, {Node: "storage-6", ID: "s-6"}}
 	for _, entry := range []struct {
--- a/internal/tier/fleettest/controller.go
+++ b/internal/tier/fleettest/controller.go
@@ -199,7 +199,7 @@
 		return http.StatusPreconditionFailed
 	case configuration.NotNewer:
 		return http.StatusBadRequest
-	case rollout.InProgress, decommission.TooFewStores:
+	case rollout.AnotherInService, decommission.TooFewStores:
 		return http.StatusConflict
 	}
 	return http.StatusInternalServerError
@@ -237,7 +237,7 @@
 }
 
 func (c *controller) orderRollout(call *exchange, asked rolloutOrder) {
-	order := &rollout.Proposal{Service: asked.Service, Target: asked.Target, OverMs: asked.OverMs, AtMs: c.process.machine.nowMs()}
+	order := &rollout.Proposal{Service: asked.Service, Target: asked.Target, DurationMs: asked.OverMs, ProposedAtMs: c.process.machine.nowMs()}
 	c.propose(call, core.Command{Rollout: order})
 }
 
@@ -282,10 +282,10 @@
 	rolls := c.view().Rollouts.Rollouts
 	for _, service := range slices.Sorted(maps.Keys(rolls)) {
 		roll := rolls[service]
-		if roll.State != rollout.InService || c.process.machine.nowMs()-roll.AtMs < roll.OverMs {
+		if roll.State != rollout.InService || c.process.machine.nowMs()-roll.ProposedAtMs < roll.DurationMs {
 			continue
 		}
-		decision := &rollout.Decision{Service: service, Target: roll.Target, Order: roll.Index, State: rollout.Finished}
+		decision := &rollout.Decision{Service: service, Target: roll.Target, ProposalIndex: roll.Index, State: rollout.Finished}
 		c.replica.propose(core.Command{RolloutDecision: decision}, reconcileTimeout, func(any, error) {})
 	}
 }
--- a/internal/tier/group/compaction.go
+++ b/internal/tier/group/compaction.go
@@ -68,7 +68,7 @@
 		g.options.CompactionLock.Unlock()
 		return err
 	}
-	g.replica.GiveUpIncomingSnapshot()
+	g.replica.AbortIncomingSnapshot()
 	g.releaseReceiveSlot(false)
 	begun := &compaction{snapshot: snapshot, disk: disk, written: make(chan struct{})}
 	g.compaction = begun
--- a/internal/tier/placement/balance_test.go
+++ b/internal/tier/placement/balance_test.go
@@ -72,13 +72,13 @@
 		}
 	}
 	shards := placement.Initial(inTwoZones, policy)
-	if unmet := policy.Unmet(shards); len(unmet) != 1 || unmet[0].Kind != "zones" || unmet[0].Shards != len(shards) {
-		t.Fatalf("with two zones, Unmet returned %v, want the loss of a zone for all shards", unmet)
+	if unmet := policy.UnmetLosses(shards); len(unmet) != 1 || unmet[0].Kind != "zones" || unmet[0].Shards != len(shards) {
+		t.Fatalf("with two zones, UnmetLosses returned %v, want the loss of a zone for all shards", unmet)
 	}
 	// when the third zone has stores, then each shard gets a replica in it.
 	shards, _ = balanced(t, shards, placement.Inputs{Stores: all, Policy: policy})
-	if unmet := policy.Unmet(shards); len(unmet) != 0 {
-		t.Errorf("with three zones, Unmet returned %v, want none", unmet)
+	if unmet := policy.UnmetLosses(shards); len(unmet) != 0 {
+		t.Errorf("with three zones, UnmetLosses returned %v, want none", unmet)
 	}
 	checkShare(t, shards, all, 3)
 }
@@ -88,14 +88,14 @@
 		policy := placement.Policy{Replicas: 5, Zones: 2}
 		stores := newStores(12, zones)
 		shards := placement.Initial(stores, policy)
-		if got := policy.Unmet(shards); len(got) != want {
-			t.Errorf("with %d zones, Unmet returned %v", zones, got)
+		if got := policy.UnmetLosses(shards); len(got) != want {
+			t.Errorf("with %d zones, UnmetLosses returned %v", zones, got)
 		}
 		// The same holds after a store was lost.
 		lost := map[string]bool{stores[3].ID: true}
 		next, _ := placement.Next(shards, placement.Inputs{Stores: append(stores[:3:3], stores[4:]...), Lost: lost, Policy: policy})
-		if got := policy.Unmet(next); len(got) != want {
-			t.Errorf("with %d zones and a lost store, Unmet returned %v", zones, got)
+		if got := policy.UnmetLosses(next); len(got) != want {
+			t.Errorf("with %d zones and a lost store, UnmetLosses returned %v", zones, got)
 		}
 	}
 }
@@ -104,14 +104,14 @@
 	regionOf := map[string]string{"zone-0": "north", "zone-1": "north", "zone-2": "south", "zone-3": "east"}
 	policy := placement.Policy{Replicas: 3, Regions: 1, RegionOf: regionOf}
 	shards := placement.Initial(newStores(8, 4), policy)
-	if unmet := policy.Unmet(shards); len(unmet) != 0 {
-		t.Errorf("with three regions, Unmet returned %v, want none", unmet)
+	if unmet := policy.UnmetLosses(shards); len(unmet) != 0 {
+		t.Errorf("with three regions, UnmetLosses returned %v, want none", unmet)
 	}
-	// With two regions, one of them always has a majority of a shard's replicas, and Unmet reports it.
+	// With two regions, one of them always has a majority of a shard's replicas, and UnmetLosses reports it.
 	regionOf["zone-3"] = "south"
 	shards = placement.Initial(newStores(8, 4), policy)
-	if got := fmt.Sprint(policy.Unmet(shards)); got != "[1 regions at once: 8 shards]" {
-		t.Errorf("with two regions, Unmet returned %s", got)
+	if got := fmt.Sprint(policy.UnmetLosses(shards)); got != "[1 regions at once: 8 shards]" {
+		t.Errorf("with two regions, UnmetLosses returned %s", got)
 	}
 }
 
@@ -127,13 +127,13 @@
 		after, _ := balanced(t, before, placement.Inputs{Stores: stores, Policy: policy})
 		countUnmet := func(shards []view.ShardPlacement) int {
 			total := 0
-			for _, unmet := range policy.Unmet(shards) {
+			for _, unmet := range policy.UnmetLosses(shards) {
 				total += unmet.Shards
 			}
 			return total
 		}
 		if countUnmet(after) > countUnmet(before) {
-			t.Fatalf("fewer shards tolerate the policy's losses than before: Unmet returned %v, before %v", policy.Unmet(after), policy.Unmet(before))
+			t.Fatalf("fewer shards tolerate the policy's losses than before: UnmetLosses returned %v, before %v", policy.UnmetLosses(after), policy.UnmetLosses(before))
 		}
 		for number := range after {
 			if !cmp.Equal(before[number].Initial, after[number].Initial) {
--- a/internal/tier/placement/policy.go
+++ b/internal/tier/placement/policy.go
@@ -70,9 +70,9 @@
 	return excess
 }
 
-// Unmet lists the losses in the policy that some shards don't tolerate, because no majority of their replicas would remain. It is
+// UnmetLosses lists the losses in the policy that some shards don't tolerate, because no majority of their replicas would remain. It is
 // empty if all shards tolerate all of them.
-func (p Policy) Unmet(shards []view.ShardPlacement) []UnmetLoss {
+func (p Policy) UnmetLosses(shards []view.ShardPlacement) []UnmetLoss {
 	var unmet []UnmetLoss
 	for _, loss := range []struct {
 		kind  string
--- a/internal/tier/placement/tracker.go
+++ b/internal/tier/placement/tracker.go
@@ -114,8 +114,8 @@
 	return seen
 }
 
-// HasUnseen reports whether a store of the placement has never been observed.
-func (t *Tracker) HasUnseen(shards []view.ShardPlacement) bool {
+// HasUnseenStore reports whether a store of the placement has never been observed.
+func (t *Tracker) HasUnseenStore(shards []view.ShardPlacement) bool {
 	for _, shard := range shards {
 		if slices.ContainsFunc(shard.Replicas, func(r view.Replica) bool { return !t.HasSeen(r.ID) }) {
 			return true
@@ -127,8 +127,8 @@
 // Term returns the term in which this process leads the group, or 0 if it isn't the leader.
 func (t *Tracker) Term() uint64 { return t.term }
 
-// IsSettled reports whether all stores of the placement run and no running store was first seen less than newcomerAge ago.
-func (t *Tracker) IsSettled(now time.Time, shards []view.ShardPlacement) bool {
+// HasStableStores reports whether all stores of the placement run and no running store was first seen less than newcomerAge ago.
+func (t *Tracker) HasStableStores(now time.Time, shards []view.ShardPlacement) bool {
 	running := map[string]bool{}
 	for _, m := range t.Running(membership.Store) {
 		running[m.ID] = true
--- a/internal/tier/proxy/api.go
+++ b/internal/tier/proxy/api.go
@@ -102,7 +102,7 @@
 type Outcome struct {
 	Result      Result
 	Status      int
-	Took        time.Duration
+	Elapsed     time.Duration
 	FirstByte   time.Duration // until the first byte of the body, or the first event; 0: none was received
 	Events      int64
 	Tokens      int64
--- a/internal/tier/proxy/attempt.go
+++ b/internal/tier/proxy/attempt.go
@@ -60,7 +60,7 @@
 	if a.cancel != nil {
 		a.cancel(nil)
 	}
-	a.outcome.Took = c.proxy.options.Now().Sub(a.started)
+	a.outcome.Elapsed = c.proxy.options.Now().Sub(a.started)
 	a.outcome.Events = c.scanner.count - a.eventsBefore
 	a.outcome.Tokens = a.outcome.Events * tokensPerEvent(c.info.Service)
 	c.proxy.options.Selector.Done(a.selection, a.outcome)
--- a/internal/tier/proxy/loadbalancer.go
+++ b/internal/tier/proxy/loadbalancer.go
@@ -187,10 +187,10 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.balancer.Done(b.now(), &ticket.attempt, balancer.Outcome{
-		Kind:    outcomeKind(outcome, ticket.timeLeft),
-		Elapsed: outcome.Took,
-		Load:    parseLoad(outcome.Load),
-		Tokens:  int(outcome.Tokens),
+		Kind:         outcomeKind(outcome, ticket.timeLeft),
+		Elapsed:      outcome.Elapsed,
+		Load:         parseLoad(outcome.Load),
+		OutputTokens: int(outcome.Tokens),
 	})
 	b.dispatchAll()
 }
@@ -215,7 +215,7 @@
 	case Cancelled:
 		return balancer.NotSent
 	case ClientClosed:
-		if float64(outcome.Took) >= timeoutFraction*float64(timeLeft) {
+		if float64(outcome.Elapsed) >= timeoutFraction*float64(timeLeft) {
 			return balancer.TimedOut
 		}
 		return balancer.Cancelled
@@ -231,16 +231,16 @@
 		Service: info.Service.Name,
 		Route: balancer.Route{Name: route.Name, Priority: route.Priority, Kind: route.Kind, MaxAttempts: route.MaxAttempts,
 			UsesAffinity: route.Affinity},
-		Retryable:    retryable(route),
-		TimeLeft:     time.Until(info.Deadline),
-		AttemptsUsed: info.AttemptsUsed,
-		MayHaveRun:   info.MayHaveRun,
-		AfterTimeout: info.AfterTimeout,
-		Excluded:     info.Excluded,
-		AffinityKey:  affinityKey(info),
-		PrefixTokens: prefix,
-		NewTokens:    own,
-		OutTokens:    int(info.MaxOutputTokens),
+		Retryable:      retryable(route),
+		TimeLeft:       time.Until(info.Deadline),
+		AttemptsUsed:   info.AttemptsUsed,
+		MayHaveRun:     info.MayHaveRun,
+		AfterTimeout:   info.AfterTimeout,
+		Excluded:       info.Excluded,
+		AffinityKey:    affinityKey(info),
+		PrefixTokens:   prefix,
+		UncachedTokens: own,
+		OutputTokens:   int(info.MaxOutputTokens),
 	}
 }
 
--- a/internal/tier/proxy/loadbalancer_test.go
+++ b/internal/tier/proxy/loadbalancer_test.go
@@ -77,11 +77,11 @@
 				return
 			}
 			order <- priority
-			loadBalancer.Done(selection, Outcome{Result: Succeeded, Took: time.Millisecond})
+			loadBalancer.Done(selection, Outcome{Result: Succeeded, Elapsed: time.Millisecond})
 		})
 		awaitQueued(loadBalancer, i+1)
 	}
-	loadBalancer.Done(inFlight, Outcome{Result: Succeeded, Took: time.Millisecond})
+	loadBalancer.Done(inFlight, Outcome{Result: Succeeded, Elapsed: time.Millisecond})
 	done.Wait()
 	if diff := cmp.Diff([]int{0, 1, 2}, []int{<-order, <-order, <-order}); diff != "" {
 		t.Errorf("order (-want +got):\n%s", diff)
@@ -156,7 +156,7 @@
 	if err := <-left; !errors.Is(err, context.Canceled) {
 		t.Errorf("got %v", err)
 	}
-	loadBalancer.Done(inFlight, Outcome{Result: Succeeded, Took: time.Millisecond})
+	loadBalancer.Done(inFlight, Outcome{Result: Succeeded, Elapsed: time.Millisecond})
 	if _, err := loadBalancer.Select(t.Context(), newRequestInfo(0)); err != nil {
 		t.Errorf("the capacity was not released: %v", err)
 	}
@@ -176,10 +176,10 @@
 		{Outcome{Result: IncompleteResponse}, balancer.IncompleteResponse},
 		{Outcome{Result: TimedOut}, balancer.TimedOut},
 		{Outcome{Result: DeadlineExceeded}, balancer.TimedOut},
-		{Outcome{Result: ClientClosed, Took: left / 2}, balancer.Cancelled},
-		{Outcome{Result: ClientClosed, Took: left}, balancer.TimedOut},
+		{Outcome{Result: ClientClosed, Elapsed: left / 2}, balancer.Cancelled},
+		{Outcome{Result: ClientClosed, Elapsed: left}, balancer.TimedOut},
 		{Outcome{Result: Cancelled}, balancer.NotSent},
-		{Outcome{Result: Cancelled, Took: left}, balancer.NotSent},
+		{Outcome{Result: Cancelled, Elapsed: left}, balancer.NotSent},
 	}
 	for _, test := range cases {
 		if got := outcomeKind(test.outcome, left); got != test.want {
--- a/internal/tier/proxy/priority_test.go
+++ b/internal/tier/proxy/priority_test.go
@@ -116,11 +116,11 @@
 		info.Excluded = append(info.Excluded, selection.ID)
 		sent := time.Now()
 		if endpoint.run(priority, work) {
-			b.Done(selection, Outcome{Result: Succeeded, Took: time.Since(sent), Load: endpoint.load()})
+			b.Done(selection, Outcome{Result: Succeeded, Elapsed: time.Since(sent), Load: endpoint.load()})
 			return time.Since(info.ArrivedAt) <= time.Duration(targetMs)*time.Millisecond
 		}
 		info.RejectedBy = append(info.RejectedBy, selection.ID)
-		b.Done(selection, Outcome{Result: NotRun, Took: time.Since(sent), Load: endpoint.load()})
+		b.Done(selection, Outcome{Result: NotRun, Elapsed: time.Since(sent), Load: endpoint.load()})
 	}
 	return false
 }
--- a/internal/tier/proxy/routes.go
+++ b/internal/tier/proxy/routes.go
@@ -8,20 +8,20 @@
 
 // Routes is a configuration prepared for matching. It is immutable.
 type Routes struct {
-	Number            uint64
-	Limits            model.Limits
-	HasStatefulRoutes bool // the program stores keep the turns of some route
-	table             *model.Table
+	ConfigurationVersion uint64
+	Limits               model.Limits
+	HasStatefulRoutes    bool // the program stores keep the turns of some route
+	table                *model.Table
 }
 
 // NewRoutes prepares a configuration for matching. The caller must not change the configuration afterwards.
 func NewRoutes(configuration *model.Configuration) *Routes {
 	stateful := func(route model.Route) bool { return route.Stateful }
 	return &Routes{
-		Number:            configuration.Version,
-		Limits:            configuration.Limits,
-		HasStatefulRoutes: slices.ContainsFunc(configuration.Routes, stateful),
-		table:             model.NewTable(configuration),
+		ConfigurationVersion: configuration.Version,
+		Limits:               configuration.Limits,
+		HasStatefulRoutes:    slices.ContainsFunc(configuration.Routes, stateful),
+		table:                model.NewTable(configuration),
 	}
 }
 
--- a/internal/tier/replica/exclusion_test.go
+++ b/internal/tier/replica/exclusion_test.go
@@ -28,7 +28,7 @@
 		if got := removed.replica.Status(); len(got.Members) != 0 || got.Leader != "" {
 			t.Errorf("seed %d: the removed member has the members %v and the leader %q, want none", seed, got.Members, got.Leader)
 		}
-		if got := removed.replica.Status(); got.Informant == "" {
+		if got := removed.replica.Status(); got.ExclusionReporter == "" {
 			t.Errorf("seed %d: the removed member names no member that reported its exclusion", seed)
 		}
 		term := removed.replica.Status().Term
@@ -54,8 +54,8 @@
 	// While it is partitioned again, it soon names no member that reported its exclusion.
 	sim.isolate(removed)
 	sim.runFor((exclusionReporterElectionTimeouts + 2) * testElection)
-	if got := removed.replica.Status(); len(got.Members) != 0 || got.Informant != "" {
-		t.Errorf("while partitioned it has the members %v and names the reporter %q, want none", got.Members, got.Informant)
+	if got := removed.replica.Status(); len(got.Members) != 0 || got.ExclusionReporter != "" {
+		t.Errorf("while partitioned it has the members %v and names the reporter %q, want none", got.Members, got.ExclusionReporter)
 	}
 }
 
--- a/internal/tier/replica/snapshot_receiver.go
+++ b/internal/tier/replica/snapshot_receiver.go
@@ -33,10 +33,10 @@
 	}
 }
 
-// GiveUpIncomingSnapshot aborts the snapshot that is being received, because the caller needs its space on disk. The caller
+// AbortIncomingSnapshot aborts the snapshot that is being received, because the caller needs its space on disk. The caller
 // must not do this between a Step and the completion of its Ready. The response to the next chunk makes the leader start
 // over.
-func (r *Replica) GiveUpIncomingSnapshot() { r.incoming = incomingSnapshot{} }
+func (r *Replica) AbortIncomingSnapshot() { r.incoming = incomingSnapshot{} }
 
 // postponedSnapshot is a snapshot that the leader offered while the caller had no capacity to receive it.
 type postponedSnapshot struct {
--- a/internal/tier/replica/status.go
+++ b/internal/tier/replica/status.go
@@ -13,7 +13,7 @@
 	IsLeader          bool            // this member leads and has committed an entry of its own term
 	LeaderLastContact time.Duration   // last contact from a leader other than this member, on the clock passed to Step
 	Members           []Member        // latest configuration in the log, committed or not; empty: this member is in no group
-	Informant         string          // if Members is empty: ID of the member that recently reported this; empty: none
+	ExclusionReporter string          // if Members is empty: ID of the member that recently reported this; empty: none
 	Commit            uint64          // index of the last entry known to be committed
 	LastIndex         uint64          // index of the last entry in the log
 	CaughtUp          map[string]bool // on the leader: IDs of the members that have all but the newest entries
@@ -46,7 +46,7 @@
 		status.Members = nil
 	}
 	if r.isKnownNonMember() {
-		status.Informant = r.exclusionReporter()
+		status.ExclusionReporter = r.exclusionReporter()
 	}
 	if r.role == leader {
 		status.Leader = r.options.ID
--- a/internal/tier/rollout/analysis.go
+++ b/internal/tier/rollout/analysis.go
@@ -46,7 +46,7 @@
 	if a.rejected {
 		return Reverted
 	}
-	duration := time.Duration(rollout.OverMs) * time.Millisecond
+	duration := time.Duration(rollout.DurationMs) * time.Millisecond
 	early := max(finishEarly, time.Duration(finishEarlyShare*float64(duration)))
 	sum := target.Total()
 	switch {
--- a/internal/tier/rollout/analysis_test.go
+++ b/internal/tier/rollout/analysis_test.go
@@ -55,7 +55,7 @@
 
 // run simulates requests at random times, sends the target its share of them, and evaluates the roll-out at intervals.
 func (s *simulatedRollout) run() {
-	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: s.duration.Milliseconds()}.WithBounds(bounds, proxies), State: rollout.InService}
+	roll := rollout.Rollout{Proposal: rollout.Proposal{DurationMs: s.duration.Milliseconds()}.WithBounds(bounds, proxies), State: rollout.InService}
 	target, baseline := rollout.StatsByRoute{}, rollout.StatsByRoute{}
 	for range 200 {
 		s.answer(baseline, s.route(), false, 0)
@@ -221,7 +221,7 @@
 
 func TestAnalysis_NoRequests_FinishedByDeadline(t *testing.T) {
 	// Given a roll-out of a service that gets no requests,
-	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: 10_000}}
+	roll := rollout.Rollout{Proposal: rollout.Proposal{DurationMs: 10_000}}
 	// when its deadline is near,
 	got := rollout.NewAnalysis().Evaluate(roll, 9800*time.Millisecond, rollout.StatsByRoute{}, rollout.StatsByRoute{})
 	// then the roll-out is finished.
@@ -232,7 +232,7 @@
 
 func TestAnalysis_NoAnswers_Reverted(t *testing.T) {
 	// Given a target that has got requests and answered none,
-	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: 10_000}}
+	roll := rollout.Rollout{Proposal: rollout.Proposal{DurationMs: 10_000}}
 	target := rollout.StatsByRoute{"r": {Sent: 12}}
 	baseline := rollout.StatsByRoute{"r": {Sent: 100, Good: 99}}
 	// when the roll-out is evaluated near its deadline,
@@ -245,7 +245,7 @@
 
 func TestAnalysis_OlderReport_Ignored(t *testing.T) {
 	// Given an analysis and two states of the same stats, the newer with two bad answers, the older with one,
-	roll := rollout.Rollout{Proposal: rollout.Proposal{OverMs: 10_000}}
+	roll := rollout.Rollout{Proposal: rollout.Proposal{DurationMs: 10_000}}
 	baseline := rollout.StatsByRoute{"r": {Sent: 100, Good: 99}}
 	newer, older := rollout.StatsByRoute{"r": {Sent: 4, Good: 2, Bad: 2}}, rollout.StatsByRoute{"r": {Sent: 2, Good: 1, Bad: 1}}
 	analysis := rollout.NewAnalysis()
--- a/internal/tier/rollout/mutants_test.go
+++ b/internal/tier/rollout/mutants_test.go
@@ -50,7 +50,7 @@
 		Name: "proposals with different durations are duplicates",
 		Change: mutation.Change{
 			File: "state_machine.go",
-			Old:  "r.Service == proposal.Service && r.Target == proposal.Target && r.OverMs == proposal.OverMs",
+			Old:  "r.Service == proposal.Service && r.Target == proposal.Target && r.DurationMs == proposal.DurationMs",
 			New:  "r.Service == proposal.Service && r.Target == proposal.Target",
 		},
 		Run: "^TestStateMachine_LateDuplicates_Acknowledged$",
@@ -72,7 +72,7 @@
 		Name: "a decision applies to any roll-out of the target",
 		Change: mutation.Change{
 			File: "state_machine.go",
-			Old:  "newest.Index != decision.Order",
+			Old:  "newest.Index != decision.ProposalIndex",
 			New:  "newest.Target != decision.Target",
 		},
 		Run: "^TestStateMachine_RevertedTarget_MayBeProposedAgain",
--- a/internal/tier/rollout/proposal.go
+++ b/internal/tier/rollout/proposal.go
@@ -13,10 +13,10 @@
 // Proposal asks to move a service's traffic to the endpoints of another version. It is stored in the replicated log with
 // everything that its result depends on, since all replicas must decide the same.
 type Proposal struct {
-	Service string `json:"service"`
-	Target  string `json:"target"`
-	OverMs  int64  `json:"overMs"` // duration of the roll-out, ms
-	AtMs    int64  `json:"atMs"`   // when the leader proposed this, by its wall clock, ms since 1970
+	Service      string `json:"service"`
+	Target       string `json:"target"`
+	DurationMs   int64  `json:"overMs"` // duration of the roll-out, ms
+	ProposedAtMs int64  `json:"atMs"`   // when the leader proposed this, by its wall clock, ms since 1970
 
 	// DedupExpiredIndex is the highest log index whose dedup window has ended by the leader's clocks: duplicates of proposals
 	// accepted up to it are no longer expected.
@@ -62,10 +62,10 @@
 
 // Decision ends a roll-out. It is stored in the replicated log.
 type Decision struct {
-	Service string `json:"service"`
-	Target  string `json:"target"`
-	Order   uint64 `json:"order"` // log index of the roll-out's proposal; the target alone isn't unique, since it may be proposed again
-	State   State  `json:"state"` // Finished or Reverted
+	Service       string `json:"service"`
+	Target        string `json:"target"`
+	ProposalIndex uint64 `json:"order"` // log index of the roll-out's proposal; the target alone isn't unique, since it may be proposed again
+	State         State  `json:"state"` // Finished or Reverted
 }
 
 // Result is the outcome of a proposal.
@@ -73,6 +73,6 @@
 
 // The results of ApplyProposal.
 const (
-	Accepted   Result = "taken"     // this proposal was accepted now, or it is a duplicate of one that was accepted
-	InProgress Result = "under_way" // rejected: another roll-out of the service is in service
+	Accepted         Result = "taken"     // this proposal was accepted now, or it is a duplicate of one that was accepted
+	AnotherInService Result = "under_way" // rejected: another roll-out of the service is in service
 )
--- a/internal/tier/rollout/state_machine.go
+++ b/internal/tier/rollout/state_machine.go
@@ -18,16 +18,16 @@
 
 // isDuplicate reports whether a proposal for this roll-out's service equals the one that began the roll-out.
 func (r *Rollout) isDuplicate(proposal *Proposal) bool {
-	return r.Target == proposal.Target && r.OverMs == proposal.OverMs
+	return r.Target == proposal.Target && r.DurationMs == proposal.DurationMs
 }
 
 // RecentProposal is an accepted proposal whose dedup window hasn't ended: duplicates of it may still arrive.
 type RecentProposal struct {
-	Index   uint64 `json:"index"` // log index of the proposal
-	AtMs    int64  `json:"atMs"`  // when the leader proposed it, by its wall clock, ms since 1970
-	Service string `json:"service"`
-	Target  string `json:"target"`
-	OverMs  int64  `json:"overMs"`
+	Index        uint64 `json:"index"` // log index of the proposal
+	ProposedAtMs int64  `json:"atMs"`  // when the leader proposed it, by its wall clock, ms since 1970
+	Service      string `json:"service"`
+	Target       string `json:"target"`
+	DurationMs   int64  `json:"overMs"`
 }
 
 // StateMachine holds the version in service and the newest roll-out of each service.
@@ -54,15 +54,15 @@
 		return Accepted
 	}
 	if inProgress {
-		return InProgress
+		return AnotherInService
 	}
 	started := Rollout{Proposal: proposal, Index: index, Baseline: s.current[proposal.Service], State: InService}
 	if started.Baseline == proposal.Target {
 		started.State = Finished
 	}
 	s.rollouts[proposal.Service] = started
-	s.recent = append(s.recent, RecentProposal{Index: index, AtMs: proposal.AtMs, Service: proposal.Service, Target: proposal.Target,
-		OverMs: proposal.OverMs})
+	s.recent = append(s.recent, RecentProposal{Index: index, ProposedAtMs: proposal.ProposedAtMs, Service: proposal.Service, Target: proposal.Target,
+		DurationMs: proposal.DurationMs})
 	return Accepted
 }
 
@@ -74,7 +74,7 @@
 // isRecentDuplicate reports whether a proposal equals a recent one.
 func (s *StateMachine) isRecentDuplicate(proposal *Proposal) bool {
 	return slices.ContainsFunc(s.recent, func(r RecentProposal) bool {
-		return r.Service == proposal.Service && r.Target == proposal.Target && r.OverMs == proposal.OverMs
+		return r.Service == proposal.Service && r.Target == proposal.Target && r.DurationMs == proposal.DurationMs
 	})
 }
 
@@ -91,7 +91,7 @@
 // ApplyDecision ends a roll-out that is in service. A decision on any other roll-out, or on one that has ended, changes nothing.
 func (s *StateMachine) ApplyDecision(decision Decision) {
 	newest, known := s.rollouts[decision.Service]
-	if !known || newest.State != InService || newest.Index != decision.Order {
+	if !known || newest.State != InService || newest.Index != decision.ProposalIndex {
 		return
 	}
 	newest.State = decision.State
--- a/internal/tier/rollout/state_machine_test.go
+++ b/internal/tier/rollout/state_machine_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	r := rollout.New()
 	r.ApplyObservedVersion(rollout.ObservedVersion{Service: "s", Version: "v1"})
-	proposal := rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000}.WithBounds(rollout.Bounds{Share: 0.1, Slack: 50}, 10)
+	proposal := rollout.Proposal{Service: "s", Target: "v2", DurationMs: 9000}.WithBounds(rollout.Bounds{Share: 0.1, Slack: 50}, 10)
 	if result := r.ApplyProposal(firstIndex, proposal); result != rollout.Accepted {
 		t.Fatalf("the first proposal's result is %s, want taken", result)
 	}
@@ -32,11 +32,11 @@
 	for _, end := range []rollout.State{rollout.Finished, rollout.Reverted} {
 		// Given a roll-out that has ended,
 		r := machineWithProposal(t)
-		r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstIndex, State: end})
+		r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", ProposalIndex: firstIndex, State: end})
 		// when its proposal is applied again, and then both decisions on the first roll-out,
-		result := r.ApplyProposal(8, rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000, AtMs: 5})
-		r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstIndex, State: rollout.Finished})
-		r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstIndex, State: rollout.Reverted})
+		result := r.ApplyProposal(8, rollout.Proposal{Service: "s", Target: "v2", DurationMs: 9000, ProposedAtMs: 5})
+		r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", ProposalIndex: firstIndex, State: rollout.Finished})
+		r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", ProposalIndex: firstIndex, State: rollout.Reverted})
 		// then the roll-out keeps the state in which it ended, also after a snapshot.
 		roll, known := rollout.Restore(r.Snapshot()).Rollout("s")
 		if result != rollout.Accepted || !known || roll.State != end {
@@ -48,12 +48,12 @@
 func TestStateMachine_SecondTarget_InProgress(t *testing.T) {
 	// Given a roll-out in service, when a third version is proposed, and the same target with another duration,
 	r := machineWithProposal(t)
-	results := []rollout.Result{r.ApplyProposal(8, rollout.Proposal{Service: "s", Target: "v3"}), r.ApplyProposal(8, rollout.Proposal{Service: "s", Target: "v2", OverMs: 1})}
+	results := []rollout.Result{r.ApplyProposal(8, rollout.Proposal{Service: "s", Target: "v3"}), r.ApplyProposal(8, rollout.Proposal{Service: "s", Target: "v2", DurationMs: 1})}
 	// then both are rejected until the first roll-out ends, and a later one starts from its target.
-	if diff := cmp.Diff([]rollout.Result{rollout.InProgress, rollout.InProgress}, results); diff != "" {
+	if diff := cmp.Diff([]rollout.Result{rollout.AnotherInService, rollout.AnotherInService}, results); diff != "" {
 		t.Error(diff)
 	}
-	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstIndex, State: rollout.Finished})
+	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", ProposalIndex: firstIndex, State: rollout.Finished})
 	if result := r.ApplyProposal(9, rollout.Proposal{Service: "s", Target: "v3"}); result != rollout.Accepted {
 		t.Errorf("the proposal after the end of the first roll-out got result %s, want taken", result)
 	}
@@ -65,7 +65,7 @@
 const secondIndex = 20 // log index of the proposal of v3
 
 // earlierProposal is the first accepted proposal, to be applied again.
-var earlierProposal = rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000}
+var earlierProposal = rollout.Proposal{Service: "s", Target: "v2", DurationMs: 9000}
 
 // lateDuplicate is earlierProposal from a leader for which the dedup windows of all entries up to expired have ended.
 func lateDuplicate(expired uint64) rollout.Proposal {
@@ -102,12 +102,12 @@
 		proposalOutcome{rollout.Accepted, "v3", rollout.Finished, "v2"}},
 	{"reverted, another finished, within the dedup window", rollout.Reverted, rollout.Finished, earlierProposal,
 		proposalOutcome{rollout.Accepted, "v3", rollout.Finished, "v1"}},
-	{"another duration, within the dedup window: new roll-out", rollout.Finished, rollout.Finished, changedProposal(func(p *rollout.Proposal) { p.OverMs = 8000 }),
+	{"another duration, within the dedup window: new roll-out", rollout.Finished, rollout.Finished, changedProposal(func(p *rollout.Proposal) { p.DurationMs = 8000 }),
 		proposalOutcome{rollout.Accepted, "v2", rollout.InService, "v3"}},
 	{"another service, within the dedup window: new roll-out", rollout.Finished, rollout.Finished, changedProposal(func(p *rollout.Proposal) { p.Service = "other" }),
 		proposalOutcome{rollout.Accepted, "v3", rollout.Finished, "v2"}},
 	{"finished, another in service, after the dedup window", rollout.Finished, rollout.InService, lateDuplicate(firstIndex),
-		proposalOutcome{rollout.InProgress, "v3", rollout.InService, "v2"}},
+		proposalOutcome{rollout.AnotherInService, "v3", rollout.InService, "v2"}},
 	{"finished, another finished, after the dedup window: new roll-out", rollout.Finished, rollout.Finished, lateDuplicate(firstIndex),
 		proposalOutcome{rollout.Accepted, "v2", rollout.InService, "v3"}},
 	{"reverted, another finished, after the dedup window: new roll-out", rollout.Reverted, rollout.Finished, lateDuplicate(secondIndex),
@@ -123,12 +123,12 @@
 			t.Run(fmt.Sprint(test.name, ", after a snapshot: ", snapshot), func(t *testing.T) {
 				// Given a roll-out of v2 that has ended, and one of v3 after it,
 				r := machineWithProposal(t)
-				r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstIndex, State: test.first})
-				if result := r.ApplyProposal(secondIndex, rollout.Proposal{Service: "s", Target: "v3", OverMs: 9000}); result != rollout.Accepted {
+				r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", ProposalIndex: firstIndex, State: test.first})
+				if result := r.ApplyProposal(secondIndex, rollout.Proposal{Service: "s", Target: "v3", DurationMs: 9000}); result != rollout.Accepted {
 					t.Fatalf("the second proposal's result is %s, want taken", result)
 				}
 				if test.second != rollout.InService {
-					r.ApplyDecision(rollout.Decision{Service: "s", Target: "v3", Order: secondIndex, State: test.second})
+					r.ApplyDecision(rollout.Decision{Service: "s", Target: "v3", ProposalIndex: secondIndex, State: test.second})
 				}
 				if snapshot {
 					r = restored(t, r)
@@ -148,17 +148,17 @@
 func TestStateMachine_RevertedTarget_MayBeProposedAgain(t *testing.T) {
 	// Given a roll-out that was reverted,
 	r := machineWithProposal(t)
-	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstIndex, State: rollout.Reverted})
+	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", ProposalIndex: firstIndex, State: rollout.Reverted})
 	// when the same is proposed after the dedup window, and a late decision on the first roll-out is applied,
-	result := r.ApplyProposal(12, rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000, DedupExpiredIndex: firstIndex})
-	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstIndex, State: rollout.Reverted})
+	result := r.ApplyProposal(12, rollout.Proposal{Service: "s", Target: "v2", DurationMs: 9000, DedupExpiredIndex: firstIndex})
+	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", ProposalIndex: firstIndex, State: rollout.Reverted})
 	// then the proposal begins a new roll-out, on which that decision has no effect.
 	roll, _ := r.Rollout("s")
 	if result != rollout.Accepted || roll.State != rollout.InService || roll.Index != 12 {
 		t.Errorf("the proposal got result %s, and the newest roll-out is %s with index %d; want taken, in_service and 12", result, roll.State, roll.Index)
 	}
 	// And a duplicate of the second proposal is accepted and begins no roll-out.
-	if result := r.ApplyProposal(13, rollout.Proposal{Service: "s", Target: "v2", OverMs: 9000, DedupExpiredIndex: 12}); result != rollout.Accepted {
+	if result := r.ApplyProposal(13, rollout.Proposal{Service: "s", Target: "v2", DurationMs: 9000, DedupExpiredIndex: 12}); result != rollout.Accepted {
 		t.Errorf("the duplicate of the second proposal got result %s, want taken", result)
 	}
 	if roll, _ := r.Rollout("s"); roll.Index != 12 {
@@ -204,13 +204,13 @@
 	m.expiredUpTo = max(m.expiredUpTo, p.DedupExpiredIndex)
 	for i := range m.history {
 		accepted := &m.history[i]
-		isSame := accepted.proposal.Target == p.Target && accepted.proposal.OverMs == p.OverMs
+		isSame := accepted.proposal.Target == p.Target && accepted.proposal.DurationMs == p.DurationMs
 		if isSame && (accepted.index > m.expiredUpTo || accepted.state == rollout.InService) {
 			return rollout.Accepted
 		}
 	}
 	if m.newest().state == rollout.InService {
-		return rollout.InProgress
+		return rollout.AnotherInService
 	}
 	state := rollout.InService
 	if p.Target == m.current {
@@ -221,7 +221,7 @@
 }
 
 func (m *reference) applyDecision(d rollout.Decision) {
-	if newest := m.newest(); newest.state == rollout.InService && newest.index == d.Order {
+	if newest := m.newest(); newest.state == rollout.InService && newest.index == d.ProposalIndex {
 		newest.state = d.State
 		if d.State == rollout.Finished {
 			m.current = newest.proposal.Target
@@ -240,12 +240,12 @@
 			switch rapid.IntRange(0, 4).Draw(t, "kind") {
 			case 0, 1, 2:
 				p := rollout.Proposal{Service: "s", Target: rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(t, "target"),
-					OverMs: rapid.Int64Range(1, 2).Draw(t, "duration"), DedupExpiredIndex: rapid.Uint64Range(0, index-1).Draw(t, "dedup expired")}
+					DurationMs: rapid.Int64Range(1, 2).Draw(t, "duration"), DedupExpiredIndex: rapid.Uint64Range(0, index-1).Draw(t, "dedup expired")}
 				if got, expected := r.ApplyProposal(index, p), want.applyProposal(index, p); got != expected {
 					t.Fatalf("proposal %+v got result %s, want %s", p, got, expected)
 				}
 			case 3:
-				d := rollout.Decision{Service: "s", Order: rapid.Uint64Range(want.newest().index, index).Draw(t, "proposal"),
+				d := rollout.Decision{Service: "s", ProposalIndex: rapid.Uint64Range(want.newest().index, index).Draw(t, "proposal"),
 					State: rapid.SampledFrom([]rollout.State{rollout.Finished, rollout.Reverted}).Draw(t, "state")}
 				r.ApplyDecision(d)
 				want.applyDecision(d)
@@ -269,7 +269,7 @@
 		t.Error(diff)
 	}
 	// when the roll-out ends, then the service has one version.
-	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", Order: firstIndex, State: rollout.Finished})
+	r.ApplyDecision(rollout.Decision{Service: "s", Target: "v2", ProposalIndex: firstIndex, State: rollout.Finished})
 	if diff := cmp.Diff([]view.ServiceVersions{{Service: "s", Current: "v2"}}, versions(r)); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/tier/transport/handlers.go
+++ b/internal/tier/transport/handlers.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// Measure sets the meter that counts what servers with these handlers send on connections. It must be called before they listen.
-func (h *Handlers) Measure(meter Meter) { h.meter = meter }
+// SetMeter sets the meter that counts what servers with these handlers send on connections. It must be called before they listen.
+func (h *Handlers) SetMeter(meter Meter) { h.meter = meter }
 
 // HandleDatagram sets the handler for datagrams, which is called for one datagram after the other. The handler must not block and
 // must not retain the payload.
--- a/internal/tier/transport/pool.go
+++ b/internal/tier/transport/pool.go
@@ -36,8 +36,8 @@
 	return pool
 }
 
-// Measure sets the meter that counts what is sent on connections. It must be called before the first call.
-func (p *Pool) Measure(meter Meter) { p.meter = meter }
+// SetMeter sets the meter that counts what is sent on connections. It must be called before the first call.
+func (p *Pool) SetMeter(meter Meter) { p.meter = meter }
 
 // newPool is like NewPool but uses the given limits.
 func newPool(bounds limits) *Pool {
--- a/internal/tier/versionstats/counter.go
+++ b/internal/tier/versionstats/counter.go
@@ -179,7 +179,7 @@
 	case proxy.ErrorResponse, proxy.IncompleteResponse, proxy.TimedOut, proxy.DeadlineExceeded:
 		stats.Bad++
 	case proxy.ClientClosed:
-		if outcome.FirstByte == 0 && outcome.Took >= unresponsiveAfter {
+		if outcome.FirstByte == 0 && outcome.Elapsed >= unresponsiveAfter {
 			stats.Bad++
 		}
 	}
@@ -188,9 +188,9 @@
 // latencyPerEvent returns the latency of a response. For a stream it returns the latency per event, since streams differ in length.
 func latencyPerEvent(outcome proxy.Outcome) time.Duration {
 	if outcome.Events == 0 {
-		return outcome.Took
+		return outcome.Elapsed
 	}
-	return outcome.Took / time.Duration(outcome.Events+2)
+	return outcome.Elapsed / time.Duration(outcome.Events+2)
 }
 
 // Report returns the counts since the start of the process. It returns false if no rollout is in progress or nothing has changed since
--- a/internal/tier/versionstats/counter_test.go
+++ b/internal/tier/versionstats/counter_test.go
@@ -45,7 +45,7 @@
 		}
 		return selection
 	}
-	done := proxy.Outcome{Result: proxy.Succeeded, Took: 40 * time.Millisecond}
+	done := proxy.Outcome{Result: proxy.Succeeded, Elapsed: 40 * time.Millisecond}
 	c.Done(send("a", "r1"), done)
 	c.Done(send("b", "r1"), done)
 	now = now.Add(time.Second)
@@ -61,7 +61,7 @@
 		t.Fatal("Report returned false, want a report")
 	}
 	var observed rollout.Stats
-	observed.ObserveLatency(done.Took)
+	observed.ObserveLatency(done.Elapsed)
 	want := wire.VersionStatsReport{Source: "p", Versions: []wire.VersionStats{
 		{Service: "s", Route: "r1", Version: "v1", Stats: rollout.Stats{Sent: 1, Good: 1, LatencyBuckets: observed.LatencyBuckets}},
 		{Service: "s", Route: "r1", Version: "v2", Stats: rollout.Stats{Sent: 1, Good: 1}},
@@ -80,8 +80,8 @@
 	for _, outcome := range []proxy.Outcome{
 		{Result: proxy.NotRun, Status: 503},
 		{Result: proxy.NeverSent},
-		{Result: proxy.ClientClosed, Took: time.Second},
-		{Result: proxy.ClientClosed, FirstByte: time.Second, Took: 9 * time.Second},
+		{Result: proxy.ClientClosed, Elapsed: time.Second},
+		{Result: proxy.ClientClosed, FirstByte: time.Second, Elapsed: 9 * time.Second},
 	} {
 		// Given empty counts, when an attempt ends in a way that says nothing about the version,
 		var stats rollout.Stats
--- a/internal/tier/viewfeed/feed_test.go
+++ b/internal/tier/viewfeed/feed_test.go
@@ -95,7 +95,7 @@
 			for _, u := range test.updates {
 				f.handle(u)
 			}
-			if got := f.Routes().Number; got != test.want {
+			if got := f.Routes().ConfigurationVersion; got != test.want {
 				t.Errorf("configuration %d is in force, want %d", got, test.want)
 			}
 		})
