--- a/cmd/mastusher/plugin.go
+++ b/cmd/mastusher/plugin.go
@@ -68,7 +68,7 @@
 
 // newQuietHost returns a host for a configuration's plug-ins that discards its log.
 func newQuietHost(cfg *config.Config) (*plugin.Host, error) {
-	return plugin.New(cfg, []rules.Front{platform.Guard, activitypub.Guard}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	return plugin.New(cfg, []rules.Front{platform.PluginHeaders, activitypub.PluginHeaders}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
 // pluginCommand returns the commands that check, test and measure plug-ins, and reload those of a running relay.
--- a/cmd/mastusher/policy_applier.go
+++ b/cmd/mastusher/policy_applier.go
@@ -43,7 +43,7 @@
 		s.log.Error("policy in force not applied, nothing is accepted", "version", mandate.Version, "err", err)
 		return
 	}
-	s.core.Govern(engine.Mandate{Mandate: forCore, Until: at.At(mandate.Until)}, done)
+	s.core.SetMandate(engine.Mandate{Mandate: forCore, Until: at.At(mandate.Until)}, done)
 }
 
 // applyPluginSettings reloads the plug-ins with the settings of a mandate's policy, unless that version is already applied.
@@ -54,7 +54,7 @@
 		return nil
 	}
 	if s.plugins != nil {
-		cfg, err := s.rules.Shaped(mandate.Doc)
+		cfg, err := s.rules.WithPluginSettings(mandate.Doc)
 		if err == nil {
 			err = s.plugins.Reload(cfg)
 		}
--- a/cmd/mastusher/serve.go
+++ b/cmd/mastusher/serve.go
@@ -167,7 +167,7 @@
 		return err
 	}
 	r.pluginPolicy.rules.LoadPlugins = r.pluginPolicy.prepare
-	r.core.Govern(engine.Mandate{}, nil)
+	r.core.SetMandate(engine.Mandate{}, nil)
 	r.core.Restore(time.Now())
 	fleet, err := peer.Open(r.cfg, r.pluginPolicy.rules, r.log, r.core, r.pluginPolicy.apply)
 	if err != nil {
@@ -231,7 +231,7 @@
 	if !cfg.PluginHost.On {
 		return nil, nil
 	}
-	host, err := plugin.New(cfg, []rules.Front{platform.Guard, activitypub.Guard}, log)
+	host, err := plugin.New(cfg, []rules.Front{platform.PluginHeaders, activitypub.PluginHeaders}, log)
 	if err != nil {
 		return nil, err
 	}
