--- a/internal/virtualtime/loop.go
+++ b/internal/virtualtime/loop.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Loop is a virtual clock with its scheduled callbacks. The zero value is at time zero with none. It is not safe for concurrent use.
+// Loop is a virtual clock with its scheduled callbacks. The zero value is at time zero and has none. It is not safe for concurrent use.
 type Loop struct {
 	now    time.Duration
 	events Queue[func()]
@@ -11,7 +11,7 @@
 // Now returns the virtual time since the loop's start.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// After schedules run for when the delay has passed. Events of the same time run in the order in which they were scheduled; a
+// After schedules run at the current time plus delay. Events of the same time run in the order in which they were scheduled; a
 // negative delay counts as 0.
 func (l *Loop) After(delay time.Duration, run func()) { l.events.Push(l.now+max(0, delay), run) }
 
@@ -35,8 +35,8 @@
 	l.now = end
 }
 
-// RunUntil runs events until a condition holds, which it checks before each of them, and reports whether it holds. If it doesn't
-// within the timeout, the clock advances by all of it.
+// RunUntil runs events until a condition holds, which it checks before each of them, and reports whether it holds. If the
+// timeout passes first, the clock shows its end.
 func (l *Loop) RunUntil(timeout time.Duration, condition func() bool) bool {
 	for end := l.now + timeout; !condition(); l.Step() {
 		if !l.isDue(end) {
@@ -50,5 +50,5 @@
 // Clear removes all scheduled events.
 func (l *Loop) Clear() { l.events.Clear() }
 
-// isDue reports whether the next event comes at the end of a span or before.
+// isDue reports whether the next event is due at or before end.
 func (l *Loop) isDue(end time.Duration) bool { return l.events.Len() > 0 && l.events.NextAt() <= end }
--- a/internal/virtualtime/loop_test.go
+++ b/internal/virtualtime/loop_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestLoop_EventsOutOfOrder_RunAtTheirTimes(t *testing.T) {
-	// Given events that are asked for out of order, two of them for one moment, and one by another,
+	// Given events scheduled out of order, two of them for the same time, and one scheduled by another event,
 	var loop Loop
 	var ran []string
 	record := func(name string) func() {
@@ -20,16 +20,16 @@
 	loop.After(2*time.Second, func() { loop.After(-time.Second, record("overdue")) })
 	// when two seconds pass,
 	loop.RunFor(2 * time.Second)
-	// then those that were due have run at their times, and the clock shows the end.
+	// then the events that were due have run at their times, and the clock shows the end of the two seconds.
 	want := []string{"first at 1s", "second at 1s", "overdue at 2s"}
 	if difference := cmp.Diff(want, ran); difference != "" {
 		t.Error(difference)
 	}
 	if loop.Now() != 2*time.Second {
-		t.Errorf("it is %v", loop.Now())
+		t.Errorf("the clock shows %v, want 2s", loop.Now())
 	}
-	// When a step is asked for, then the next event runs, and there is no other.
+	// When the loop steps, then the last event runs, and a second step finds none.
 	if !loop.Step() || loop.Now() != 3*time.Second || loop.Step() {
-		t.Errorf("it is %v, and %d events are left", loop.Now(), loop.events.Len())
+		t.Errorf("the clock shows %v and %d events are left, want 3s and none", loop.Now(), loop.events.Len())
 	}
 }
--- a/internal/virtualtime/queue.go
+++ b/internal/virtualtime/queue.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Queue is a priority queue of events, ordered by their times and, at one time, by the order in which they were pushed. The zero
+// Queue is a priority queue of events, ordered by time; events of the same time keep the order in which they were pushed. The zero
 // value is empty. It is not safe for concurrent use.
 //
 // It is a 4-ary heap, which is shallower than a binary one; events are stored by value.
@@ -11,10 +11,10 @@
 	sequence uint64 // of the last push
 }
 
-// scheduled is an event in a queue.
+// scheduled is a queued event with its time.
 type scheduled[Event any] struct {
 	at       time.Duration
-	sequence uint64 // breaks ties
+	sequence uint64 // number of its push, to order events of the same time
 	event    Event
 }
 
@@ -54,7 +54,7 @@
 	first := q.items[0]
 	end := len(q.items) - 1
 	last := q.items[end]
-	q.items[end] = scheduled[Event]{} // so that what the event refers to can be freed
+	q.items[end] = scheduled[Event]{} // lets the garbage collector free what the event refers to
 	q.items = q.items[:end]
 	if end > 0 {
 		q.siftDown(last)
@@ -65,7 +65,7 @@
 // Clear removes all events.
 func (q *Queue[Event]) Clear() { q.items = nil }
 
-// siftDown places an event into the heap, whose root is free.
+// siftDown inserts an event at the free root of the heap and moves it down to its place.
 func (q *Queue[Event]) siftDown(moved scheduled[Event]) {
 	position := 0
 	for {
--- a/internal/virtualtime/queue_test.go
+++ b/internal/virtualtime/queue_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestQueue_RandomTimes_PopsByTimeThenByPush(t *testing.T) {
-	// Given a queue into which events are pushed at random times, many of them equal, and some popped in between,
+	// Given a queue with events at random times, many of them equal, where some are popped between the pushes,
 	type pushed struct {
 		at     time.Duration
 		number int
@@ -23,7 +23,7 @@
 		if at := queue.NextAt(); at != waiting[0].at {
 			t.Fatalf("the next event is due at %v, want %v", at, waiting[0].at)
 		}
-		// then each pop gives the earliest event, of those of one time the one that was pushed first.
+		// then each pop returns the earliest event, and among events of the same time the one that was pushed first.
 		if at, event := queue.Pop(); event != waiting[0] || at != event.at {
 			t.Fatalf("popped %+v at %v, want %+v", event, at, waiting[0])
 		}
@@ -58,15 +58,15 @@
 		loop.After(time.Second, tick)
 	}
 	loop.After(time.Second, tick)
-	// when the third is awaited, then the clock stops at it.
+	// when the loop runs until the third event, then the clock stops at its time.
 	if !loop.RunUntil(time.Minute, func() bool { return ticks == 3 }) || loop.Now() != 3*time.Second {
-		t.Errorf("it is %v after %d ticks", loop.Now(), ticks)
+		t.Errorf("the clock shows %v after %d ticks", loop.Now(), ticks)
 	}
-	// When what doesn't come is awaited, then the clock shows the timeout's end.
+	// When the condition never holds, then the clock shows the end of the timeout.
 	if loop.RunUntil(1500*time.Millisecond, func() bool { return false }) || loop.Now() != 4500*time.Millisecond {
-		t.Errorf("it is %v after %d ticks", loop.Now(), ticks)
+		t.Errorf("the clock shows %v after %d ticks", loop.Now(), ticks)
 	}
-	// When all events are removed, then there is none to run.
+	// When all events are removed, then the loop has none to run.
 	loop.Clear()
 	if loop.Step() {
 		t.Error("a removed event has run")
