--- a/internal/tier/faultplan/faultplan.go
+++ b/internal/tier/faultplan/faultplan.go
@@ -1,6 +1,7 @@
-// Package faultplan is what the tier's engines of random faults have in common: the faults of a plan and the draw of
-// their kinds, the plan's text for replay, and the reduction of a plan that failed. Packages fleettest, simulation and soak use it.
-// Each has its own kinds of fault, spreads them over its plans and injects their faults itself, since those are of different things: state machines, roles in memory, processes.
+// Package faultplan holds what the tier's fault-injection tests have in common: the faults of a plan, the random choice of their
+// kinds, the plan's text for replay, and the reduction of a plan that failed. Packages fleettest, simulation and soak use it. Each
+// defines its own kinds of fault, distributes them over its plans and injects them itself, since it injects them into different
+// things: state machines, roles in memory, or processes.
 package faultplan
 
 import (
@@ -12,12 +13,12 @@
 	"mastusher/internal/shrink"
 )
 
-// Fault is one fault of a plan. Its JSON stands in printed and recorded plans.
+// Fault is one fault of a plan. Printed and recorded plans contain its JSON, so its keys must not change.
 type Fault[Name ~string] struct {
 	At     time.Duration `json:"at"` // from the start of the plan
 	Kind   Name          `json:"kind"`
-	Target int           `json:"target,omitempty"` // number of what it affects, modulo how many there are
-	Other  int           `json:"other,omitempty"`  // number of the other end of a link
+	Target int           `json:"target,omitempty"` // index of the machine, edge or endpoint that it affects, modulo their number
+	Other  int           `json:"other,omitempty"`  // index of the machine at the other end of a link
 	For    time.Duration `json:"for,omitempty"`    // how long it lasts
 }
 
@@ -25,14 +26,15 @@
 type Kind[Name ~string] struct {
 	Name         Name
 	Weight       int  // how often it is drawn, in relation to the other kinds
-	LosesDisk    bool // the disk of a machine that counts for a quorum is lost for good
-	SparesQuorum bool // all machines that count for a quorum go on
+	LosesDisk    bool // destroys the disk of a machine that counts for a quorum
+	SparesQuorum bool // all machines that count for a quorum stay available
 }
 
-// Kinds are the kinds that an engine draws from. Their order and weights must not change: the plans of all seeds follow from them.
+// Kinds are the kinds that a random plan draws from. Their order and weights must not change, since they determine the plan of each
+// seed.
 type Kinds[Name ~string] []Kind[Name]
 
-// Draw draws a kind by weight. It takes one number from random.
+// Draw draws a kind with a probability in proportion to its weight. It takes exactly one number from random.
 func (k Kinds[Name]) Draw(random *rand.Rand) Kind[Name] {
 	total := 0
 	for _, kind := range k {
@@ -49,7 +51,7 @@
 	return k[last]
 }
 
-// Find returns the kind of a name, and whether there is one.
+// Find returns the kind with that name, and whether there is one.
 func (k Kinds[Name]) Find(name Name) (kind Kind[Name], found bool) {
 	index := slices.IndexFunc(k, func(kind Kind[Name]) bool { return kind.Name == name })
 	if index < 0 {
@@ -67,8 +69,8 @@
 	return string(text)
 }
 
-// Shrink removes faults from a plan that fails, and makes them shorter, as long as it fails. It runs at most maxRuns plans. The
-// function faults returns where an engine's plan has its faults.
+// Shrink removes and shortens faults of a failing plan as long as it still fails. It runs at most maxRuns plans. The function faults
+// returns a pointer to the plan's list of faults.
 func Shrink[Plan any, Name ~string](plan Plan, faults func(*Plan) *[]Fault[Name], maxRuns int, fails func(Plan) bool) Plan {
 	withFaults := func(remaining []Fault[Name]) Plan {
 		smaller := plan
@@ -83,7 +85,7 @@
 	return withFaults(reducer.Smallest())
 }
 
-// shorten halves how long one fault lasts, in whole milliseconds.
+// shorten returns the faults with the duration of one of them halved, in whole milliseconds.
 func shorten[Name ~string](faults []Fault[Name], index int) []Fault[Name] {
 	shorter := slices.Clone(faults)
 	shorter[index].For = (shorter[index].For / 2).Truncate(time.Millisecond)
