--- a/internal/tier/linearizability/check.go
+++ b/internal/tier/linearizability/check.go
@@ -6,30 +6,30 @@
 	"slices"
 )
 
-// Check returns a *ViolationError if no sequence of the operations explains all responses. It searches depth first, and visits no
-// state twice: a state is the set of linearized operations with a known outcome, and the sets of accepted and refused orders. Its
-// time can grow exponentially with the number of concurrent operations.
+// Check returns a *ViolationError if no sequence of the operations explains all responses. It searches depth first and
+// visits each state once: a state is the set of linearized operations with a known outcome, and the sets of accepted and refused
+// orders. Its time can grow exponentially with the number of concurrent operations.
 func Check(operations []Operation) error {
 	s := newSearch(operations)
 	if s.explore(0) {
 		return nil
 	}
-	return &ViolationError{Operations: operations, Linearized: s.best, Candidates: s.stuckAt}
+	return &ViolationError{Operations: operations, Linearized: s.longest, Candidates: s.candidatesAfter}
 }
 
 // search is the state of a depth-first search.
 type search struct {
-	operations []Operation
-	orders     []int   // of each operation, the number of its order; -1: none
-	byCall     []int   // operations, by the time of their call
-	contents   []Order // by number
-	visited    map[string]bool
-	linearized bitset // operations with a known outcome
-	state      register
-	path       []int // linearized operations, in order
-	best       []int // the longest path so far
-	stuckAt    []int // candidates after that
-	known      int   // number of operations with a known outcome
+	operations      []Operation
+	orders          []int   // by operation, the number of its order; -1: none
+	byCall          []int   // indexes of operations, sorted by the time of their call
+	contents        []Order // distinct orders, by number
+	visited         map[string]bool
+	linearized      bitset // operations with a known outcome
+	state           register
+	path            []int // linearized operations, in sequence
+	longest         []int // the longest path so far
+	candidatesAfter []int // candidates after the longest path, none of which could come next
+	known           int   // number of operations with a known outcome
 }
 
 // newSearch numbers the orders and sorts the operations. A Get with an unknown outcome constrains nothing and is left out.
@@ -64,10 +64,10 @@
 type register struct {
 	current  Version
 	accepted bitset
-	refused  bitset // orders whose base was not current yet: they conflict for good
+	refused  bitset // orders that came before their base version; they conflict for good
 }
 
-// apply lets an order take effect and returns its outcome.
+// apply applies an order and returns its outcome.
 func (r *register) apply(number int, order *Order) Outcome {
 	switch {
 	case r.accepted.has(number):
@@ -87,7 +87,8 @@
 	return Accepted
 }
 
-// explore linearizes the operations that remain, given how many with a known outcome are linearized.
+// explore linearizes the remaining operations and reports whether that succeeds; done is the number of linearized operations with
+// a known outcome.
 func (s *search) explore(done int) bool {
 	if done == s.known {
 		return true
@@ -98,8 +99,8 @@
 	}
 	s.visited[key] = true
 	next := s.candidates()
-	if len(s.path) >= len(s.best) {
-		s.best, s.stuckAt = slices.Clone(s.path), next
+	if len(s.path) >= len(s.longest) {
+		s.longest, s.candidatesAfter = slices.Clone(s.path), next
 	}
 	for _, i := range next {
 		before := s.state
@@ -142,7 +143,7 @@
 	return list
 }
 
-// linearize lets an operation take effect and reports whether that explains its response. One with an unknown outcome is tried
+// linearize applies an operation and reports whether that explains its response. An operation with an unknown outcome is accepted
 // only where it changes the state.
 func (s *search) linearize(i int) bool {
 	operation := &s.operations[i]
--- a/internal/tier/linearizability/check_test.go
+++ b/internal/tier/linearizability/check_test.go
@@ -10,11 +10,12 @@
 	"mastusher/internal/tier/linearizability"
 )
 
-// put is an order, answered.
+// put returns a Put of an order, with its outcome.
 func put(call, answer int64, base, number uint64, content string, outcome linearizability.Outcome) linearizability.Operation {
 	return linearizability.Operation{Kind: linearizability.Put, Order: linearizability.Order{Base: base, Number: number, Content: content}, Outcome: outcome, Call: call, Return: answer}
 }
 
+// get returns a Get with the version that it read.
 func get(call, answer int64, number uint64, content string) linearizability.Operation {
 	return linearizability.Operation{Kind: linearizability.Get, Outcome: linearizability.Read, Version: linearizability.Version{Number: number, Content: content}, Call: call, Return: answer}
 }
@@ -26,33 +27,33 @@
 		operations []linearizability.Operation
 		want       bool
 	}{
-		{"nothing", nil, true},
-		{"one after the other", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), get(2, 3, 3, "a"), put(4, 5, 3, 4, "b", accepted), get(6, 7, 4, "b")}, true},
-		{"nothing yet", []linearizability.Operation{get(0, 1, 0, ""), put(0, 1, 0, 3, "a", accepted)}, true},
+		{"no operations", nil, true},
+		{"orders and reads one after the other", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), get(2, 3, 3, "a"), put(4, 5, 3, 4, "b", accepted), get(6, 7, 4, "b")}, true},
+		{"a read before the first configuration", []linearizability.Operation{get(0, 1, 0, ""), put(0, 1, 0, 3, "a", accepted)}, true},
 		{"a lost update", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 3, 3, 4, "b", accepted), get(4, 5, 3, "a")}, false},
 		{"a stale read", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 9, 3, 4, "b", accepted), get(3, 4, 4, "b"), get(5, 6, 3, "a")}, false},
-		{"reads on both sides of a change", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 9, 3, 4, "b", accepted), get(3, 4, 3, "a"), get(5, 6, 4, "b")}, true},
-		{"two confirmed under one number", []linearizability.Operation{put(0, 9, 0, 3, "a", accepted), put(0, 9, 0, 3, "b", accepted)}, false},
-		{"two confirmed on one version", []linearizability.Operation{put(0, 9, 0, 3, "a", accepted), put(0, 9, 0, 4, "b", accepted)}, false},
-		{"one of two wins", []linearizability.Operation{put(0, 9, 0, 3, "a", conflict), put(0, 9, 0, 3, "b", accepted), get(10, 11, 3, "b")}, true},
-		{"none of two wins", []linearizability.Operation{put(0, 9, 0, 3, "a", conflict), put(0, 9, 0, 3, "b", conflict)}, false},
-		{"two operators send the same", []linearizability.Operation{put(0, 9, 0, 3, "a", accepted), put(0, 9, 0, 3, "a", accepted)}, true},
-		{"a duplicate", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 3, 3, 4, "b", accepted), put(4, 5, 0, 3, "a", accepted), get(6, 7, 4, "b")}, true},
+		{"reads before and after a concurrent change", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 9, 3, 4, "b", accepted), get(3, 4, 3, "a"), get(5, 6, 4, "b")}, true},
+		{"two orders accepted under one number", []linearizability.Operation{put(0, 9, 0, 3, "a", accepted), put(0, 9, 0, 3, "b", accepted)}, false},
+		{"two orders accepted on one version", []linearizability.Operation{put(0, 9, 0, 3, "a", accepted), put(0, 9, 0, 4, "b", accepted)}, false},
+		{"one of two concurrent orders accepted", []linearizability.Operation{put(0, 9, 0, 3, "a", conflict), put(0, 9, 0, 3, "b", accepted), get(10, 11, 3, "b")}, true},
+		{"neither of two concurrent orders accepted", []linearizability.Operation{put(0, 9, 0, 3, "a", conflict), put(0, 9, 0, 3, "b", conflict)}, false},
+		{"two operators send the same order", []linearizability.Operation{put(0, 9, 0, 3, "a", accepted), put(0, 9, 0, 3, "a", accepted)}, true},
+		{"a duplicate of an accepted order", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 3, 3, 4, "b", accepted), put(4, 5, 0, 3, "a", accepted), get(6, 7, 4, "b")}, true},
 		{"a refused duplicate", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 3, 0, 3, "a", conflict)}, false},
 		{"a refused duplicate after another change", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 3, 3, 4, "b", accepted), put(4, 5, 0, 3, "a", conflict)}, false},
 		{"a duplicate takes effect again", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 3, 3, 4, "b", accepted), put(4, 5, 0, 3, "a", accepted), get(6, 7, 3, "a")}, false},
-		{"a refused duplicate after an unknown answer that was in force", []linearizability.Operation{put(0, 0, 0, 3, "a", unknown), get(2, 3, 3, "a"), put(4, 5, 0, 3, "a", conflict)}, false},
+		{"a refused duplicate of an order that was read with an unknown outcome", []linearizability.Operation{put(0, 0, 0, 3, "a", unknown), get(2, 3, 3, "a"), put(4, 5, 0, 3, "a", conflict)}, false},
 		{"an order with an unknown outcome never takes effect", []linearizability.Operation{put(0, 0, 0, 3, "a", unknown), put(2, 3, 0, 4, "b", accepted), get(4, 5, 4, "b")}, true},
 		{"an order with an unknown outcome takes effect late", []linearizability.Operation{put(0, 0, 0, 3, "a", unknown), get(2, 3, 0, ""), get(50, 51, 3, "a")}, true},
 		{"an order with an unknown outcome takes effect twice", []linearizability.Operation{put(0, 0, 0, 3, "a", unknown), get(2, 3, 3, "a"), put(4, 5, 3, 4, "b", accepted), get(50, 51, 3, "a")}, false},
 		{"an effect before the call", []linearizability.Operation{get(0, 1, 3, "a"), put(2, 3, 0, 3, "a", accepted)}, false},
 		{"a number that isn't higher", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 3, 3, 3, "b", stale), put(4, 5, 3, 4, "b", accepted)}, true},
-		{"a number that isn't higher is confirmed", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 3, 3, 3, "b", accepted)}, false},
-		{"refused before its version came, then in force", []linearizability.Operation{put(0, 1, 3, 4, "b", conflict), put(2, 3, 0, 3, "a", accepted), get(4, 5, 4, "b"), put(0, 0, 3, 4, "b", unknown)}, false},
-		{"refused with an unknown outcome before its version came, then again", []linearizability.Operation{put(0, 0, 3, 4, "b", unknown), put(2, 3, 0, 3, "a", accepted), put(4, 5, 3, 4, "b", conflict)}, true},
-		{"sent with an unknown outcome after its version came, then refused", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 2, 3, 4, "b", unknown), put(4, 5, 3, 4, "b", conflict)}, false},
+		{"a number that isn't higher is accepted", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 3, 3, 3, "b", accepted)}, false},
+		{"refused before its base was current, then in force", []linearizability.Operation{put(0, 1, 3, 4, "b", conflict), put(2, 3, 0, 3, "a", accepted), get(4, 5, 4, "b"), put(0, 0, 3, 4, "b", unknown)}, false},
+		{"sent with an unknown outcome before its base was current, then refused", []linearizability.Operation{put(0, 0, 3, 4, "b", unknown), put(2, 3, 0, 3, "a", accepted), put(4, 5, 3, 4, "b", conflict)}, true},
+		{"sent with an unknown outcome while its base was current, then refused", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), put(2, 2, 3, 4, "b", unknown), put(4, 5, 3, 4, "b", conflict)}, false},
 		{"refused, then accepted", []linearizability.Operation{put(0, 1, 3, 4, "b", conflict), put(2, 3, 0, 3, "a", accepted), put(4, 5, 3, 4, "b", accepted)}, false},
-		{"read with other content", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), get(2, 3, 3, "b")}, false},
+		{"a read with content that nobody sent", []linearizability.Operation{put(0, 1, 0, 3, "a", accepted), get(2, 3, 3, "b")}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -68,7 +69,7 @@
 	}
 }
 
-// service is a register that answers at once, with a fault or without.
+// service is a configuration register that answers at once; fault names the mistake that it makes, if any.
 type service struct {
 	number   uint64
 	content  string
@@ -78,14 +79,14 @@
 	random   *rand.Rand
 }
 
-// The faults of a service.
+// The mistakes of a service.
 const (
-	forgetsOrders     = "it forgets accepted orders"
-	losesUpdates      = "it loses an update now and then"
-	readsStale        = "it reads the version before now and then"
-	ignoresBase       = "it accepts an order on any version"
-	comparesNumber    = "it acknowledges the number, whatever the content"
-	repeatsDuplicates = "a duplicate takes effect again"
+	forgetsOrders     = "forgets accepted orders"
+	losesUpdates      = "loses some updates"
+	readsStale        = "sometimes reads the previous version"
+	ignoresBase       = "accepts an order on any version"
+	comparesNumber    = "acknowledges a number whatever the content"
+	repeatsDuplicates = "lets a duplicate take effect again"
 )
 
 func (s *service) put(o linearizability.Order) linearizability.Outcome {
@@ -118,20 +119,21 @@
 	return linearizability.Version{Number: s.number, Content: s.content}
 }
 
-// record has some operators call a service at once; each call takes effect at a random time between its call and its answer.
+// record returns the history of operators that call a service concurrently. Each call takes effect at a random time between its
+// start and its response.
 func record(seed uint64, fault string) []linearizability.Operation {
 	const calls, operators = 60, 4
 	random := rand.New(rand.NewPCG(seed, 1))
 	target := &service{accepted: map[linearizability.Order]bool{}, fault: fault, random: random}
 	var list []linearizability.Operation
 	var sent []linearizability.Order
-	free := make([]int64, operators) // when each operator has its answer
+	free := make([]int64, operators) // when each operator has its last response
 	now := int64(0)
 	for range calls {
 		now += int64(random.IntN(4))
 		operator := random.IntN(operators)
 		operation := linearizability.Operation{Operator: operator, Call: max(free[operator]+1, now-int64(random.IntN(20)))}
-		now = max(now, operation.Call) // effects come in this order
+		now = max(now, operation.Call) // the calls take effect in the sequence of this loop
 		operation.Return = now + int64(random.IntN(20))
 		free[operator] = operation.Return
 		switch random.IntN(4) {
@@ -164,7 +166,7 @@
 	return list
 }
 
-// TestCheck_RecordedHistories_FindsEachFaultyService checks histories of a service that is right, and that one with a fault is found out.
+// TestCheck_RecordedHistories_FindsEachFaultyService checks that histories of a correct service pass and those of each faulty one fail.
 func TestCheck_RecordedHistories_FindsEachFaultyService(t *testing.T) {
 	const histories = 300
 	for seed := range uint64(histories) {
@@ -177,11 +179,11 @@
 		t.Run(fault, func(t *testing.T) {
 			for seed := range uint64(maxSeeds) {
 				if linearizability.Check(record(seed, fault)) != nil {
-					t.Logf("found with seed %d", seed)
+					t.Logf("violation found with seed %d", seed)
 					return
 				}
 			}
-			t.Errorf("not found with %d seeds", maxSeeds)
+			t.Errorf("no violation found with %d seeds", maxSeeds)
 		})
 	}
 }
--- a/internal/tier/linearizability/operation.go
+++ b/internal/tier/linearizability/operation.go
@@ -1,8 +1,9 @@
 // Package linearizability checks histories of operators' calls on the configuration: whether all of them can have taken effect one
-// after the other, each between its call and its response, on a compare-and-set register on which an order counts once however
-// often it is sent. It is pure, and used by tests and simulations.
+// after the other, each between its call and its response, on a compare-and-set register. An order is an operator's request to
+// replace the configuration; it takes effect at most once, however often it is sent. The package is pure, and only tests and
+// simulations use it.
 //
-// Source: the search of Wing and Gong, Testing and Verifying Concurrent Objects (1993), with the memoization of Lowe, Testing for
+// The algorithm is the search of Wing and Gong, Testing and Verifying Concurrent Objects (1993), with the memoization of Lowe, Testing for
 // Linearizability (2017).
 package linearizability
 
@@ -14,18 +15,18 @@
 // Kind is the kind of a call.
 type Kind int
 
-// The kinds.
+// The kinds of call.
 const (
-	Put Kind = iota // an order to replace the configuration
-	Get             // the newest configuration
+	Put Kind = iota // sends an order, which replaces the configuration
+	Get             // reads the newest configuration
 )
 
 // Outcome is the result that a caller got.
 type Outcome int
 
-// The outcomes.
+// The outcomes of a call.
 const (
-	Unknown      Outcome = iota // none or an ambiguous one: an order may take effect at any time after its call, or never
+	Unknown      Outcome = iota // no response or an ambiguous one: an order may take effect at any time after its call, or never
 	Accepted                    // an order has taken effect, by this call or an earlier one
 	Conflict                    // another version is current
 	StaleVersion                // an order's number isn't higher than the current one
@@ -37,10 +38,10 @@
 // String returns the outcome's name.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Order is the content of a Put. Two with equal fields are the same order.
+// Order is the content of a Put. Two orders with equal fields are the same order.
 type Order struct {
 	Base    uint64 // number of the version that must be current
-	Number  uint64 // of the new version
+	Number  uint64 // number of the new version
 	Content string
 }
 
@@ -58,7 +59,7 @@
 	Outcome  Outcome
 	Version  Version // of a Get
 	Call     int64   // when it was sent
-	Return   int64   // when its response came; without meaning if the outcome is Unknown
+	Return   int64   // when its response came; meaningless if the outcome is Unknown
 }
 
 // String describes the operation on one line.
@@ -73,14 +74,14 @@
 	return fmt.Sprintf("[%d, %d] operator %d, %s: %s", o.Call, o.Return, o.Operator, what, o.Outcome)
 }
 
-// ViolationError says that no sequence of the operations explains all responses. Its numbers are indexes of Operations.
+// ViolationError says that no sequence of the operations explains all responses. Its integers are indexes into Operations.
 type ViolationError struct {
 	Operations []Operation
 	Linearized []int // the longest sequence found whose responses are explained
-	Candidates []int // operations of which one had to come next, and none could
+	Candidates []int // operations one of which had to come next, though none explains its response
 }
 
-// Error implements error, with all operations listed.
+// Error implements error. It lists all operations.
 func (e *ViolationError) Error() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "history is not linearizable: after %v, the response of none of %v is explained\n", e.Linearized, e.Candidates)
