--- a/internal/tier/simulation/campaign_test.go
+++ b/internal/tier/simulation/campaign_test.go
@@ -13,24 +13,25 @@
 )
 
 var (
-	daysFlag  = flag.Uint64("days", 3, "days of the random campaign")
-	firstFlag = flag.Uint64("first", 1, "seed of its first day")
-	traceFlag = flag.Bool("trace", false, "log what happens")
+	daysFlag  = flag.Uint64("days", 3, "number of random days")
+	firstFlag = flag.Uint64("first", 1, "seed of the first random day")
+	traceFlag = flag.Bool("trace", false, "log each event")
 )
 
 const (
-	shrinkDays = 30
-	// stuckAfter is the real time after which a day counts as stuck: some goroutine waits for a mutex whose owner sleeps.
+	shrinkDays = 30 // days that the reduction of a failing plan may run
+	// stuckAfter is the real time after which a day counts as deadlocked: a goroutine waits for a mutex whose owner sleeps, so that
+	// virtual time stands still.
 	stuckAfter = 2 * time.Minute
 )
 
-// runAndCheckDay runs a plan and returns the rules that were broken in it.
+// runAndCheckDay runs a plan and returns the violations, including leaked goroutines. The fleet is nil if the day didn't end.
 func runAndCheckDay(t *testing.T, plan Plan) (violations []string, fleet *Fleet) {
 	t.Helper()
 	watchdog := time.AfterFunc(stuckAfter, func() {
 		debug.SetTraceback("all")
 		stacks := make([]byte, 1<<24)
-		panic(fmt.Sprintf("stuck: %s\n%s", plan.Text(), stacks[:runtime.Stack(stacks, true)]))
+		panic(fmt.Sprintf("the day is deadlocked: %s\n%s", plan.Text(), stacks[:runtime.Stack(stacks, true)]))
 	})
 	defer watchdog.Stop()
 	defer func() {
@@ -59,7 +60,7 @@
 	return append(violations, checkTurns(fleet.history, fleet.environment.runLog)...), fleet
 }
 
-// leakedStacks gives the stacks of the goroutines that are left in a bubble.
+// leakedStacks returns the stacks of the goroutines that are left in a bubble.
 func leakedStacks() string {
 	stacks := make([]byte, 1<<24)
 	var leaked []string
@@ -74,7 +75,7 @@
 func TestRandomDays(t *testing.T) {
 	t.Parallel()
 	orders, programs, turns, runs := 0, 0, 0, 0
-	breached := uint64(0)
+	failedDays := uint64(0)
 	for seed := *firstFlag; seed < *firstFlag+*daysFlag; seed++ {
 		plan := RandomPlan(seed)
 		violations, fleet := runAndCheckDay(t, plan)
@@ -87,16 +88,16 @@
 		if len(violations) == 0 {
 			continue
 		}
-		breached++
+		failedDays++
 		t.Errorf("seed %d: %s\n%s", seed, plan.Text(), strings.Join(violations[:min(5, len(violations))], "\n"))
-		if breached == 1 {
+		if failedDays == 1 {
 			shrunk := Shrink(plan, shrinkDays, func(p Plan) bool { found, _ := runAndCheckDay(t, p); return len(found) > 0 })
 			found, _ := runAndCheckDay(t, shrunk)
 			t.Errorf("smallest plan: %s\n%s", shrunk.Text(), strings.Join(found, "\n"))
 		}
 	}
-	t.Logf("%d days, %d with a breach: %d orders sent, %d programs, %d complete turns, %d runs at endpoints", *daysFlag, breached, orders, programs, turns, runs)
+	t.Logf("%d days, %d with violations: %d orders sent, %d programs, %d complete turns, %d runs at endpoints", *daysFlag, failedDays, orders, programs, turns, runs)
 	if turns < 20*int(*daysFlag) || orders < 5*int(*daysFlag) {
-		t.Error("the days test too little")
+		t.Error("the days tested too little: want at least 20 complete turns and 5 orders a day")
 	}
 }
--- a/internal/tier/simulation/check_configuration.go
+++ b/internal/tier/simulation/check_configuration.go
@@ -10,11 +10,11 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// linearizabilityTimeout bounds the search for an order of all calls, in real time.
+// linearizabilityTimeout bounds the search for a sequence of calls that explains all answers, in real time.
 const linearizabilityTimeout = 20 * time.Second
 
-// registerModel is the configuration as a register with compare-and-set: the contents that were in force, one after the other.
-// An order whose content was accepted is acknowledged whenever it is sent again.
+// registerModel models the configuration as a compare-and-set register. Its state is the chain of contents that have been in force.
+// An order whose content was accepted is acknowledged again whenever a duplicate of it is sent.
 var registerModel = (&porcupine.NondeterministicModel{
 	Init:  func() []any { return []any{[]content(nil)} },
 	Equal: func(a, b any) bool { return slices.Equal(a.([]content), b.([]content)) },
@@ -28,6 +28,7 @@
 	DescribeState: func(state any) string { return fmt.Sprint(state) },
 }).ToModel()
 
+// readStep returns the states that a read may leave: the same one if it read the newest content, else none.
 func readStep(chain []content, call operation) []any {
 	if len(chain) > 0 && chain[len(chain)-1] == call.Content {
 		return []any{chain}
@@ -35,38 +36,39 @@
 	return nil
 }
 
-// orderStep returns the states that an order may leave, by its answer.
+// orderStep returns the states that an order with this answer may leave.
 func orderStep(chain []content, call operation) []any {
-	taken := slices.Contains(chain, call.Content)
+	accepted := slices.Contains(chain, call.Content)
 	current := content{}
 	if len(chain) > 0 {
 		current = chain[len(chain)-1]
 	}
-	fits := !taken && call.Base == current.Number
+	applicable := !accepted && call.Base == current.Number
 	switch {
-	case call.Status == http.StatusOK && taken:
+	case call.Status == http.StatusOK && accepted:
 		return []any{chain}
-	case call.Status == http.StatusOK && fits:
+	case call.Status == http.StatusOK && applicable:
 		return []any{append(slices.Clone(chain), call.Content)}
 	case call.Status == http.StatusOK:
 		return nil
 	case isRefusal(call.Status):
-		if taken || fits {
+		if accepted || applicable {
 			return nil
 		}
 		return []any{chain}
-	case fits: // the outcome isn't known
+	case applicable: // the outcome is unknown
 		return []any{chain, append(slices.Clone(chain), call.Content)}
 	}
 	return []any{chain}
 }
 
-// isRefusal reports whether a status rejects an order for good.
+// isRefusal reports whether a status rejects an order finally.
 func isRefusal(status int) bool {
 	return status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
 
-// checkConfiguration reports what can't have happened to a register, and proxies that went back.
+// checkConfiguration returns the violations of a history: calls that no register explains, and proxies that went back to an older
+// version.
 func checkConfiguration(h *history) (violations []string) {
 	var operations []porcupine.Operation
 	for i, call := range h.operations {
@@ -83,26 +85,26 @@
 		operations = append(operations, porcupine.Operation{ClientId: i, Input: call, Call: int64(call.Started), Return: returned})
 	}
 	if porcupine.CheckOperationsTimeout(registerModel, operations, linearizabilityTimeout) == porcupine.Illegal {
-		violations = append(violations, fmt.Sprintf("CONFIG: no order of all calls explains their answers; the shortest beginning that has none: %s", describeCalls(operations)))
+		violations = append(violations, fmt.Sprintf("CONFIG: no sequence of all calls explains their answers; the shortest prefix that none explains ends with: %s", describeCalls(operations)))
 	}
 	return append(violations, checkProxies(h)...)
 }
 
-// describeCalls names the last calls of the shortest beginning of a history, by the calls' ends, that has no order.
+// describeCalls describes the last calls of the shortest prefix of a history, sorted by the calls' ends, that no sequence explains.
 func describeCalls(operations []porcupine.Operation) string {
 	slices.SortStableFunc(operations, func(a, b porcupine.Operation) int { return int(min(max(a.Return-b.Return, -1), 1)) })
 	const shown = 4
 	for count := range operations {
-		beginning := slices.Clone(operations[:count+1])
-		for _, other := range operations[count+1:] { // what had begun by then may have had its effect
+		prefix := slices.Clone(operations[:count+1])
+		for _, other := range operations[count+1:] { // calls that had started by then may have taken effect
 			if other.Call < operations[count].Return && !other.Input.(operation).IsRead {
 				input := other.Input.(operation)
 				input.Status = 0
 				other.Input, other.Return = input, math.MaxInt64
-				beginning = append(beginning, other)
+				prefix = append(prefix, other)
 			}
 		}
-		if porcupine.CheckOperationsTimeout(registerModel, beginning, linearizabilityTimeout) == porcupine.Illegal {
+		if porcupine.CheckOperationsTimeout(registerModel, prefix, linearizabilityTimeout) == porcupine.Illegal {
 			text := ""
 			for _, operation := range operations[max(0, count+1-shown) : count+1] {
 				text += fmt.Sprintf("%+v; ", operation.Input)
@@ -110,10 +112,10 @@
 			return text
 		}
 	}
-	return "all of it"
+	return "the entire history"
 }
 
-// checkProxies reports proxies that went back in one incarnation.
+// checkProxies returns violations for proxies that went back to an older version within one incarnation.
 func checkProxies(h *history) (violations []string) {
 	type incarnation struct {
 		proxy  string
--- a/internal/tier/simulation/clients.go
+++ b/internal/tier/simulation/clients.go
@@ -11,21 +11,21 @@
 	"mastusher/internal/tier/wait"
 )
 
-// How clients behave.
+// Timing of clients and of the ingress's readiness checks.
 const (
 	readinessInterval = time.Second
-	maxMisses         = 2
+	maxMisses         = 2 // failed readiness checks in a row after which the ingress avoids a proxy
 	programTimeout    = 30 * time.Second
-	maxTokens         = 12 // of one turn, which generates all of them
+	maxTokens         = 12 // tokens that a turn may generate; each turn uses all of them
 	resendBackoff     = 200 * time.Millisecond
 )
 
-// clients send programs through the proxies that the platform's ingress takes for ready.
+// clients run programs through the proxies that the platform's ingress considers ready.
 type clients struct {
 	fleet    *Fleet
 	client   *http.Client
-	misses   map[*machine]int // the fleet's mutex guards it
-	programs int
+	misses   map[*machine]int // failed readiness checks in a row; the fleet's mutex guards it
+	programs int              // programs started
 }
 
 func newClients(f *Fleet) *clients {
@@ -33,7 +33,7 @@
 	return &clients{fleet: f, client: &http.Client{Timeout: callTimeout, Transport: transport}, misses: map[*machine]int{}}
 }
 
-// pollReadiness asks each proxy each second whether it is ready, until the fleet closes.
+// pollReadiness checks the readiness of each proxy once a second, until the fleet closes.
 func (c *clients) pollReadiness() {
 	for !c.fleet.isClosed() {
 		for _, m := range c.fleet.machinesOf(edgeClass) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// checkReadiness asks one proxy once and counts its misses.
+// checkReadiness checks one proxy once and updates its number of misses.
 func (c *clients) checkReadiness(m *machine) {
 	ready := c.isReady(m)
 	c.fleet.mutex.Lock()
@@ -64,7 +64,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// dial opens a connection to a proxy as the ingress does: one of those that it takes for ready, or any where none is.
+// dial opens a connection to a random proxy that the ingress considers ready, or to any proxy if none is ready.
 func (c *clients) dial(ctx context.Context, network, _ string) (net.Conn, error) {
 	edges := c.fleet.machinesOf(edgeClass)
 	c.fleet.mutex.Lock()
@@ -82,27 +82,27 @@
 	return c.fleet.environment.client.Dial(ctx, new(net.Dialer), network, chosen.address(frontPort))
 }
 
-// runProgram runs one program to its end.
-func (c *clients) runProgram(turns int, budget int64, from standin.Turn) standin.Outcome {
+// runProgram runs one program to its end and records its outcome. A nonzero previous is the turn that it continues.
+func (c *clients) runProgram(turns int, budget int64, previous standin.Turn) standin.Outcome {
 	c.fleet.mutex.Lock()
 	c.programs++
 	name := fmt.Sprintf("p%d", c.programs)
 	c.fleet.mutex.Unlock()
 	options := standin.ProgramOptions{Name: name, Address: net.JoinHostPort(clientAddress, "80"), Host: host, TurnPath: turnPath, ToolPath: toolPath,
 		Model: modelName, Turns: turns, Tools: 1, MaxTokens: maxTokens, Budget: budget, Timeout: programTimeout, RequestTimeout: requestTimeout, Stateful: true,
-		ContinueFrom: from, Dial: c.dial, Backoff: waitResendBackoff}
+		ContinueFrom: previous, Dial: c.dial, Backoff: waitResendBackoff}
 	outcome := standin.NewProgram(options).Run(context.Background())
 	c.fleet.trace("program %s: %s after %d turns", name, outcome.State, len(outcome.Turns))
 	c.fleet.history.addProgram(standin.ProgramResult{Name: name, Budget: budget, Outcome: outcome})
 	return outcome
 }
 
-// waitResendBackoff waits before a turn is sent again; its error is the context's.
+// waitResendBackoff waits before a turn is sent again; it returns the context's error if that ends first.
 func waitResendBackoff(ctx context.Context) error {
 	return wait.Sleep(ctx, resendBackoff)
 }
 
-// get sends one request to a path straight to a proxy, and returns the status; 0: no answer.
+// get sends one GET request directly to a proxy and returns the status; 0 means no answer.
 func (c *clients) get(m *machine, path, attempt string) int {
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+m.address(frontPort)+path, nil)
 	if err != nil {
--- a/internal/tier/simulation/damage_test.go
+++ b/internal/tier/simulation/damage_test.go
@@ -9,8 +9,8 @@
 	"mastusher/internal/tier/standin"
 )
 
-// Given a store that was killed and of whose shards the snapshots are damaged, when it starts, then all shards have all their
-// replicas within 15 s: it doesn't pass for the member that it was.
+// TestStore_DamagedSnapshots_IsReplaced damages the snapshots of a killed store. When it starts, it must not act as the member that it
+// was, and all shards must have all their replicas within 15 s.
 func TestStore_DamagedSnapshots_IsReplaced(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -21,7 +21,7 @@
 		users.runProgram(3, 0, standin.Turn{})
 		shards := fleet.completeShards()
 		if shards == 0 {
-			t.Fatal("no shard is complete")
+			t.Fatal("no shard has all its replicas")
 		}
 		m := d.machinesOf(storageClass)[0]
 		m.kill()
@@ -36,12 +36,12 @@
 			}
 		}
 		if damaged == 0 {
-			t.Fatalf("nothing to be damaged among %v", names)
+			t.Fatalf("no snapshot could be damaged among the files %v", names)
 		}
 		m.startAll()
 		time.Sleep(15 * time.Second)
 		if got := fleet.completeShards(); got != shards {
-			t.Errorf("%d of %d shards are complete 15 s after a disk was found to be damaged", got, shards)
+			t.Errorf("%d of %d shards have all their replicas 15 s after a store with damaged snapshots started", got, shards)
 		}
 		fleet.Close()
 	})
--- a/internal/tier/simulation/day.go
+++ b/internal/tier/simulation/day.go
@@ -12,7 +12,7 @@
 	programInterval  = 700 * time.Millisecond
 	orderInterval    = 1200 * time.Millisecond
 	readInterval     = 1700 * time.Millisecond
-	maxTurns         = 4 // of a program
+	maxTurns         = 4 // turns of a program
 	recoveryTimeout  = 25 * time.Second
 	recoveryAttempts = 6
 )
@@ -27,10 +27,10 @@
 	traffic sync.WaitGroup
 
 	// The fleet's mutex guards these.
-	newestVersion uint64 // number of the newest version that an operator has seen
+	newestVersion uint64 // number of the newest configuration that an operator knows
 	stopping      bool
-	ackFault      func(acting *machine) // called at the next acknowledgement, once
-	shards        int
+	ackFault      func(controller *machine) // called once, with the controller that acknowledges the next order
+	shards        int                       // expected number of shards
 }
 
 // runDay runs a plan to the end of its checks and closes the fleet. It must be called inside a bubble.
@@ -61,11 +61,11 @@
 func (d *day) startFleet() {
 	d.StartAll()
 	if status := d.first.order(0, d.first.next(1)); status != statusOK {
-		d.report("BEGIN", "the first configuration was answered %d", status)
+		d.report("BEGIN", "the first configuration got status %d, want 200", status)
 	}
 	d.recordVersion(1)
 	if !d.waitUntil(recoveryTimeout, func() bool { return d.allReady(d.clients) }) {
-		d.report("BEGIN", "the proxies aren't ready")
+		d.report("BEGIN", "not all proxies became ready in time")
 	}
 	d.goroutines.Go(d.clients.pollReadiness)
 	for d.shards = 1; d.shards < d.options.Stores; d.shards *= 2 {
@@ -75,7 +75,7 @@
 	}
 }
 
-// startTraffic has operators and clients at work until the day ends.
+// startTraffic starts the calls of operators and clients, which continue until the day ends.
 func (d *day) startTraffic() {
 	d.every(orderInterval, func() { d.order(d.first) })
 	d.every(readInterval, func() {
@@ -100,24 +100,24 @@
 	})
 }
 
-// jitter draws a time of 0.5 to 1.5 times an interval.
+// jitter returns a random duration between 0.5 and 1.5 times an interval.
 func (d *day) jitter(interval time.Duration) time.Duration {
 	return interval/2 + time.Duration(d.intN(int(interval)))
 }
 
-// program runs a program; some continue a turn of another, and some have a budget.
+// program runs one program. Some programs have a budget, and some continue a turn of an earlier program.
 func (d *day) program() {
-	budget, from := int64(0), standin.Turn{}
+	budget, previous := int64(0), standin.Turn{}
 	if d.intN(2) == 0 {
 		budget = int64(maxTokens * (1 + d.intN(2*maxTurns)))
 	}
 	if turns := d.history.completeTurns(); len(turns) > 0 && d.intN(4) == 0 {
-		from = turns[d.intN(len(turns))]
+		previous = turns[d.intN(len(turns))]
 	}
-	if !from.Ended.IsZero() && time.Since(from.Ended) > retention/4 {
-		from = standin.Turn{}
+	if !previous.Ended.IsZero() && time.Since(previous.Ended) > retention/4 {
+		previous = standin.Turn{}
 	}
-	d.clients.runProgram(1+d.intN(maxTurns), budget, from)
+	d.clients.runProgram(1+d.intN(maxTurns), budget, previous)
 }
 
 func (d *day) isStopping() bool {
@@ -126,7 +126,7 @@
 	return d.stopping
 }
 
-// onAcknowledgement injects the fault that waits for an acknowledgement at the controller that has given it.
+// onAcknowledgement injects the pending ackFault, if any, into the controller at the address, which has acknowledged an order.
 func (d *day) onAcknowledgement(address string) {
 	d.mutex.Lock()
 	inject := d.ackFault
@@ -142,15 +142,15 @@
 	}
 }
 
-// stopTraffic ends the traffic and all faults, and starts what is down.
+// stopTraffic ends the traffic and all faults, and starts the machines that are down.
 func (d *day) stopTraffic() {
 	d.mutex.Lock()
 	d.stopping, d.ackFault = true, nil
 	d.mutex.Unlock()
-	time.Sleep(maxFaultTime + grace) // all faults have ended by themselves, and what was stopped has started again
-	everyone := d.machinesOf(coreClass, storageClass, edgeClass)
-	for _, m := range everyone {
-		for _, other := range everyone {
+	time.Sleep(maxFaultTime + gracePeriod) // by then, all faults have ended by themselves, and stopped machines have started again
+	machines := d.machinesOf(coreClass, storageClass, edgeClass)
+	for _, m := range machines {
+		for _, other := range machines {
 			if m != other {
 				d.heal(m, other)
 			}
--- a/internal/tier/simulation/day_orders.go
+++ b/internal/tier/simulation/day_orders.go
@@ -4,7 +4,7 @@
 	"net/http"
 )
 
-// order sends the next version.
+// order sends an order for the next version, on the newest one that is known, and returns its status.
 func (d *day) order(o *operator) int {
 	base := d.knownVersion()
 	number := base + 1 + uint64(d.intN(3))
@@ -17,7 +17,7 @@
 	return status
 }
 
-// raceOrders has two operators order at the same time on the same version; half of the times under the same number.
+// raceOrders has two operators send orders on the same version at the same time; in half of the cases under the same number.
 func (d *day) raceOrders(fault Fault) {
 	base := d.knownVersion()
 	for i, o := range []*operator{d.first, d.second} {
@@ -30,7 +30,7 @@
 	}
 }
 
-// sendInvalidOrders sends orders that must be refused.
+// sendInvalidOrders sends orders that must be rejected.
 func (d *day) sendInvalidOrders() {
 	d.traffic.Go(func() {
 		for _, body := range []string{`{"number":`, `{"number":99999,"routes":[{"name":"r","host":"h","startsWith":"/x/","service":"none"}]}`} {
@@ -42,7 +42,7 @@
 	})
 }
 
-// resendEarlierOrder sends an order once more that was sent before.
+// resendEarlierOrder sends a duplicate of an earlier order.
 func (d *day) resendEarlierOrder(fault Fault) {
 	d.traffic.Go(func() {
 		if orders := d.history.orders(); len(orders) > 0 {
--- a/internal/tier/simulation/disk.go
+++ b/internal/tier/simulation/disk.go
@@ -7,7 +7,7 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// stallPollInterval is how often a waiting operation checks whether its disk answers again.
+// stallPollInterval is how often a blocked operation checks whether its disk is still stalled.
 const stallPollInterval = 10 * time.Millisecond
 
 // disk is the disk of a machine. The fleet's mutex guards its fields.
@@ -17,8 +17,8 @@
 	stalled  bool
 }
 
-// processDisk is a machine's disk as one process sees it: each sync takes its time, and nothing is answered while the machine
-// or the disk stands still or once the process has ended.
+// processDisk is a machine's disk as one process sees it: each sync takes syncTime, operations block while the machine is frozen
+// or the disk is stalled, and they fail once the process has ended.
 type processDisk struct {
 	process *process
 	files   *memorydisk.Disk
@@ -26,7 +26,7 @@
 
 var _ storage.Disk = (*processDisk)(nil)
 
-// await waits until an operation may be done. All waiting is outside of the disk's own lock.
+// await waits until an operation may proceed. It waits before the operation takes the lock of the memory disk.
 func (d *processDisk) await(sync bool) error {
 	p := d.process
 	if sync {
--- a/internal/tier/simulation/disk_seeds_test.go
+++ b/internal/tier/simulation/disk_seeds_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// unreachableSeeds are addresses at which nobody has ever listened.
+// unreachableSeeds are addresses at which no process listens.
 var unreachableSeeds = []string{"10.9.0.1:8144", "10.9.0.2:8144", "10.9.0.3:8144"}
 
-// A start must not depend on the seeds of the settings alone: the disks name the members of the machines' groups, and those of
-// controllers the stores too.
+// TestStart_AllSeedsAreGone_MachinesMeetByTheirDisks checks that a start doesn't depend on the seeds of the settings alone: a
+// machine's disk names the members of its groups, and a controller's disk names the stores too.
 func TestStart_AllSeedsAreGone_MachinesMeetByTheirDisks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// Given a fleet that has lost power, when the machines with a disk start with settings that name seeds which are gone,
+		// Given a fleet that has lost power, when the machines with a disk start with settings that name unreachable seeds,
 		f, orders, _ := newFleet(t, Options{Seed: 11})
 		if !f.waitUntil(startTimeout, func() bool { return f.completeShards() == 4 }) {
-			t.Fatal("the shards aren't complete")
+			t.Fatal("not all 4 shards have all their replicas")
 		}
 		for _, m := range f.machinesOf(coreClass, storageClass, edgeClass) {
 			m.losePower(5)
@@ -26,11 +26,11 @@
 			m.startAll()
 		}
 		f.setSeeds(seeds)
-		// then they meet: controllers take an order, and replace a store whose disk is lost by what they know of the others.
+		// then they find one another: controllers accept an order, and replace the replicas of a store whose disk is lost.
 		if status := orders.order(1, orders.next(2)); status != statusOK {
-			t.Errorf("an order was answered %d", status)
+			t.Errorf("an order got status %d, want 200", status)
 		}
-		time.Sleep(catchUp)
+		time.Sleep(catchUpTime)
 		lost := f.machinesOf(storageClass)[0]
 		lost.loseDisk(7)
 		lost.startAll()
@@ -44,11 +44,11 @@
 	})
 }
 
-// setSeeds replaces the seeds of all settings that are written from now on, and returns the former ones.
+// setSeeds replaces the seeds in settings files that are written from now on, and returns the previous ones.
 func (f *Fleet) setSeeds(seeds []string) []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	former := f.seedAddresses
+	previous := f.seedAddresses
 	f.seedAddresses = seeds
-	return former
+	return previous
 }
--- a/internal/tier/simulation/doubler_test.go
+++ b/internal/tier/simulation/duplicating_endpoint_test.go
@@ -13,41 +13,41 @@
 	"mastusher/internal/tier/standin"
 )
 
-// doubler is an endpoint that sends each answer twice and keeps the connection.
-type doubler struct {
+// duplicatingEndpoint is an endpoint that sends each response twice and keeps the connection open.
+type duplicatingEndpoint struct {
 	host     *memorynetwork.Machine
 	listener net.Listener
 
 	mutex sync.Mutex
-	ran   map[string]int // how often, by attempt
+	ran   map[string]int // number of runs, by attempt
 }
 
 const (
-	doublerAddress = "10.8.1.1"
-	doublerID      = "doubler"
+	duplicatingAddress = "10.8.1.1"
+	duplicatingID      = "doubler"
 )
 
-// startDoubler puts one on the platform's list, in place of the other endpoints for tools.
-func startDoubler(t *testing.T, f *Fleet) *doubler {
+// startDuplicatingEndpoint starts a duplicating endpoint and lists it on the platform, in place of the other endpoints of the tool service.
+func startDuplicatingEndpoint(t *testing.T, f *Fleet) *duplicatingEndpoint {
 	t.Helper()
-	host := f.network.Machine(doublerAddress)
+	host := f.network.Machine(duplicatingAddress)
 	listener, err := f.environment.listen(host, endpointPort)()
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &doubler{host: host, listener: listener, ran: map[string]int{}}
+	d := &duplicatingEndpoint{host: host, listener: listener, ran: map[string]int{}}
 	go d.serve()
 	for number := range 2 * endpointsPerService {
 		if number%2 == 1 {
 			f.environment.platform.Remove(fmt.Sprintf("e-%d", number))
 		}
 	}
-	f.environment.platform.Put(model.Endpoint{ID: doublerID, Service: toolService, Address: listener.Addr().String(), Zone: zoneName(0), Version: "v1",
+	f.environment.platform.Put(model.Endpoint{ID: duplicatingID, Service: toolService, Address: listener.Addr().String(), Zone: zoneName(0), Version: "v1",
 		Capacity: endpointCapacity, State: model.Ready})
 	return d
 }
 
-func (d *doubler) serve() {
+func (d *duplicatingEndpoint) serve() {
 	for {
 		socket, err := d.listener.Accept()
 		if err != nil {
@@ -57,8 +57,8 @@
 	}
 }
 
-// answer serves one connection.
-func (d *doubler) answer(socket net.Conn) {
+// answer serves the requests of one connection.
+func (d *duplicatingEndpoint) answer(socket net.Conn) {
 	defer socket.Close()
 	reader := bufio.NewReader(socket)
 	for {
@@ -72,9 +72,9 @@
 			d.ran[attempt]++
 			d.mutex.Unlock()
 		}
-		body := standin.PlainBody(doublerID, attempt, 0)
+		body := standin.PlainBody(duplicatingID, attempt, 0)
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Seal: %s\r\nX-Server-Id: %s\r\nContent-Length: %d\r\n\r\n%s",
-			attempt, standin.Seal(doublerID, attempt), doublerID, len(body), body)
+			attempt, standin.Seal(duplicatingID, attempt), duplicatingID, len(body), body)
 		if _, err := socket.Write([]byte(text + text)); err != nil {
 			return
 		}
--- a/internal/tier/simulation/environment.go
+++ b/internal/tier/simulation/environment.go
@@ -10,19 +10,19 @@
 	"mastusher/internal/tier/standin"
 )
 
-// Addresses of those outside the tier.
+// Addresses of the platform, the operators and the clients, which are outside the tier.
 const (
 	platformAddress = "10.9.0.1"
 	operatorAddress = "10.9.0.2"
 	clientAddress   = "10.9.0.3"
 )
 
-// Values of the endpoints and of the platform's list.
+// Properties of the endpoints and of the platform's list.
 const (
 	modelService        = "lm"
 	toolService         = "tools"
 	modelName           = "m"
-	endpointsPerService = 3 // of a service
+	endpointsPerService = 3
 	endpointCapacity    = 32
 	tokensPerEvent      = 3
 	cacheTokens         = 200_000
@@ -33,15 +33,15 @@
 	pageSize            = 4
 )
 
-// environment holds those whom the tier talks to: the platform's list, the endpoints, the operator and the clients.
+// environment holds what is outside the tier: the platform's list, the endpoints, and the hosts of the operators and clients.
 type environment struct {
-	runLog    *standin.RunLog
-	platform  *standin.Platform
-	endpoints []*endpoint
-	operator  *memorynetwork.Process
-	client    *memorynetwork.Process
-	processes []*memorynetwork.Process
-	closers   []func()
+	runLog     *standin.RunLog
+	platform   *standin.Platform
+	endpoints  []*endpoint
+	operator   *memorynetwork.Process
+	client     *memorynetwork.Process
+	processes  []*memorynetwork.Process
+	closeFuncs []func()
 }
 
 // endpoint is a simulated endpoint with the machine that it runs on.
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	environment.platform = platform
-	environment.closers = append(environment.closers, platform.Close)
+	environment.closeFuncs = append(environment.closeFuncs, platform.Close)
 	for number := range 2 * endpointsPerService {
 		if err := environment.addEndpoint(f, number); err != nil {
 			return nil, err
@@ -69,7 +69,7 @@
 	return environment, nil
 }
 
-// listen returns what opens a port on a machine.
+// listen returns a function that opens a port on a machine.
 func (e *environment) listen(host *memorynetwork.Machine, port int) func() (net.Listener, error) {
 	process := host.Start()
 	e.processes = append(e.processes, process)
@@ -78,7 +78,7 @@
 	}
 }
 
-// addEndpoint starts a model server or a plain endpoint.
+// addEndpoint starts a model server if the number is even, else a plain endpoint, and lists it on the platform.
 func (e *environment) addEndpoint(f *Fleet, number int) error {
 	host := f.network.Machine(fmt.Sprintf("10.8.0.%d", number+1))
 	options := standin.EndpointOptions{
@@ -101,23 +101,23 @@
 			return err
 		}
 		e.platform.PutEntry(standin.Entry{Endpoint: engine.Entry(), Phase: "both", Models: []standin.ReportModel{{Name: modelName, Number: 1, Adapters: []string{}}}})
-		e.closers = append(e.closers, engine.Close)
+		e.closeFuncs = append(e.closeFuncs, engine.Close)
 	} else {
 		plain, err := standin.NewPlain(standin.PlainOptions{EndpointOptions: options, ServiceTime: toolServiceTime})
 		if err != nil {
 			return err
 		}
 		e.platform.Put(plain.Entry())
-		e.closers = append(e.closers, plain.Close)
+		e.closeFuncs = append(e.closeFuncs, plain.Close)
 	}
 	e.endpoints = append(e.endpoints, &endpoint{id: options.ID, host: host})
 	return nil
 }
 
-// close ends them all.
+// close ends the endpoints, the platform and the processes of operators and clients.
 func (e *environment) close() {
-	for _, end := range e.closers {
-		end()
+	for _, closeFunc := range e.closeFuncs {
+		closeFunc()
 	}
 	for _, process := range e.processes {
 		process.Kill()
--- a/internal/tier/simulation/faultinjection.go
+++ b/internal/tier/simulation/faultinjection.go
@@ -6,19 +6,19 @@
 	"mastusher/internal/tier/standin"
 )
 
-// Sizes and times of the faults.
+// Sizes, durations and rates of the faults.
 const (
-	ackTimeout          = 3 * time.Second // for which a fault waits for an acknowledgement
-	maxAckFaultDelay    = 4 * time.Millisecond
+	ackTimeout          = 3 * time.Second      // how long a fault waits for an acknowledgement
+	maxAckFaultDelay    = 4 * time.Millisecond // from the acknowledgement to the fault
 	slowSyncTime        = 120 * time.Millisecond
 	slowLinkDelay       = 60 * time.Millisecond
-	freeBytes           = 200
-	clockStepBack       = 3 * time.Second
-	faultyRequestRate   = 0.2
+	freeBytes           = 200             // left on a full disk
+	clockStepBack       = 3 * time.Second // subtracted from a clock fault's duration, so that clocks step both ways
+	faultyRequestRate   = 0.2             // share of requests that a faulty endpoint fails
 	injectedAckLossRate = 0.7
 )
 
-// inject injects a fault into machines and processes, or passes it on by its kind.
+// inject injects a fault of a machine or process, and passes other kinds on to injectLinkOrDiskFault.
 func (d *day) inject(fault Fault) {
 	d.trace("FAULT %+v", fault)
 	machines := d.quorumMachines()
@@ -41,7 +41,7 @@
 		d.restartMachine(target)
 	case HangUpFault:
 		for _, p := range target.currentProcesses() {
-			p.hangUp()
+			p.sendHangup()
 		}
 	case FreezeFault:
 		target.host.Freeze()
@@ -50,11 +50,11 @@
 		target.loseDisk(seed)
 		d.startLater(fault.For, target)
 	case AckKillFault:
-		d.afterAcknowledgement(fault, func(acting *machine) { acting.kill() })
+		d.afterAcknowledgement(fault, func(controller *machine) { controller.kill() })
 	case AckPowerLossFault:
-		d.afterAcknowledgement(fault, func(acting *machine) { acting.losePower(seed) })
+		d.afterAcknowledgement(fault, func(controller *machine) { controller.losePower(seed) })
 	case AckDiskLossFault:
-		d.afterAcknowledgement(fault, func(acting *machine) { acting.loseDisk(seed) })
+		d.afterAcknowledgement(fault, func(controller *machine) { controller.loseDisk(seed) })
 	case AckPowerLossAllFault:
 		d.afterAcknowledgement(fault, func(*machine) { d.endAll(fault, func(m *machine) { m.losePower(seed) }) })
 	case ReplaceFault, PlannedReplaceFault:
@@ -66,22 +66,22 @@
 	case EdgeTermFault:
 		d.restartMachine(edge)
 	default:
-		d.injectMachineFault(fault, target, edge)
+		d.injectLinkOrDiskFault(fault, target, edge)
 	}
 }
 
-// injectMachineFault injects a fault of a link or a disk, or passes it on.
-func (d *day) injectMachineFault(fault Fault, target, edge *machine) {
-	everyone := d.machinesOf(coreClass, storageClass, edgeClass)
+// injectLinkOrDiskFault injects a fault of a link or disk, and passes other kinds on to injectExternalFault.
+func (d *day) injectLinkOrDiskFault(fault Fault, target, edge *machine) {
+	all := d.machinesOf(coreClass, storageClass, edgeClass)
 	switch fault.Kind {
 	case PartitionFault:
-		d.partition(fault.For, []*machine{target}, everyone, bothWays)
+		d.partition(fault.For, []*machine{target}, all, bothWays)
 	case PartitionQuorumFault:
 		d.partition(fault.For, []*machine{target}, d.quorumMachines(), bothWays)
 	case PartitionOutboundFault:
-		d.partition(fault.For, []*machine{target}, everyone, outbound)
+		d.partition(fault.For, []*machine{target}, all, outbound)
 	case PartitionInboundFault:
-		d.partition(fault.For, []*machine{target}, everyone, inbound)
+		d.partition(fault.For, []*machine{target}, all, inbound)
 	case PartitionZoneFault:
 		near, far := d.splitByZone(target)
 		d.partition(fault.For, near, far, bothWays)
@@ -145,6 +145,6 @@
 	case DuplicateOrderFault:
 		d.resendEarlierOrder(fault)
 	default:
-		d.report("HARNESS", "no fault of the kind %q", fault.Kind)
+		d.report("HARNESS", "unknown kind of fault %q", fault.Kind)
 	}
 }
--- a/internal/tier/simulation/faults_endpoint.go
+++ b/internal/tier/simulation/faults_endpoint.go
@@ -7,13 +7,13 @@
 	"mastusher/internal/tier/standin"
 )
 
-// endpointFaults is the fault that endpoints inject into some requests.
+// endpointFaults says which fault the endpoints inject, and into which share of the requests.
 type endpointFaults struct {
-	rate  float64 // of requests
+	rate  float64 // share of the requests
 	fault standin.Fault
 }
 
-// drawEndpointFault draws the fault of one request.
+// drawEndpointFault decides at random whether an endpoint fails a request, and how.
 func (f *Fleet) drawEndpointFault(*http.Request) standin.Fault {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -23,21 +23,21 @@
 	return standin.NoFault
 }
 
-// setEndpointFaults sets which fault endpoints inject, and how often.
+// setEndpointFaults sets the fault that the endpoints inject.
 func (f *Fleet) setEndpointFaults(faults endpointFaults) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.endpointFaults = faults
 }
 
-// failRequests has the endpoints inject a fault into some requests.
-func (d *day) failRequests(lasts time.Duration, fault standin.Fault) {
+// failRequests makes the endpoints fail some requests for a while.
+func (d *day) failRequests(duration time.Duration, fault standin.Fault) {
 	d.setEndpointFaults(endpointFaults{rate: faultyRequestRate, fault: fault})
-	d.after(lasts, func() { d.setEndpointFaults(endpointFaults{}) })
+	d.after(duration, func() { d.setEndpointFaults(endpointFaults{}) })
 }
 
-func (d *day) setAckLossRate(share float64) {
+func (d *day) setAckLossRate(rate float64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.ackLossRate = share
+	d.ackLossRate = rate
 }
--- a/internal/tier/simulation/faults_machine.go
+++ b/internal/tier/simulation/faults_machine.go
@@ -4,10 +4,10 @@
 	"time"
 )
 
-// startLater starts a machine after a delay.
+// startLater starts a machine's roles after a delay.
 func (d *day) startLater(delay time.Duration, m *machine) { d.after(delay, m.startAll) }
 
-// endAll ends all quorum machines at once; each starts again within the fault's time.
+// endAll ends all quorum machines at once; each starts again after a random part of the fault's duration.
 func (d *day) endAll(fault Fault, end func(*machine)) {
 	for _, m := range d.quorumMachines() {
 		end(m)
@@ -23,7 +23,7 @@
 	})
 }
 
-// killProcess kills one process of an edge, which the platform starts again.
+// killProcess kills the proxy or the agent of an edge, as the fault's kind says; it is restarted after restartDelay.
 func (d *day) killProcess(edge *machine, fault Fault) {
 	role := proxyRole
 	if fault.Kind == AgentKillFault {
@@ -37,23 +37,24 @@
 	}
 }
 
-// afterAcknowledgement ends the machine that acknowledges the next order, and starts it again.
+// afterAcknowledgement ends the controller that acknowledges the next order, within maxAckFaultDelay, and starts it again.
 func (d *day) afterAcknowledgement(fault Fault, end func(*machine)) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	until := d.now() + ackTimeout
-	d.ackFault = func(acting *machine) {
-		if d.now() > until {
+	deadline := d.now() + ackTimeout
+	d.ackFault = func(controller *machine) {
+		if d.now() > deadline {
 			return
 		}
 		time.Sleep(time.Duration(d.intN(int(maxAckFaultDelay))))
-		d.trace("FAULT ends %s", acting.name)
-		end(acting)
-		d.startLater(fault.For, acting)
+		d.trace("FAULT ends %s", controller.name)
+		end(controller)
+		d.startLater(fault.For, controller)
 	}
 }
 
-// replaceMachine removes a machine and starts an empty one at another address.
+// replaceMachine removes a machine and starts an empty one at another address: after the old one is lost, or before it is stopped
+// if the replacement is planned.
 func (d *day) replaceMachine(old *machine, fault Fault) {
 	next := d.add(old.class)
 	next.zone = old.zone
@@ -76,7 +77,7 @@
 	d.startLater(fault.For, next)
 }
 
-// renewSeeds has the operators and the settings files name the current controllers.
+// renewSeeds updates the seeds of the operators and of all settings files to the current controllers.
 func (d *day) renewSeeds() {
 	addresses := d.controlAddresses()
 	d.mutex.Lock()
@@ -89,8 +90,8 @@
 	}
 }
 
-// fillDisk leaves few bytes free on a machine's disk.
-func (d *day) fillDisk(lasts time.Duration, m *machine) {
+// fillDisk leaves freeBytes free on a machine's disk for a while.
+func (d *day) fillDisk(duration time.Duration, m *machine) {
 	memory := m.disk.memory
 	names, err := memory.List()
 	if err != nil {
@@ -101,5 +102,5 @@
 		used += memory.Size(name)
 	}
 	memory.SetCapacity(used)
-	d.after(lasts, func() { memory.SetCapacity(0) })
+	d.after(duration, func() { memory.SetCapacity(0) })
 }
--- a/internal/tier/simulation/faults_network.go
+++ b/internal/tier/simulation/faults_network.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// direction says which messages of a partitioned machine are lost.
+// direction is a set of directions in which a partitioned machine's messages are lost.
 type direction uint8
 
 // The directions.
@@ -14,9 +14,9 @@
 	bothWays = outbound | inbound
 )
 
-// partition cuts machines off from others.
-func (d *day) partition(lasts time.Duration, some, others []*machine, lost direction) {
-	each := func(change func(a, b *machine)) {
+// partition partitions some machines from others for a while.
+func (d *day) partition(duration time.Duration, some, others []*machine, lostDirections direction) {
+	forEachPair := func(change func(a, b *machine)) {
 		for _, a := range some {
 			for _, b := range others {
 				if a != b {
@@ -25,15 +25,15 @@
 			}
 		}
 	}
-	each(func(a, b *machine) {
-		if lost&outbound != 0 {
+	forEachPair(func(a, b *machine) {
+		if lostDirections&outbound != 0 {
 			d.network.Partition(a.host, b.host)
 		}
-		if lost&inbound != 0 {
+		if lostDirections&inbound != 0 {
 			d.network.Partition(b.host, a.host)
 		}
 	})
-	d.after(lasts, func() { each(d.heal) })
+	d.after(duration, func() { forEachPair(d.heal) })
 }
 
 func (d *day) heal(a, b *machine) {
@@ -53,8 +53,8 @@
 	return near, far
 }
 
-// refuseConnections resets and refuses connections between a machine and the other quorum machines.
-func (d *day) refuseConnections(lasts time.Duration, m *machine) {
+// refuseConnections resets existing connections between a machine and the other quorum machines and refuses new ones, for a while.
+func (d *day) refuseConnections(duration time.Duration, m *machine) {
 	others := d.quorumMachines()
 	for _, other := range others {
 		if other != m {
@@ -62,15 +62,15 @@
 			d.network.Refuse(other.host, m.host)
 		}
 	}
-	d.after(lasts, func() {
+	d.after(duration, func() {
 		for _, other := range others {
 			d.heal(m, other)
 		}
 	})
 }
 
-// slowLinks delays what a machine sends to the other quorum machines.
-func (d *day) slowLinks(lasts time.Duration, m *machine) {
+// slowLinks delays what a machine sends to the other quorum machines, for a while.
+func (d *day) slowLinks(duration time.Duration, m *machine) {
 	others := d.quorumMachines()
 	set := func(by time.Duration) {
 		for _, other := range others {
@@ -78,7 +78,7 @@
 		}
 	}
 	set(slowLinkDelay)
-	d.after(lasts, func() { set(0) })
+	d.after(duration, func() { set(0) })
 }
 
 func (d *day) healEndpoint(target *endpoint) {
--- a/internal/tier/simulation/fleet.go
+++ b/internal/tier/simulation/fleet.go
@@ -15,11 +15,11 @@
 
 // Options describe a fleet. A zero field takes its default.
 type Options struct {
-	Seed        uint64                                // of the network's delays and of all draws of the fleet
+	Seed        uint64                                // of the network's delays and all random numbers of the fleet
 	Controllers int                                   // machines with a controller; default 3
 	Stores      int                                   // machines with a store; default 4
 	Edges       int                                   // machines with an agent and a proxy; default 2
-	Zones       int                                   // over which the machines are spread; default 3
+	Zones       int                                   // zones over which the machines are distributed; default 3
 	Folder      string                                // where the settings files are written; must exist
 	Trace       func(format string, arguments ...any) // called for each event, from many goroutines; nil: no trace
 }
@@ -33,7 +33,7 @@
 	return o
 }
 
-// machines is the number of machines of a class at the first start.
+// machines returns the initial number of machines of a class.
 func (o Options) machines(of class) int {
 	switch of {
 	case coreClass:
@@ -44,32 +44,32 @@
 	return o.Edges
 }
 
-// Conditions of the network and the disks.
+// Latencies of the network and the disks without faults.
 const (
 	defaultDelay    = 300 * time.Microsecond
 	defaultJitter   = 400 * time.Microsecond
 	defaultSyncTime = 2 * time.Millisecond
 )
 
-// Fleet is a complete system with those who use it.
+// Fleet is a complete tier with the operators, clients and endpoints around it.
 type Fleet struct {
 	options     Options
 	started     time.Time
 	network     *memorynetwork.Network
 	environment *environment
 	history     *history
-	goroutines  sync.WaitGroup // processes, and calls of after
+	goroutines  sync.WaitGroup // processes, scheduled faults and readiness polls
 
 	mutex             sync.Mutex
 	random            *rand.Rand
 	machines          []*machine
-	hosts             int // that were ever added
+	machinesAdded     int // including removed ones
 	seedAddresses     []string
 	closed            bool
 	violations        []string
 	endpointFaults    endpointFaults
-	ackLossRate       float64              // rate of the answers to operators that are lost
-	onAcknowledgement func(address string) // called at each acknowledgement; set before any
+	ackLossRate       float64              // probability that an answer to an operator is lost
+	onAcknowledgement func(address string) // called with the controller of each acknowledgement; set before the first one
 }
 
 // New returns a fleet whose machines are down.
@@ -88,19 +88,19 @@
 	return f, err
 }
 
-// add makes a machine that is down.
+// add adds a machine that is down.
 func (f *Fleet) add(class class) *machine {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.hosts++
-	m := &machine{fleet: f, name: fmt.Sprintf("%s-%d", class, f.hosts), class: class, zone: zoneName(f.hosts % f.options.Zones), roles: rolesOf[class],
-		host: f.network.Machine(fmt.Sprintf("10.1.0.%d", f.hosts)), processes: map[role]*process{}, down: true,
+	f.machinesAdded++
+	m := &machine{fleet: f, name: fmt.Sprintf("%s-%d", class, f.machinesAdded), class: class, zone: zoneName(f.machinesAdded % f.options.Zones), roles: rolesOf[class],
+		host: f.network.Machine(fmt.Sprintf("10.1.0.%d", f.machinesAdded)), processes: map[role]*process{}, down: true,
 		disk: &disk{memory: memorydisk.New(), syncTime: defaultSyncTime}}
 	f.machines = append(f.machines, m)
 	return m
 }
 
-// machinesOf lists the machines of some classes that haven't been removed.
+// machinesOf returns the machines of the classes, without removed ones.
 func (f *Fleet) machinesOf(classes ...class) []*machine {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -113,7 +113,7 @@
 	return found
 }
 
-// quorumMachines lists the machines that count for a quorum.
+// quorumMachines returns the machines that count for a quorum.
 func (f *Fleet) quorumMachines() []*machine { return f.machinesOf(coreClass, storageClass) }
 
 func (f *Fleet) controlAddresses() []string {
@@ -131,7 +131,8 @@
 	}
 }
 
-// Close ends all processes with SIGTERM, and those who use them. A goroutine that is left right then is a leak, which the bubble finds.
+// Close ends all processes with SIGTERM, then the environment. A goroutine that still runs after it is a leak, which the bubble
+// reports.
 func (f *Fleet) Close() {
 	f.mutex.Lock()
 	f.closed = true
@@ -153,9 +154,9 @@
 	}
 }
 
-// report records a breach of a rule.
+// report records a violation of a rule.
 func (f *Fleet) report(rule, format string, arguments ...any) {
-	f.trace("BREACH "+rule+" "+format, arguments...)
+	f.trace("VIOLATION "+rule+" "+format, arguments...)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.violations = append(f.violations, fmt.Sprintf("%s at %.3f s: %s", rule, f.now().Seconds(), fmt.Sprintf(format, arguments...)))
@@ -169,14 +170,14 @@
 	})
 }
 
-// intN draws a number below n.
+// intN returns a random number below n.
 func (f *Fleet) intN(n int) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.random.IntN(n)
 }
 
-// waitUntil waits until a condition holds; false means that it didn't within the timeout.
+// waitUntil waits until a condition holds, and reports whether it did within the timeout.
 func (f *Fleet) waitUntil(timeout time.Duration, condition func() bool) bool {
 	for end := time.Now().Add(timeout); ; {
 		if condition() {
@@ -192,7 +193,7 @@
 // pollInterval is how often waitUntil checks its condition.
 const pollInterval = 50 * time.Millisecond
 
-// dialFrom opens connections for a process that is no part of the tier.
+// dialFrom returns a dialer for a process outside the tier.
 func dialFrom(from *memorynetwork.Process) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		return from.Dial(ctx, new(net.Dialer), network, address)
@@ -205,7 +206,7 @@
 	return f.closed
 }
 
-// Violations lists the breaches so far.
+// Violations returns the violations reported so far.
 func (f *Fleet) Violations() []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/tier/simulation/fleet_test.go
+++ b/internal/tier/simulation/fleet_test.go
@@ -12,7 +12,7 @@
 // startTimeout bounds the start of a fleet.
 const startTimeout = 20 * time.Second
 
-// newFleet starts a fleet that has its first configuration and whose proxies are ready.
+// newFleet starts a fleet and waits until it has its first configuration and all proxies are ready.
 func newFleet(t *testing.T, options Options) (*Fleet, *operator, *clients) {
 	t.Helper()
 	options.Folder = t.TempDir()
@@ -26,10 +26,10 @@
 	f.StartAll()
 	first, users := newOperator(f, "a"), newClients(f)
 	if status := first.order(0, first.next(1)); status != statusOK {
-		t.Fatalf("the first configuration was answered %d", status)
+		t.Fatalf("the first configuration got status %d, want 200", status)
 	}
 	if !f.waitUntil(startTimeout, func() bool { return f.allReady(users) }) {
-		t.Fatal("the proxies aren't ready")
+		t.Fatal("not all proxies became ready in time")
 	}
 	f.goroutines.Go(users.pollReadiness)
 	return f, first, users
@@ -39,13 +39,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, orders, users := newFleet(t, Options{Seed: 1})
 		if outcome := users.runProgram(4, 0, standin.Turn{}); outcome.State != standin.Finished {
-			t.Errorf("the program ended as %s: %+v", outcome.State, outcome)
+			t.Errorf("the program ended as %s, want finished: %+v", outcome.State, outcome)
 		}
 		if status := orders.order(1, orders.next(3)); status != statusOK {
-			t.Errorf("the second configuration was answered %d", status)
+			t.Errorf("the second configuration got status %d, want 200", status)
 		}
 		if got, ok := orders.readBack(); !ok || got.Number != 3 {
-			t.Errorf("read back %v", got)
+			t.Errorf("read back %v, want number 3", got)
 		}
 		f.Close()
 		for _, violation := range f.Violations() {
@@ -72,7 +72,7 @@
 	want := describe()
 	for range 10 {
 		if got := describe(); !slices.Equal(want, got) {
-			t.Fatalf("machines %v, and then %v", want, got)
+			t.Fatalf("the same seed gave the machines %v, and then %v", want, got)
 		}
 	}
 }
--- a/internal/tier/simulation/history.go
+++ b/internal/tier/simulation/history.go
@@ -7,25 +7,25 @@
 	"mastusher/internal/tier/standin"
 )
 
-// content names a configuration: two with one number differ in their labels.
+// content identifies a configuration: two configurations with the same number differ in their labels.
 type content struct {
 	Number uint64
 	Label  string
 }
 
-// operation is one attempt of an order or of a read of the configuration, as its operator saw it.
+// operation is one attempt to order or to read a configuration, as its operator saw it.
 type operation struct {
 	IsRead   bool
 	Base     uint64
-	Content  content // ordered, or read
-	Valid    bool    // of an order
+	Content  content // what was ordered or read
+	Valid    bool    // whether an order is valid
 	Started  time.Duration
 	Ended    time.Duration
-	Status   int // 0: no answer
-	Answered string
+	Status   int    // 0: no answer
+	Answered string // address of the controller that answered
 }
 
-// versionSeen is a configuration that came in force at a proxy.
+// versionSeen is a configuration that came into force at a proxy.
 type versionSeen struct {
 	Proxy       string
 	Incarnation int
@@ -59,7 +59,7 @@
 	h.programs = append(h.programs, p)
 }
 
-// completeTurns lists the turns whose answers their clients got complete.
+// completeTurns returns the turns whose answers arrived completely.
 func (h *history) completeTurns() []standin.Turn {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -74,7 +74,7 @@
 	return turns
 }
 
-// orders lists what was ordered so far, each sending by itself.
+// orders returns all attempts to send an order so far.
 func (h *history) orders() []operation {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/tier/simulation/machine.go
+++ b/internal/tier/simulation/machine.go
@@ -19,7 +19,7 @@
 	edgeClass    class = "edge"
 )
 
-// rolesOf are the processes that run on a machine.
+// rolesOf lists the roles that run on a machine of each class, a process each.
 var rolesOf = map[class][]role{
 	coreClass:    {controllerRole},
 	storageClass: {storeRole},
@@ -35,13 +35,13 @@
 	host  *memorynetwork.Machine
 	roles []role
 
-	initial   bool // was there at the first start of the system
+	initial   bool // exists since the first start of the tier
 	starts    int
 	processes map[role]*process
 	disk      *disk
-	clockStep time.Duration // of its clock
+	clockStep time.Duration // offset of its clock from the true time
 	removed   bool
-	down      bool // its processes aren't to run
+	down      bool // its processes must not run
 }
 
 // countsForQuorum reports whether the machine has replicas, so that its loss counts towards a quorum.
@@ -75,14 +75,14 @@
 	return m.disk.stalled
 }
 
-// setDisk changes the state of the disk.
+// setDisk calls change with the machine's disk, under the fleet's mutex.
 func (m *machine) setDisk(change func(d *disk)) {
 	m.fleet.mutex.Lock()
 	defer m.fleet.mutex.Unlock()
 	change(m.disk)
 }
 
-// currentProcesses lists the machine's processes that have been started last.
+// currentProcesses returns the process last started in each role.
 func (m *machine) currentProcesses() []*process {
 	m.fleet.mutex.Lock()
 	defer m.fleet.mutex.Unlock()
@@ -95,7 +95,7 @@
 	return current
 }
 
-// startAll starts all roles of a machine that is down.
+// startAll starts all roles of the machine if it is down.
 func (m *machine) startAll() {
 	m.fleet.mutex.Lock()
 	allowed := m.down && !m.removed
@@ -110,7 +110,7 @@
 	}
 }
 
-// restart starts the role of a process that has ended, unless another start of it has begun.
+// restart starts the role of a process that has ended, unless the role has been started since.
 func (m *machine) restart(ended *process) {
 	m.fleet.mutex.Lock()
 	allowed := !m.down && !m.removed && !m.fleet.closed && m.processes[ended.role] == ended
@@ -120,7 +120,7 @@
 	}
 }
 
-// setDown records that the machine's processes must not run; false means that it was down.
+// setDown records that the machine's processes must not run; it returns false if the machine was down already.
 func (m *machine) setDown() bool {
 	m.fleet.mutex.Lock()
 	defer m.fleet.mutex.Unlock()
@@ -139,7 +139,7 @@
 	}
 }
 
-// losePower ends all processes without resets or shutdown, and loses what was not synced.
+// losePower ends all processes at once, without resets of their connections, and drops writes that were not synced.
 func (m *machine) losePower(seed uint64) {
 	if !m.setDown() {
 		return
@@ -157,13 +157,13 @@
 	}
 }
 
-// loseDisk is losePower with an empty disk at the next start.
+// loseDisk is losePower, and the disk is empty at the next start.
 func (m *machine) loseDisk(seed uint64) {
 	m.losePower(seed)
 	m.setDisk(func(d *disk) { *d = disk{memory: memorydisk.New(), syncTime: d.syncTime} })
 }
 
-// terminateAll sends SIGTERM to all processes, and returns when they have ended.
+// terminateAll sends SIGTERM to all processes, and waits until they have ended.
 func (m *machine) terminateAll() {
 	if !m.setDown() {
 		return
--- a/internal/tier/simulation/mutants_test.go
+++ b/internal/tier/simulation/mutants_test.go
@@ -6,26 +6,26 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// TestMutants shows that the scenarios notice deliberate mistakes in the code that the roles run.
+// TestMutants shows that the tests of this package notice deliberate mistakes in the code that the roles run.
 func TestMutants(t *testing.T) {
 	t.Parallel()
 	mutation.Test(t, mutants)
 }
 
-// mutants are the mistakes, each with the tests of which one must fail.
+// mutants are the mistakes, each with a pattern of tests at least one of which must fail.
 var mutants = []mutation.Mutant{
 	{
-		Name:   "a minority decides",
+		Name:   "a minority counts as a quorum",
 		Change: mutation.Change{File: "../replica/configuration.go", Old: "return c.voters/2 + 1", New: "return max(1, c.voters/2)"},
 		Run:    "TestLeader_Partitioned",
 	},
 	{
-		Name:   "few duplicates are known",
+		Name:   "the history of accepted orders is too short to recognize duplicates",
 		Change: mutation.Change{File: "../configuration/history.go", Old: "const maxHistory = 32768", New: "const maxHistory = 16"},
 		Run:    "TestOrder_SentAgain",
 	},
 	{
-		Name: "two orders win on one version",
+		Name: "two orders are accepted on one version",
 		Change: mutation.Change{
 			File: "../configuration/state_machine.go",
 			Old:  "if proposal.Base != s.current.Number {",
@@ -34,13 +34,13 @@
 		Run: "TestOrders_TwoOfOneNumber|TestLaggingController",
 	},
 	{
-		Name:   "entries are acknowledged before they last",
+		Name:   "entries are acknowledged before they are durable",
 		Change: mutation.Change{File: "../storage/group.go", Old: "if err := g.log.Sync(); err != nil {", New: "if err := error(nil); err != nil {"},
 		Run:    "TestLaggingController|TestRandomDays",
 		Args:   moreDays,
 	},
 	{
-		Name: "a new member's snapshot isn't taken over",
+		Name: "a new member ignores the snapshot that it receives",
 		Change: mutation.Change{
 			File: "../group/iteration.go",
 			Old:  "if err := g.restore(g.disk, true); err != nil {",
@@ -49,7 +49,7 @@
 		Run: "TestLaggingController",
 	},
 	{
-		Name: "there are too few copies",
+		Name: "shards have too few replicas",
 		Change: mutation.Change{
 			File: "../controller/controller.go",
 			Old:  "return 2*c.options.Settings.FaultTolerance.Machines + 1",
@@ -68,5 +68,5 @@
 	},
 }
 
-// moreDays are the flags of a campaign in which rare mistakes show.
+// moreDays are the flags for as many random days as rare mistakes take to show.
 var moreDays = []string{"-days", "10"}
--- a/internal/tier/simulation/operator.go
+++ b/internal/tier/simulation/operator.go
@@ -20,22 +20,22 @@
 	turnPath         = "/turns/"
 	toolPath         = "/tools/"
 	labelPrefix      = "mark-"
-	callTimeout      = time.Second // of the operator with one controller
+	callTimeout      = time.Second // of one HTTP request by an operator or for readiness
 	orderTimeout     = 20 * time.Second
 	initialBackoff   = 50 * time.Millisecond
 	maxBackoff       = 800 * time.Millisecond
 	requestTimeout   = 4 * time.Second
-	retention        = 60 * time.Second
+	retention        = 60 * time.Second // for which a complete turn can be continued
 	maxResponseBytes = 1 << 20
 )
 
-// operator sends orders and reads, over a connection for each call.
+// operator sends orders and reads the configuration, with a new connection for each call.
 type operator struct {
 	fleet        *Fleet
 	name         string
 	client       *http.Client
 	orders       int
-	paddingBytes int // by which each configuration is made longer
+	paddingBytes int // added to each configuration
 }
 
 func newOperator(f *Fleet, name string) *operator {
@@ -43,13 +43,13 @@
 	return &operator{fleet: f, name: name, client: &http.Client{Timeout: callTimeout, Transport: transport}}
 }
 
-// next names a configuration that nobody has sent.
+// next returns a content with the number and a label that no other order has.
 func (o *operator) next(number uint64) content {
 	o.orders++
 	return content{Number: number, Label: fmt.Sprintf("%s-%d", o.name, o.orders)}
 }
 
-// order sends a configuration until it is answered clearly, and returns the status; 0: it never was.
+// order sends a configuration until the answer is final, and returns its status; 0 means none within orderTimeout.
 func (o *operator) order(base uint64, ordered content) int {
 	end := o.fleet.now() + orderTimeout
 	for backoff := initialBackoff; o.fleet.now() < end; backoff = min(2*backoff, maxBackoff) {
@@ -62,7 +62,7 @@
 	return 0
 }
 
-// someController draws one from the list that operators have.
+// someController returns a random controller of the seeds that operators know.
 func (o *operator) someController() string {
 	o.fleet.mutex.Lock()
 	defer o.fleet.mutex.Unlock()
@@ -90,14 +90,14 @@
 	return call.Status
 }
 
-// losesAck draws whether an answer to an operator is lost.
+// losesAck decides at random whether an answer to an operator is lost.
 func (f *Fleet) losesAck() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.random.Float64() < f.ackLossRate
 }
 
-// read asks for the configuration once; false means that there was no clear answer.
+// read reads the configuration once; false means that it got no configuration.
 func (o *operator) read(controller string) (content, bool) {
 	call := operation{IsRead: true, Started: o.fleet.now()}
 	status, answered, body := o.call(http.MethodGet, controller, "/mastusher/settings", nil, 0)
@@ -110,7 +110,7 @@
 	return call.Content, status == http.StatusOK
 }
 
-// readBack retries read until there is a clear answer; false means that there was none within orderTimeout.
+// readBack retries read until it succeeds; false means that it did not within orderTimeout.
 func (o *operator) readBack() (content, bool) {
 	end := o.fleet.now() + orderTimeout
 	for o.fleet.now() < end {
@@ -122,7 +122,7 @@
 	return content{}, false
 }
 
-// call makes one call, redirects included, and returns the status, who answered and the body.
+// call makes one call, following redirects, and returns the status, the address that answered, and the body. Status 0: no answer.
 func (o *operator) call(method, controller, path string, body []byte, base uint64) (int, string, []byte) {
 	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+controller+path, bytes.NewReader(body))
 	if err != nil {
@@ -142,8 +142,9 @@
 	return response.StatusCode, response.Request.URL.Host, answer
 }
 
-// configuration is what is sent for a content: its label is the name of a route. A service that no route names pads it.
-func configuration(c content, longer int) model.Configuration {
+// configuration returns the configuration of a content: the label is part of a route's name. The health path of an unused service
+// pads it.
+func configuration(c content, paddingBytes int) model.Configuration {
 	return model.Configuration{
 		Version: c.Number,
 		Routes: []model.Route{
@@ -156,22 +157,22 @@
 			{Name: modelService, HealthPath: "/health", MaxConnections: maxConnections, Protocol: "h1",
 				Engine: &model.Engine{Capacity: endpointCapacity, CacheTokens: cacheTokens, TokensPerEvent: tokensPerEvent, Models: []model.Model{{Name: modelName}}}},
 			{Name: toolService, HealthPath: "/health", MaxConnections: maxConnections, Protocol: "h1"},
-			{Name: "unused", HealthPath: "/" + strings.Repeat("x", longer), MaxConnections: maxConnections, Protocol: "h1"},
+			{Name: "unused", HealthPath: "/" + strings.Repeat("x", paddingBytes), MaxConnections: maxConnections, Protocol: "h1"},
 		},
 		Limits: model.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 4 << 20, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000},
 	}
 }
 
-// labelPath is the prefix of a route that only this content has.
+// labelPath returns the path prefix of the route that only this content has.
 func labelPath(c content) string { return "/" + labelPrefix + c.Label + "/" }
 
-// toolRoute is a route whose requests run at most once.
+// toolRoute returns a route to the tools whose requests run at most once.
 func toolRoute(name, prefix string) model.Route {
 	return model.Route{Name: name, Host: host, PathPrefix: prefix, Kind: model.AtMostOnce, TimeoutMs: requestTimeout.Milliseconds(), LatencyTargetMs: 300,
 		Service: toolService, MaxAttempts: 2}
 }
 
-// contentOf names the configuration in an answer.
+// contentOf returns the content of the configuration in an answer; zero if it can't be decoded.
 func contentOf(body []byte) content {
 	var read model.Configuration
 	if json.Unmarshal(body, &read) != nil {
--- a/internal/tier/simulation/plan.go
+++ b/internal/tier/simulation/plan.go
@@ -11,64 +11,64 @@
 // FaultKind names a kind of fault in a plan.
 type FaultKind string
 
-// The kinds of fault; their values stand in printed plans. Those that last end after Fault.For. Target is a machine's number
-// among the quorum machines (cores, then stores), or among the edges or endpoints where the kind names these.
+// The kinds of fault; printed plans contain their values. Lasting faults end after Fault.For. Target is the index of a quorum machine
+// (cores, then stores), or of an edge or endpoint where the comment names these.
 const (
-	KillFault              FaultKind = "kill"            // comes back after For
-	PowerLossFault         FaultKind = "power"           // the same, without what was not synced
-	KillAllFault           FaultKind = "herd_kill"       // of all quorum machines; each comes back within For
-	PowerLossAllFault      FaultKind = "herd_power"      // the same
+	KillFault              FaultKind = "kill"            // the processes are killed, and start after For
+	PowerLossFault         FaultKind = "power"           // like KillFault, and writes that were not synced are lost
+	KillAllFault           FaultKind = "herd_kill"       // kills all quorum machines; each starts within For
+	PowerLossAllFault      FaultKind = "herd_power"      // like KillAllFault, with a loss of power
 	TermFault              FaultKind = "term"            // SIGTERM, and a start once it has ended
 	HangUpFault            FaultKind = "hup"             // SIGHUP
-	FreezeFault            FaultKind = "freeze"          // the machine stands still
-	PartitionFault         FaultKind = "cut"             // from all machines
-	PartitionQuorumFault   FaultKind = "cut_core"        // from the other quorum machines
+	FreezeFault            FaultKind = "freeze"          // the machine freezes
+	PartitionFault         FaultKind = "cut"             // the machine is partitioned from all machines
+	PartitionQuorumFault   FaultKind = "cut_core"        // the machine is partitioned from the other quorum machines
 	PartitionOutboundFault FaultKind = "cut_out"         // what it sends is lost
 	PartitionInboundFault  FaultKind = "cut_in"          // what is sent to it is lost
-	RefuseFault            FaultKind = "cut_reset"       // from the other quorum machines, which resets connections and refuses new ones
-	PartitionZoneFault     FaultKind = "cut_zone"        // from all machines of other zones
-	ResetFault             FaultKind = "reset"           // its connections with Other
-	SlowLinkFault          FaultKind = "slow_link"       // what it sends takes long
-	ClockStepFault         FaultKind = "clock"           // its time of day steps by For less 3 s
+	RefuseFault            FaultKind = "cut_reset"       // its connections with the other quorum machines are reset, and new ones refused
+	PartitionZoneFault     FaultKind = "cut_zone"        // its zone is partitioned from the others
+	ResetFault             FaultKind = "reset"           // its connections with Other are reset once
+	SlowLinkFault          FaultKind = "slow_link"       // messages to the other quorum machines are delayed
+	ClockStepFault         FaultKind = "clock"           // its time of day steps by For minus 3 s
 	SlowDiskFault          FaultKind = "disk_slow"       // syncs take long
 	StalledDiskFault       FaultKind = "disk_stall"      // the disk doesn't answer
 	FullDiskFault          FaultKind = "disk_full"       // the disk takes no more bytes
-	DiskLossFault          FaultKind = "disk_lost"       // comes back empty after For
-	AckKillFault           FaultKind = "ack_kill"        // who acknowledges the next order is killed within 4 ms
-	AckPowerLossFault      FaultKind = "ack_power"       // the same without power
-	AckDiskLossFault       FaultKind = "ack_wipe"        // the same with an empty disk
+	DiskLossFault          FaultKind = "disk_lost"       // the machine loses power, and starts with an empty disk after For
+	AckKillFault           FaultKind = "ack_kill"        // the controller that acknowledges the next order is killed within 4 ms
+	AckPowerLossFault      FaultKind = "ack_power"       // like AckKillFault, with a loss of power
+	AckDiskLossFault       FaultKind = "ack_wipe"        // like AckKillFault, with a loss of the disk
 	AckPowerLossAllFault   FaultKind = "ack_herd"        // all quorum machines lose power right after the next acknowledgement
-	ReplaceFault           FaultKind = "replace"         // by an empty machine at another address, which comes after For
-	PlannedReplaceFault    FaultKind = "replace_planned" // the new one first, then SIGTERM
-	ProxyKillFault         FaultKind = "proxy_kill"      // of an edge
-	AgentKillFault         FaultKind = "agent_kill"      // of an edge
-	EdgePartitionFault     FaultKind = "edge_cut"        // an edge from all quorum machines
+	ReplaceFault           FaultKind = "replace"         // the machine is lost; an empty one starts at another address after For
+	PlannedReplaceFault    FaultKind = "replace_planned" // an empty machine starts first; the old one gets SIGTERM after For
+	ProxyKillFault         FaultKind = "proxy_kill"      // the proxy of an edge is killed
+	AgentKillFault         FaultKind = "agent_kill"      // the agent of an edge is killed
+	EdgePartitionFault     FaultKind = "edge_cut"        // an edge is partitioned from all quorum machines
 	EdgeTermFault          FaultKind = "edge_term"       // SIGTERM of an edge, and a start once it has ended
-	EndpointPartitionFault FaultKind = "endpoint_cut"    // an endpoint from all edges
+	EndpointPartitionFault FaultKind = "endpoint_cut"    // an endpoint is partitioned from all edges
 	EndpointResetFault     FaultKind = "endpoint_reset"  // connections of an endpoint are reset
 	ResponseLossFault      FaultKind = "answer_lost"     // endpoints run some requests and close without an answer
-	ResponseTruncatedFault FaultKind = "answer_cut"      // endpoints break off some answers
+	ResponseTruncatedFault FaultKind = "answer_cut"      // endpoints truncate some answers
 	EndpointErrorFault     FaultKind = "endpoint_errors" // endpoints answer some requests with 500
-	EndpointOverloadFault  FaultKind = "endpoint_full"   // endpoints refuse some requests
+	EndpointOverloadFault  FaultKind = "endpoint_full"   // endpoints reject some requests as overloaded
 	EndpointUnreadFault    FaultKind = "endpoint_unread" // endpoints close without reading some requests
-	PlatformDownFault      FaultKind = "platform_down"   // the list answers 503
+	PlatformDownFault      FaultKind = "platform_down"   // the platform's list answers 503
 	AckLossFault           FaultKind = "ack_lost"        // most answers to the operators are lost
-	OrderRaceFault         FaultKind = "config_race"     // two operators order on the same version, under the same number or another
-	InvalidOrderFault      FaultKind = "bad_config"      // an invalid order
-	DuplicateOrderFault    FaultKind = "repeat"          // an earlier order is sent once more
+	OrderRaceFault         FaultKind = "config_race"     // two operators send orders on the same version, under the same or different numbers
+	InvalidOrderFault      FaultKind = "bad_config"      // invalid orders are sent
+	DuplicateOrderFault    FaultKind = "repeat"          // a duplicate of an earlier order is sent
 )
 
 // Fault is one injected fault of a plan.
 type Fault = faultplan.Fault[FaultKind]
 
-// Plan is one day: its seed and its faults, by time.
+// Plan is the plan of one day: its seed and its faults, sorted by time.
 type Plan struct {
 	Seed   uint64  `json:"seed"`
 	Large  bool    `json:"large,omitempty"` // five controllers, six stores and three edges in place of three, four and two
 	Faults []Fault `json:"faults"`
 }
 
-// Text is the plan as JSON, to run it again.
+// Text returns the plan as JSON, from which it can be run again.
 func (p Plan) Text() string { return faultplan.Text(p) }
 
 // Bounds of a random plan.
@@ -127,8 +127,8 @@
 	{Name: DuplicateOrderFault, Weight: 2, SparesQuorum: true},
 }
 
-// RandomPlan draws a plan. Faults may meet; disks only are lost one at a time, and not before all machines have recovered from
-// what came before.
+// RandomPlan returns the plan of a seed. Faults may overlap, but a disk is lost only once all machines have recovered from the faults
+// before it.
 func RandomPlan(seed uint64) Plan {
 	random := rand.New(rand.NewPCG(seed, 0x706c616e))
 	plan := Plan{Seed: seed, Large: random.IntN(8) == 0}
@@ -154,18 +154,18 @@
 	return plan
 }
 
-// unavailableFor is how long a machine counts as lost from the beginning of a fault on.
+// unavailableFor returns how long a machine counts as lost, from the start of a fault.
 func unavailableFor(f Fault) time.Duration {
 	switch f.Kind {
-	case AckKillFault, AckPowerLossFault, AckDiskLossFault, AckPowerLossAllFault: // they wait for an acknowledgement
-		return ackTimeout + f.For + catchUp
+	case AckKillFault, AckPowerLossFault, AckDiskLossFault, AckPowerLossAllFault: // these wait for an acknowledgement
+		return ackTimeout + f.For + catchUpTime
 	case TermFault, PlannedReplaceFault:
-		return grace + f.For + catchUp
+		return gracePeriod + f.For + catchUpTime
 	}
-	return max(f.For, time.Second) + catchUp
+	return max(f.For, time.Second) + catchUpTime
 }
 
-// Shrink leaves faults out of a plan, and makes them shorter, as long as it fails. It runs at most maxRuns days.
+// Shrink removes and shortens faults of a failing plan as long as it still fails. It runs at most maxRuns days.
 func Shrink(plan Plan, maxRuns int, fails func(Plan) bool) Plan {
 	return faultplan.Shrink(plan, func(p *Plan) *[]Fault { return &p.Faults }, maxRuns, fails)
 }
--- a/internal/tier/simulation/process.go
+++ b/internal/tier/simulation/process.go
@@ -15,7 +15,7 @@
 	"mastusher/internal/tier/storage"
 )
 
-// role is what a process runs as.
+// role is the part that a process plays in the tier.
 type role string
 
 // The roles.
@@ -26,7 +26,7 @@
 	proxyRole      role = "proxy"
 )
 
-// roleRunners are the roles as their commands run them.
+// roleRunners maps each role to the function that its command runs.
 var roleRunners = map[role]func(ctx context.Context, environment command.Environment) error{
 	controllerRole: command.RunController,
 	storeRole:      command.RunStore,
@@ -37,26 +37,26 @@
 // restartDelay is how long the platform takes to start a process that has ended by itself.
 const restartDelay = time.Second
 
-// process is one start of a role on a machine. The fleet's mutex guards its fields.
+// process is one run of a role on a machine. The fleet's mutex guards its fields.
 type process struct {
-	machine     *machine
-	role        role
-	incarnation int
-	network     *memorynetwork.Process
-	hangups     chan os.Signal
-	terminate   context.CancelFunc
-	ended       chan struct{}
-	stopping    bool // its end was asked for
-	dead        bool // killed
+	machine       *machine
+	role          role
+	incarnation   int
+	network       *memorynetwork.Process
+	reloadSignals chan os.Signal
+	terminate     context.CancelFunc
+	ended         chan struct{}
+	stopping      bool // it was sent SIGTERM
+	dead          bool // it was killed, or its machine lost power
 }
 
-// start begins a role.
+// start starts a process in a role.
 func (m *machine) start(r role) {
 	f := m.fleet
 	f.mutex.Lock()
 	m.starts++
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &process{machine: m, role: r, incarnation: m.starts, network: m.host.Start(), hangups: make(chan os.Signal, 1),
+	p := &process{machine: m, role: r, incarnation: m.starts, network: m.host.Start(), reloadSignals: make(chan os.Signal, 1),
 		terminate: cancel, ended: make(chan struct{})}
 	m.processes[r] = p
 	f.goroutines.Add(1)
@@ -66,7 +66,7 @@
 		Logger:        log.With(&processLogger{process: p}),
 		Network:       p.network,
 		OpenDisk:      func(string) (storage.Disk, error) { return &processDisk{process: p, files: m.disk.memory}, nil },
-		ReloadSignals: p.hangups,
+		ReloadSignals: p.reloadSignals,
 		Now:           func() time.Time { return time.Now().Add(m.clockOffset()) },
 	}
 	go func() {
@@ -79,7 +79,7 @@
 	}()
 }
 
-// handleExit reports a process that ended though nobody asked for it, and restarts it.
+// handleExit reports and restarts a process that ended without being stopped or killed.
 func (p *process) handleExit(err error) {
 	f := p.machine.fleet
 	f.mutex.Lock()
@@ -92,7 +92,7 @@
 	f.after(restartDelay, func() { p.machine.restart(p) })
 }
 
-// kill ends the process at once: its connections end, and it does nothing more that anyone could see.
+// kill ends the process at once: its connections end, and it has no effect on the network or its disk any more.
 func (p *process) kill() {
 	p.setDead()
 	p.network.Kill()
@@ -112,7 +112,7 @@
 	return p.dead
 }
 
-// stop sends SIGTERM, and kills the process once its grace is over. It returns when the process has ended.
+// stop sends SIGTERM, and kills the process if it hasn't ended after gracePeriod.
 func (p *process) stop() {
 	p.machine.fleet.mutex.Lock()
 	p.stopping = true
@@ -120,26 +120,26 @@
 	p.terminate()
 	select {
 	case <-p.ended:
-	case <-time.After(grace):
-		p.machine.fleet.trace("%v is killed after its grace", p)
+	case <-time.After(gracePeriod):
+		p.machine.fleet.trace("%v is killed after the grace period", p)
 		p.kill()
 	}
 }
 
-// hangUp sends SIGHUP.
-func (p *process) hangUp() {
+// sendHangup sends SIGHUP.
+func (p *process) sendHangup() {
 	select {
-	case p.hangups <- syscall.SIGHUP:
+	case p.reloadSignals <- syscall.SIGHUP:
 	default:
 	}
 }
 
-// String names the process and its start.
+// String names the process by machine, role and incarnation.
 func (p *process) String() string {
 	return fmt.Sprintf("%s/%s#%d", p.machine.name, p.role, p.incarnation)
 }
 
-// settingsPath is where a process's settings file lies.
+// settingsPath returns the path of a process's settings file.
 func (f *Fleet) settingsPath(m *machine, r role) string {
 	return filepath.Join(f.options.Folder, m.name+"-"+string(r)+".yaml")
 }
--- a/internal/tier/simulation/process_log.go
+++ b/internal/tier/simulation/process_log.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/tier/invariant"
 )
 
-// processLogger reads what a process logs, and records the configurations that come in force at a proxy.
+// processLogger reads a process's log: it records the configurations that come into force at a proxy and reports violated invariants.
 type processLogger struct{ process *process }
 
 // Log implements log.Logger.
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// reportInvariant reports a violation that a process has counted. An outage of one proxy may last as long as the faults that
-// meet; whether service is back after them is checked by the day.
+// reportInvariant reports an invariant that a process found violated. It leaves out the recovery time, since faults that overlap
+// may keep a proxy from serving for longer; checkRecovery checks that the tier serves after them.
 func (f *Fleet) reportInvariant(p *process, pairs []any) {
 	if !slices.Contains(pairs, any(invariant.Recovery)) {
 		f.report("INVARIANT", "%v: %v", p, pairs)
--- a/internal/tier/simulation/recovery.go
+++ b/internal/tier/simulation/recovery.go
@@ -12,12 +12,12 @@
 func (d *day) checkRecovery() {
 	read, ok := d.first.readBack()
 	if !ok {
-		d.report("RECOVER", "the configuration is not read back")
+		d.report("RECOVER", "no read of the configuration succeeded in time")
 		return
 	}
 	last := d.first.next(read.Number + 1)
 	if status := d.first.order(read.Number, last); status != statusOK {
-		d.report("RECOVER", "the last order was answered %d", status)
+		d.report("RECOVER", "the last order got status %d, want 200", status)
 		return
 	}
 	if !d.waitUntil(recoveryTimeout, func() bool { return d.allReady(d.clients) && d.allServe(last) }) {
@@ -30,26 +30,26 @@
 	}
 }
 
-// checkProgramsRecover runs programs that must finish, one of them from an earlier turn.
+// checkProgramsRecover checks that programs finish again, one of them a program that continues an earlier turn.
 func (d *day) checkProgramsRecover() {
 	turns := d.history.completeTurns()
 	slices.Reverse(turns)
-	froms := []standin.Turn{{}, {}}
+	previousTurns := []standin.Turn{{}, {}}
 	if len(turns) > 0 && time.Since(turns[0].Ended) < retention/2 {
-		froms = append(froms, turns[0])
+		previousTurns = append(previousTurns, turns[0])
 	}
-	for _, from := range froms {
+	for _, previous := range previousTurns {
 		state := standin.Failed
 		for attempt := 0; attempt < recoveryAttempts && state != standin.Finished; attempt++ {
-			state = d.clients.runProgram(2, 0, from).State
+			state = d.clients.runProgram(2, 0, previous).State
 		}
 		if state != standin.Finished {
-			d.report("RECOVER", "a program from %q ended as %s", from.Attempt, state)
+			d.report("RECOVER", "a program that continues turn %q ended as %s, want finished", previous.Attempt, state)
 		}
 	}
 }
 
-// allServe reports whether each proxy serves a route that only the content has.
+// allServe reports whether each proxy serves the route that only this content has.
 func (d *day) allServe(newest content) bool {
 	for _, m := range d.machinesOf(edgeClass) {
 		attempt := fmt.Sprintf("look-%s-%s-%d", m.name, newest.Label, d.now())
--- a/internal/tier/simulation/scenarios_test.go
+++ b/internal/tier/simulation/scenarios_test.go
@@ -11,7 +11,7 @@
 	"mastusher/internal/tier/standin"
 )
 
-// runScenario runs a scenario in a bubble, on a fleet that serves, and checks the history.
+// runScenario runs a scenario on a serving fleet in a synctest bubble, and checks the history.
 func runScenario(t *testing.T, options Options, scenario func(t *testing.T, d *day)) {
 	t.Helper()
 	var d *day
@@ -29,11 +29,11 @@
 	}
 }
 
-// leaderOf finds the controller that acknowledges orders, by sending one.
+// leaderOf sends an order and returns the controller that acknowledges it.
 func leaderOf(t *testing.T, d *day) *machine {
 	t.Helper()
 	if status := d.order(d.first); status != statusOK {
-		t.Fatalf("an order was answered %d", status)
+		t.Fatalf("an order got status %d, want 200", status)
 	}
 	for _, call := range d.history.orders() {
 		for _, m := range d.machinesOf(coreClass) {
@@ -42,11 +42,11 @@
 			}
 		}
 	}
-	t.Fatal("nobody acknowledged it")
+	t.Fatal("no controller acknowledged the order")
 	return nil
 }
 
-// otherControllers lists the controllers beside one.
+// otherControllers returns all controllers except one.
 func otherControllers(d *day, m *machine) []*machine {
 	var found []*machine
 	for _, other := range d.machinesOf(coreClass) {
@@ -57,32 +57,32 @@
 	return found
 }
 
-// The length of a partition, and the interval of reads at the partitioned machine meanwhile.
+// Duration of a partition, and interval of the reads at the partitioned machine meanwhile.
 const (
 	partitionTime     = 20 * time.Second
 	staleReadInterval = 200 * time.Millisecond
 )
 
-// Point 1. Given the leader of the configuration's group, when it is partitioned for 20 s while the operator reaches both sides, then it
-// acknowledges nothing and serves no stale read, the others take orders, and it follows afterwards.
+// TestLeader_Partitioned_NeverServesStaleState partitions the leader of the configuration's group for 20 s while operators reach both
+// sides. It must acknowledge nothing and serve no stale read, the others must accept orders, and afterwards it must catch up.
 func TestLeader_Partitioned_NeverServesStaleState(t *testing.T) {
 	t.Parallel()
 	partitions := map[string]func(d *day, m *machine){
-		"from all": func(d *day, m *machine) {
+		"from all machines": func(d *day, m *machine) {
 			d.partition(partitionTime, []*machine{m}, d.machinesOf(coreClass, storageClass, edgeClass), bothWays)
 		},
-		"from the majority": func(d *day, m *machine) {
+		"from the other controllers": func(d *day, m *machine) {
 			d.partition(partitionTime, []*machine{m}, otherControllers(d, m), bothWays)
 		},
-		"what it sends": func(d *day, m *machine) {
+		"outbound only": func(d *day, m *machine) {
 			d.partition(partitionTime, []*machine{m}, d.machinesOf(coreClass, storageClass, edgeClass), outbound)
 		},
-		"what is sent to it": func(d *day, m *machine) {
+		"inbound only": func(d *day, m *machine) {
 			d.partition(partitionTime, []*machine{m}, d.machinesOf(coreClass, storageClass, edgeClass), inbound)
 		},
-		"with resets": func(d *day, m *machine) { d.refuseConnections(partitionTime, m) },
-		"frozen":      func(d *day, m *machine) { m.host.Freeze(); d.after(partitionTime, m.host.Thaw) },
-		"from its store only": func(d *day, m *machine) {
+		"connections reset and refused": func(d *day, m *machine) { d.refuseConnections(partitionTime, m) },
+		"frozen":                        func(d *day, m *machine) { m.host.Freeze(); d.after(partitionTime, m.host.Thaw) },
+		"from the stores only": func(d *day, m *machine) {
 			d.partition(partitionTime, []*machine{m}, d.machinesOf(storageClass), bothWays)
 		},
 	}
@@ -91,7 +91,7 @@
 			runScenario(t, Options{Seed: 11}, func(t *testing.T, d *day) {
 				leader := leaderOf(t, d)
 				partition(d, leader)
-				for range 4 { // readers at the partitioned machine, at any moment
+				for range 4 { // read from the partitioned machine at random times
 					d.traffic.Go(func() {
 						for end := time.Now().Add(partitionTime); time.Now().Before(end); time.Sleep(d.jitter(staleReadInterval)) {
 							d.second.read(leader.address(controlPort))
@@ -103,7 +103,7 @@
 					if d.order(d.first) == statusOK {
 						acknowledged++
 					}
-					for range 3 { // straight to the partitioned machine
+					for range 3 { // directly to the partitioned machine
 						d.second.read(leader.address(controlPort))
 						if next := d.second.next(d.knownVersion() + 1); d.second.put(leader.address(controlPort), d.knownVersion(), next) == statusOK {
 							d.recordVersion(next.Number)
@@ -113,19 +113,19 @@
 				}
 				d.traffic.Wait()
 				if acknowledged < 3 {
-					t.Errorf("%d orders were acknowledged during the partition", acknowledged)
+					t.Errorf("%d orders were acknowledged during the partition, want at least 3", acknowledged)
 				}
 				time.Sleep(5 * time.Second)
 				if read, ok := d.second.read(leader.address(controlPort)); !ok || read.Number < d.knownVersion() {
-					t.Errorf("afterwards it reads %v", read)
+					t.Errorf("after the partition, the former leader still reads %v", read)
 				}
 			})
 		})
 	}
 }
 
-// Point 2. Given an order whose answer was lost, when it is sent again to any controller, also after the leader was killed and
-// after many later changes, then it is acknowledged.
+// TestOrder_SentAgainAfterLostAnswer_IsAcknowledged sends an order again whose answer was lost: after the leader was killed, and to
+// each controller after many later changes. Each duplicate must be acknowledged.
 func TestOrder_SentAgainAfterLostAnswer_IsAcknowledged(t *testing.T) {
 	t.Parallel()
 	runScenario(t, Options{Seed: 12}, func(t *testing.T, d *day) {
@@ -137,7 +137,7 @@
 		d.setAckLossRate(0)
 		leader.kill()
 		if status := d.first.order(base, ordered); status != statusOK {
-			t.Errorf("the duplicate was answered %d", status)
+			t.Errorf("the duplicate got status %d, want 200", status)
 		}
 		d.recordVersion(base + 2)
 		leader.startAll()
@@ -146,14 +146,14 @@
 		}
 		for _, m := range d.machinesOf(coreClass) {
 			if status := d.second.put(m.address(controlPort), base, ordered); status != statusOK {
-				t.Errorf("the late duplicate at %s was answered %d", m.name, status)
+				t.Errorf("the late duplicate at %s got status %d, want 200", m.name, status)
 			}
 		}
 	})
 }
 
-// Point 2. Given two operators, when both order different things under one number on the same version, on both sides of a partition
-// too, then one of them is acknowledged, and the other refused.
+// TestOrders_TwoOfOneNumber_OneIsAcknowledged has two operators send different orders with one number on the same version, in half of
+// the races while the leader is partitioned. One order must be acknowledged and the other refused.
 func TestOrders_TwoOfOneNumber_OneIsAcknowledged(t *testing.T) {
 	t.Parallel()
 	runScenario(t, Options{Seed: 13}, func(t *testing.T, d *day) {
@@ -170,15 +170,15 @@
 			}
 			both.Wait()
 			if min(statuses[0], statuses[1]) != statusOK || max(statuses[0], statuses[1]) != http.StatusPreconditionFailed {
-				t.Errorf("race %d: answered %v", attempt, statuses)
+				t.Errorf("race %d: statuses %v, want one 200 and one 412", attempt, statuses)
 			}
 			d.recordVersion(base + 1)
 		}
 	})
 }
 
-// Point 3. Given a machine that was replaced or whose disk was lost, when another one loses its disk as soon as the rules allow,
-// then nothing acknowledged is lost.
+// TestReplacement_NextLossAtOnce_LosesNothing replaces a machine or loses its disk, and then those of the next ones, each as soon as
+// the fault model allows another loss. Nothing acknowledged may be lost.
 func TestReplacement_NextLossAtOnce_LosesNothing(t *testing.T) {
 	t.Parallel()
 	firsts := map[string]func(d *day, m *machine){
@@ -189,7 +189,7 @@
 		},
 		"replaced as planned": func(d *day, m *machine) {
 			d.replaceMachine(m, Fault{Kind: PlannedReplaceFault, For: time.Second})
-			time.Sleep(time.Second + grace)
+			time.Sleep(time.Second + gracePeriod)
 		},
 	}
 	for name, lose := range firsts {
@@ -198,19 +198,19 @@
 				runScenario(t, Options{Seed: 14}, func(t *testing.T, d *day) {
 					turns := d.clients.runProgram(3, 0, standin.Turn{}).Turns
 					machines := d.machinesOf(of)
-					for _, m := range machines[:3] { // each of the oldest in turn
+					for _, m := range machines[:3] { // the three oldest, one after the other
 						lose(d, m)
-						time.Sleep(catchUp)
+						time.Sleep(catchUpTime)
 					}
 					last := turns[len(turns)-1]
 					if state := continueProgram(d, last); state != standin.Finished {
-						t.Errorf("a program from an earlier turn ended as %s", state)
+						t.Errorf("a program that continues an earlier turn ended as %s, want finished", state)
 					}
 					if read, ok := d.first.readBack(); !ok || read.Number != d.knownVersion() {
 						t.Errorf("read back %v, want %d", read, d.knownVersion())
 					}
 					if status := d.order(d.first); status != statusOK {
-						t.Errorf("an order was answered %d", status)
+						t.Errorf("an order got status %d, want 200", status)
 					}
 				})
 			})
@@ -218,31 +218,31 @@
 	}
 }
 
-// continueProgram runs a program from an earlier turn, with some retries.
-func continueProgram(d *day, from standin.Turn) standin.State {
+// continueProgram runs a program that continues an earlier turn, with some retries.
+func continueProgram(d *day, previous standin.Turn) standin.State {
 	state := standin.Failed
 	for attempt := 0; attempt < recoveryAttempts && state == standin.Failed; attempt++ {
-		state = d.clients.runProgram(2, 0, from).State
+		state = d.clients.runProgram(2, 0, previous).State
 	}
 	return state
 }
 
-// Point 4. Given a controller that was down for hundreds of changes, when all power is lost and it is the first one back, then it
-// serves no stale read, and in the end all have the newest.
+// TestLaggingController_FirstBackAfterPowerLoss_NeverServesStaleState has a controller miss hundreds of changes, takes the power from
+// all machines, and starts that controller first. It must serve no stale read, and must catch up once the others are back.
 func TestLaggingController_FirstBackAfterPowerLoss_NeverServesStaleState(t *testing.T) {
 	t.Parallel()
 	const (
-		changes = 300
-		longer  = 8 << 10 // so that the log is compacted meanwhile, and the one that lags needs a snapshot
+		changes      = 300
+		paddingBytes = 8 << 10 // large enough that the log is compacted, so that the lagging controller needs a snapshot
 	)
 	runScenario(t, Options{Seed: 15}, func(t *testing.T, d *day) {
-		d.first.paddingBytes = longer
+		d.first.paddingBytes = paddingBytes
 		leader := leaderOf(t, d)
 		lagging := otherControllers(d, leader)[0]
 		lagging.losePower(1)
 		for range changes {
 			if status := d.order(d.first); status != statusOK {
-				t.Fatalf("an order was answered %d", status)
+				t.Fatalf("an order got status %d, want 200", status)
 			}
 		}
 		for _, m := range d.quorumMachines() {
@@ -258,13 +258,13 @@
 		if read, ok := d.first.readBack(); !ok || read.Number != d.knownVersion() {
 			t.Errorf("read back %v, want %d", read, d.knownVersion())
 		}
-		// The one that lagged catches up within the time in which a machine that is back counts as lost: it can then do without
-		// another one, and for the next one when that is back.
+		// A machine that is back counts as lost for catchUpTime. The lagging controller must catch up within it, so that the group then
+		// tolerates the loss of each other controller in turn.
 		for _, lost := range otherControllers(d, lagging) {
-			time.Sleep(catchUp)
+			time.Sleep(catchUpTime)
 			lost.loseDisk(3)
 			if status := d.order(d.first); status != statusOK {
-				t.Errorf("with the one that lagged, an order was answered %d", status)
+				t.Errorf("with the controller that lagged in the quorum, an order got status %d, want 200", status)
 			}
 			if read, ok := d.first.readBack(); !ok || read.Number != d.knownVersion() {
 				t.Errorf("read back %v, want %d", read, d.knownVersion())
@@ -274,19 +274,19 @@
 	})
 }
 
-// listTimeout is the time within which all proxies know a new list.
+// listTimeout is the time within which all proxies receive a new endpoint list.
 const listTimeout = 5 * time.Second
 
-// Point 5. Given endpoints that reset, lose answers and send each answer twice, when programs call them by requests that may run
-// once only, then none runs twice, and each answer belongs to its request.
+// TestAtMostOnceRequests_FaultyEndpoints_RunOnce has programs send requests that may run at most once to endpoints that reset
+// connections, lose responses or send each response twice. None may run twice, and each response must belong to its request.
 func TestAtMostOnceRequests_FaultyEndpoints_RunOnce(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []standin.Fault{standin.NoFault, standin.LoseResponse, standin.TruncateResponse, standin.DropRequest, standin.RejectFull} {
 		t.Run(fmt.Sprint("fault ", fault), func(t *testing.T) {
-			var twice *doubler
+			var duplicating *duplicatingEndpoint
 			runScenario(t, Options{Seed: 16}, func(t *testing.T, d *day) {
-				twice = startDoubler(t, d.Fleet)
-				defer twice.listener.Close()
+				duplicating = startDuplicatingEndpoint(t, d.Fleet)
+				defer duplicating.listener.Close()
 				time.Sleep(listTimeout)
 				d.setEndpointFaults(endpointFaults{rate: 0.3, fault: fault})
 				for batch := range 20 {
@@ -297,17 +297,17 @@
 					time.Sleep(time.Duration(batch*7) * time.Millisecond)
 					for _, edge := range d.machinesOf(edgeClass) {
 						d.network.Reset(edge.host, d.environment.endpoints[batch%len(d.environment.endpoints)].host)
-						d.network.Reset(edge.host, twice.host)
+						d.network.Reset(edge.host, duplicating.host)
 					}
 					together.Wait()
 				}
 			})
-			if len(twice.ran) == 0 {
-				t.Error("the endpoint that answers twice got no request")
+			if len(duplicating.ran) == 0 {
+				t.Error("the duplicating endpoint got no request")
 			}
-			for attempt, count := range twice.ran {
+			for attempt, count := range duplicating.ran {
 				if count > 1 {
-					t.Errorf("%s ran %d times", attempt, count)
+					t.Errorf("attempt %s ran %d times, want once", attempt, count)
 				}
 			}
 		})
--- a/internal/tier/simulation/settings.go
+++ b/internal/tier/simulation/settings.go
@@ -12,7 +12,7 @@
 	"mastusher/internal/tier/settings"
 )
 
-// Ports of all machines.
+// Ports, the same on all machines.
 const (
 	controlPort   = 8144
 	frontPort     = 8080
@@ -25,12 +25,12 @@
 
 // Values of the settings files.
 const (
-	grace             = 8 * time.Second
-	toleratedMachines = 1 // machines
+	gracePeriod       = 8 * time.Second // from SIGTERM to the kill of a process
+	toleratedMachines = 1               // machines of a group that may be lost at once
 	replicasPerShard  = 2*toleratedMachines + 1
-	catchUp           = 4300 * time.Millisecond
-	seedDelay         = 3 * time.Second
-	listRatePerS      = 20.0
+	catchUpTime       = 4300 * time.Millisecond // for which a machine that is back still counts as lost
+	seedDelay         = 3 * time.Second         // from the removal of a machine to the update of the seeds in the settings
+	listRatePerS      = 20.0                    // requests for the platform's list
 	memoryMb          = 256
 	openFiles         = 4096
 	settingMode       = 0o644
@@ -49,7 +49,7 @@
 	return path
 }
 
-// settingsOf returns the content of a settings file. Only the first start of an initial machine is a first boot.
+// settingsOf returns the content of a process's settings file. Only the first start of an initial machine is a first boot.
 func (f *Fleet) settingsOf(m *machine, r role) map[string]any {
 	listenOn, serves := map[string]any{}, []string{}
 	switch r {
@@ -86,7 +86,7 @@
 		"limits":          map[string]any{"memoryMb": memoryMb, "openFiles": openFiles},
 		"findBy":          "cloud_api",
 		"survive":         map[string]any{"machines": toleratedMachines, "zones": 0, "regions": 0},
-		"bounds":          map[string]any{"graceS": grace.Seconds(), "catchUpS": catchUp.Seconds()},
+		"bounds":          map[string]any{"graceS": gracePeriod.Seconds(), "catchUpS": catchUpTime.Seconds()},
 		"cloudApi":        map[string]any{"address": net.JoinHostPort(platformAddress, strconv.Itoa(platformPort)), "ratePerS": listRatePerS},
 	}
 	if m.countsForQuorum() {
@@ -95,4 +95,5 @@
 	return file
 }
 
+// zoneName returns the name of a zone.
 func zoneName(number int) string { return fmt.Sprintf("zone-%d", number) }
--- a/internal/tier/simulation/shards.go
+++ b/internal/tier/simulation/shards.go
@@ -8,7 +8,7 @@
 	"mastusher/internal/tier/wire"
 )
 
-// completeShards counts the shards whose leader reports that all their replicas have caught up.
+// completeShards returns the number of shards whose leader reports that all replicas have caught up.
 func (f *Fleet) completeShards() int {
 	pool := transport.NewPoolOn(f.environment.client)
 	defer pool.Close()
