--- a/internal/tier/fleettest/agent.go
+++ b/internal/tier/fleettest/agent.go
@@ -4,20 +4,20 @@
 	"mastusher/internal/tier/view"
 )
 
-// agent is the process beside a proxy that is a member and holds the newest view.
+// agent is the process beside a proxy that takes part in the membership and holds the newest view.
 type agent struct {
 	process     *process
 	member      *member
 	subscribers []*feedSubscriber
 }
 
-// feedSubscriber is a proxy that is fed, and what it has been sent.
+// feedSubscriber is a proxy that receives updates, with the stamps of those that it has been sent.
 type feedSubscriber struct {
 	call *exchange
 	sent view.Digest
 }
 
-// feedRequest asks an agent for all updates newer than the digest, now and from now on. Each comes as a view.Update.
+// feedRequest subscribes to all updates newer than the digest, existing and future ones. Each response is a view.Update.
 type feedRequest struct{ digest view.Digest }
 
 func openAgent(p *process) (handler, error) {
@@ -43,17 +43,17 @@
 	}
 }
 
-// feed sends each proxy what it has not been sent.
+// feed sends each subscriber the updates that it hasn't been sent, and drops closed subscriptions.
 func (a *agent) feed() {
 	open := a.subscribers[:0]
-	for _, out := range a.subscribers {
-		if out.call.closed {
+	for _, subscriber := range a.subscribers {
+		if subscriber.call.closed {
 			continue
 		}
-		open = append(open, out)
-		for _, update := range a.member.newerThan(out.sent) {
-			out.sent[update.Section] = update.Stamp
-			out.call.send(update)
+		open = append(open, subscriber)
+		for _, update := range a.member.newerThan(subscriber.sent) {
+			subscriber.sent[update.Section] = update.Stamp
+			subscriber.call.send(update)
 		}
 	}
 	a.subscribers = open
--- a/internal/tier/fleettest/agreed_view.go
+++ b/internal/tier/fleettest/agreed_view.go
@@ -9,7 +9,7 @@
 	"mastusher/internal/tier/rollout"
 )
 
-// agreedView is what is read of the agreed state for operators.
+// agreedView is the part of the configuration group's state that operators can read.
 type agreedView struct {
 	Raw           json.RawMessage        `json:"raw"` // the register's configuration
 	Register      configuration.Snapshot `json:"register"`
@@ -17,7 +17,7 @@
 	Decommissions json.RawMessage        `json:"retirements"`
 }
 
-// viewOf reads the agreed state.
+// viewOf decodes the state of the configuration group.
 func viewOf(machine *core.StateMachine) (agreedView, error) {
 	var read agreedView
 	state, err := machine.Snapshot()
@@ -28,7 +28,7 @@
 	return read, err
 }
 
-// decommissionOf reads what has become of the order to empty a machine.
+// decommissionOf returns the state of the order to decommission a node, and whether there is one.
 func (v *agreedView) decommissionOf(node string) (decommission.Operation, bool) {
 	var saved decommission.Snapshot
 	if err := json.Unmarshal(v.Decommissions, &saved); err != nil {
--- a/internal/tier/fleettest/campaign_test.go
+++ b/internal/tier/fleettest/campaign_test.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	daysEnv     = "FLEET_DAYS"  // days of a campaign in place of the usual few
-	firstEnv    = "FLEET_FIRST" // seed of its first day
-	shrinkDays  = 200
-	dayWorkers  = 2
+	daysEnv     = "FLEET_DAYS"  // number of random days, instead of defaultDays
+	firstEnv    = "FLEET_FIRST" // seed of the first random day
+	shrinkDays  = 200           // days that the reduction of a failing plan may run
+	dayWorkers  = 2             // days run concurrently
 	planPattern = "testdata/plans/*.json"
 )
 
-func number(t *testing.T, name string, standard uint64) uint64 {
+// numberFromEnv returns the number in an environment variable, or the default if it is not set.
+func numberFromEnv(t *testing.T, name string, defaultNumber uint64) uint64 {
 	t.Helper()
 	text := os.Getenv(name)
 	if text == "" {
-		return standard
+		return defaultNumber
 	}
 	value, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
@@ -33,7 +34,7 @@
 	return value
 }
 
-// addCounts adds what another day showed.
+// addCounts adds the counts of another day.
 func (r *Result) addCounts(day Result) {
 	r.Orders += day.Orders
 	r.Reads += day.Reads
@@ -43,7 +44,7 @@
 }
 
 func TestRandomDays(t *testing.T) {
-	first, days := number(t, firstEnv, 1), number(t, daysEnv, usualDays)
+	first, days := numberFromEnv(t, firstEnv, 1), numberFromEnv(t, daysEnv, defaultDays)
 	results := make([]Result, days)
 	var group sync.WaitGroup
 	for worker := range uint64(dayWorkers) {
@@ -70,11 +71,11 @@
 	}
 	t.Logf("%d days: %d orders, %d reads, %d runs, %d answers, %d programs", days, sum.Orders, sum.Reads, sum.Runs, sum.Complete, sum.Programs)
 	if sum.Orders < int(days) || sum.Programs < int(days) {
-		t.Error("the days test too little")
+		t.Error("the days tested too little: want at least one order and one program a day")
 	}
 }
 
-// TestRun_RecordedPlans_BreakNoRule runs the plans that have once failed.
+// TestRun_RecordedPlans_BreakNoRule runs the recorded plans of days that failed once.
 func TestRun_RecordedPlans_BreakNoRule(t *testing.T) {
 	names, err := filepath.Glob(planPattern)
 	if err != nil {
@@ -108,15 +109,15 @@
 	}
 	for i := range traces[0] {
 		if i >= len(traces[1]) || traces[0][i] != traces[1][i] {
-			t.Fatalf("line %d differs: %s", i, traces[0][i])
+			t.Fatalf("line %d of the traces differs; the first run has: %s", i, traces[0][i])
 		}
 	}
 	if len(traces[0]) != len(traces[1]) {
-		t.Fatal("one day is longer")
+		t.Fatal("the traces differ in length")
 	}
 }
 
-// TestRandomPlan_FirstSeeds_KeepTheirPlans keeps the seeds in records of earlier runs meaningful.
+// TestRandomPlan_FirstSeeds_KeepTheirPlans checks that seeds still give the same plans, so that recorded seeds can be run again.
 func TestRandomPlan_FirstSeeds_KeepTheirPlans(t *testing.T) {
 	const want = "72e7c8eaf13aa6e957967f6420798e4ae879bac8513345b14bd2d3a7cdaf611a"
 	hash := sha256.New()
--- a/internal/tier/fleettest/check_configuration.go
+++ b/internal/tier/fleettest/check_configuration.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// never is a time that doesn't come within a run.
+// never is a time later than any run.
 const never = time.Duration(1<<63 - 1)
 
-// registerCheck judges the configuration as one register: from what operators and clients saw follows which configurations
-// were in force, one after the other, and from that what each of them may have seen when.
+// registerCheck checks that the configuration behaves as a single register. What operators and clients observed determines the
+// sequence of configurations that were in force, and that sequence determines what each call may have observed.
 type registerCheck struct {
 	report  func(rule, format string, arguments ...any)
 	orders  map[Content]*contentOrders
 	inForce map[Content]bool
-	chain   []Content
-	rank    map[Content]int
+	chain   []Content       // configurations that were in force, the oldest first
+	rank    map[Content]int // index in the chain
 }
 
-// contentOrders is all that was ordered of one configuration.
+// contentOrders holds all orders of one configuration.
 type contentOrders struct {
 	base      uint64
-	started   time.Duration // first sending
-	firstSeen time.Duration // first end of an acknowledgement or read; never: none
+	started   time.Duration // of the first order
+	firstSeen time.Duration // end of the first acknowledgement or read; never: none
 	acks      []span
 	conflicts []span
 }
 
-// span is a call from its start to its end.
+// span is the time from the start of a call to its end.
 type span struct{ started, ended time.Duration }
 
-// checkConfiguration reports everything about the configuration that can't have happened to a single register.
+// checkConfiguration reports every observation of the configuration that a single register can't explain.
 func checkConfiguration(h *history, report func(rule, format string, arguments ...any)) {
 	c := &registerCheck{report: report, orders: map[Content]*contentOrders{}, inForce: map[Content]bool{}, rank: map[Content]int{}}
 	c.collect(h)
@@ -44,6 +44,7 @@
 	c.checkProxies(h)
 }
 
+// collect gathers the orders by their content, and the configurations that were observed in force.
 func (c *registerCheck) collect(h *history) {
 	for _, o := range h.orders {
 		known := c.orders[o.Content]
@@ -59,7 +60,7 @@
 		case o.Status == http.StatusPreconditionFailed:
 			known.conflicts = append(known.conflicts, span{o.Started, o.Ended})
 		default:
-			c.report("CONFIG", "a valid order %v on %d was answered %d", o.Content, o.Base, o.Status)
+			c.report("CONFIG", "a valid order %v on %d got status %d, want 200 or 412", o.Content, o.Base, o.Status)
 		}
 	}
 	for _, read := range h.reads {
@@ -74,14 +75,14 @@
 func (c *registerCheck) observe(content Content, at time.Duration) {
 	known := c.orders[content]
 	if known == nil {
-		c.report("CONFIG", "%v is in force, and nobody sent it", content)
+		c.report("CONFIG", "%v is in force, but nobody sent it", content)
 		return
 	}
 	c.inForce[content] = true
 	known.firstSeen = min(known.firstSeen, at)
 }
 
-// sortChain puts the configurations that were in force one after the other.
+// sortChain builds the chain of configurations that were in force. It returns false if they don't form a chain.
 func (c *registerCheck) sortChain() bool {
 	c.addImplied()
 	for content := range c.inForce {
@@ -93,7 +94,7 @@
 	base := uint64(0)
 	for i, content := range c.chain {
 		if c.orders[content].base != base {
-			c.report("CONFIG", "%v builds on %d, but %d was in force before it: %v", content, c.orders[content].base, base, c.chain)
+			c.report("CONFIG", "%v has the base %d, but %d was in force before it: %v", content, c.orders[content].base, base, c.chain)
 			return false
 		}
 		base = content.Number
@@ -102,7 +103,7 @@
 	return true
 }
 
-// addImplied adds those whose outcome nobody saw, but on which something builds that was in force.
+// addImplied adds configurations that nobody observed, but that are the base of one that was in force.
 func (c *registerCheck) addImplied() {
 	for changed := true; changed; {
 		changed = false
@@ -118,7 +119,7 @@
 				}
 			}
 			if len(candidates) == 0 {
-				c.report("CONFIG", "%v builds on %d, which nobody sent", content, base)
+				c.report("CONFIG", "%v has the base %d, which nobody sent", content, base)
 				return
 			}
 			slices.SortFunc(candidates, func(a, b Content) int { return cmp.Compare(a.Label, b.Label) })
@@ -129,6 +130,7 @@
 	}
 }
 
+// isInForce reports whether a configuration with the number was in force.
 func (c *registerCheck) isInForce(number uint64) bool {
 	for content := range c.inForce {
 		if content.Number == number {
@@ -138,14 +140,15 @@
 	return false
 }
 
-// observation is a call that saw a configuration in force, or, as a bound, one at least as new.
+// observation is a call that showed that a configuration of at least this rank was in force.
 type observation struct {
 	span
 	rank int
-	what string
+	kind string // "acknowledged" or "read"
 }
 
-// checkTimes reports reads that are older than what was seen before they began, and configurations seen before they were sent.
+// checkTimes reports stale reads, which returned an older configuration than was observed before they started, and configurations
+// that were observed before they were sent.
 func (c *registerCheck) checkTimes(h *history) {
 	var seen []observation
 	for content := range c.inForce {
@@ -165,23 +168,23 @@
 		for _, earlier := range seen {
 			if earlier.ended < read.started && earlier.rank > read.rank {
 				c.report("CONFIG", "%v was read at %v-%v, though %v was %s by %v", c.chain[read.rank], read.started, read.ended,
-					c.chain[earlier.rank], earlier.what, earlier.ended)
+					c.chain[earlier.rank], earlier.kind, earlier.ended)
 				break
 			}
 		}
 	}
 }
 
-// checkConflicts reports rejections of orders that were accepted, and of orders whose base was in force throughout the call.
+// checkConflicts reports refusals of orders that were accepted, and of orders whose base was in force during the entire call.
 func (c *registerCheck) checkConflicts() {
 	for content, known := range c.orders {
 		for _, conflict := range known.conflicts {
 			if c.inForce[content] {
-				c.report("CONFIG", "%v was refused at %v, and it is in force", content, conflict.ended)
+				c.report("CONFIG", "%v was refused at %v, but it was in force", content, conflict.ended)
 				continue
 			}
 			if c.baseInForce(known.base, conflict) {
-				c.report("CONFIG", "%v on %d was refused at %v-%v, and %d was in force all the while", content, known.base,
+				c.report("CONFIG", "%v on %d was refused at %v-%v, but %d was in force during the entire call", content, known.base,
 					conflict.started, conflict.ended, known.base)
 			}
 		}
@@ -202,7 +205,7 @@
 	return inForce
 }
 
-// checkProxies reports proxies that went back in one incarnation.
+// checkProxies reports proxies that went back to an older configuration within one incarnation.
 func (c *registerCheck) checkProxies(h *history) {
 	type incarnation struct {
 		proxy  string
--- a/internal/tier/fleettest/check_turns.go
+++ b/internal/tier/fleettest/check_turns.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// turnCheck judges requests and turns by what clients and endpoints saw.
+// turnCheck checks requests and turns against what clients and endpoints observed.
 type turnCheck struct {
 	history       *history
 	report        func(rule, format string, arguments ...any)
-	withoutFaults func(from, to time.Duration) bool // whether there was no fault in a span
-	runsOf        map[string][]run
+	withoutFaults func(from, to time.Duration) bool // reports whether no fault began or ended in a span
+	runsOf        map[string][]run                  // by request id
 }
 
-// commitDelay is how long the end of a turn may be unknown to the stores after its client has seen it rejected.
+// commitDelay is how long after the rejection of a turn the stores may still hold its reservation.
 const commitDelay = time.Second
 
-// checkRequests reports everything that must not have happened to requests.
-func checkRequests(h *history, calm func(from, to time.Duration) bool, report func(rule, format string, arguments ...any)) {
-	c := &turnCheck{history: h, report: report, withoutFaults: calm, runsOf: map[string][]run{}}
+// checkRequests reports every violation of the guarantees for requests.
+func checkRequests(h *history, withoutFaults func(from, to time.Duration) bool, report func(rule, format string, arguments ...any)) {
+	c := &turnCheck{history: h, report: report, withoutFaults: withoutFaults, runsOf: map[string][]run{}}
 	for _, r := range h.runs {
 		c.runsOf[r.ID] = append(c.runsOf[r.ID], r)
 	}
@@ -30,28 +30,29 @@
 	c.checkBudgets()
 }
 
-// checkRuns reports what endpoints ran that they must not have run.
+// checkRuns reports runs at endpoints that must not have happened.
 func (c *turnCheck) checkRuns() {
 	for i := range c.history.runs {
 		r := &c.history.runs[i]
 		sent := c.history.byID[r.ID]
 		if sent == nil {
-			c.report("UNASKED", "%s ran, and no client sent it", r.ID)
+			c.report("UNASKED", "%s ran, but no client sent it", r.ID)
 			continue
 		}
 		if sent.Service != r.Service {
-			c.report("ROUTE", "%s is for %s and ran at %s", r.ID, sent.Service, r.Service)
+			c.report("ROUTE", "%s is for service %s, but ran at %s", r.ID, sent.Service, r.Service)
 		}
 		if body, known := c.expectedBody(sent); !known || !bytes.Equal(body, r.Body) {
-			c.report("UNASKED", "%s ran with %q, and not with %q (previous %q)", r.ID, r.Body, body, sent.Previous)
+			c.report("UNASKED", "%s ran with body %q, want %q (previous turn %q)", r.ID, r.Body, body, sent.Previous)
 		}
 		if len(c.runsOf[r.ID]) > 1 && c.runsOf[r.ID][0].At == r.At {
-			c.report("TWICE", "%s ran %d times", r.ID, len(c.runsOf[r.ID]))
+			c.report("TWICE", "%s ran %d times, want at most once", r.ID, len(c.runsOf[r.ID]))
 		}
 	}
 }
 
-// expectedBody is what the endpoint is to be sent for a request; known is false where it continues no complete turn.
+// expectedBody returns the body that an endpoint must receive for a request; known is false if the request continues a turn that isn't
+// complete.
 func (c *turnCheck) expectedBody(sent *request) (body []byte, known bool) {
 	if !sent.IsTurn || sent.Previous == "" {
 		return sent.Input, true
@@ -64,7 +65,7 @@
 	return append(append(bytes.Clone(chain), previous.output()...), sent.Input...), known
 }
 
-// checkAnswer reports answers that must not have been given.
+// checkAnswer reports wrong answers to a request.
 func (c *turnCheck) checkAnswer(sent *request) {
 	c.checkEvents(sent)
 	if sent.Outcome != outcomeRejected {
@@ -74,7 +75,7 @@
 	switch sent.Status {
 	case http.StatusServiceUnavailable, http.StatusPaymentRequired, http.StatusNotFound:
 		if ran {
-			c.report("REFUSED", "%s was answered %d, and it ran", sent.ID, sent.Status)
+			c.report("REFUSED", "%s got status %d, but it ran", sent.ID, sent.Status)
 		}
 	}
 	if sent.Status == http.StatusNotFound {
@@ -85,32 +86,32 @@
 	}
 }
 
-// checkEvents reports answers that are not one run's, in order and from its beginning.
+// checkEvents reports an answer that isn't the beginning of one run's events, and a complete answer that lacks some of them.
 func (c *turnCheck) checkEvents(sent *request) {
 	for i, event := range sent.Events {
 		if sent.Runs[i] != sent.Runs[0] {
-			c.report("ORDER", "%s joins events of two runs", sent.ID)
+			c.report("ORDER", "%s got events of two runs", sent.ID)
 			return
 		}
 		if want := eventData(sent.ID, i+1); !bytes.Equal(event, want) {
-			c.report("MIXED", "%s got %q in place of %q", sent.ID, event, want)
+			c.report("MIXED", "%s got event %q, want %q", sent.ID, event, want)
 			return
 		}
 	}
 	if sent.Outcome == outcomeComplete && len(sent.Events) != eventsOf(sent.ID, sent.MaxTokens) {
-		c.report("MIXED", "%s ended complete after %d events", sent.ID, len(sent.Events))
+		c.report("MIXED", "%s ended as complete after %d events, which isn't their number", sent.ID, len(sent.Events))
 	}
 }
 
-// checkNotFound reports a 404 to a turn that continues one that is retained.
+// checkNotFound reports a 404 to a first turn, or to one that continues a retained turn.
 func (c *turnCheck) checkNotFound(sent *request) {
 	previous := c.history.byID[sent.Previous]
 	if sent.Previous == "" || previous != nil && previous.Outcome == outcomeComplete && sent.Ended-previous.Ended < retention {
-		c.report("LOST", "%s, which continues %q, was answered 404", sent.ID, sent.Previous)
+		c.report("LOST", "%s, which continues %q, got status 404", sent.ID, sent.Previous)
 	}
 }
 
-// checkBudgetExceeded reports a 402 where the budget holds one more turn.
+// checkBudgetExceeded reports a 402 although the budget has room for one more turn.
 func (c *turnCheck) checkBudgetExceeded(sent *request) {
 	if !c.withoutFaults(sent.Sent-commitTimeout, sent.Ended) {
 		return
@@ -122,23 +123,23 @@
 		}
 	}
 	if spent+sent.MaxTokens <= sent.Budget {
-		c.report("REFUSED", "%s was answered 402 with %d spent of %d", sent.ID, spent, sent.Budget)
+		c.report("REFUSED", "%s got status 402 with at most %d of %d tokens spent", sent.ID, spent, sent.Budget)
 	}
 }
 
-// maxCostOf is the maximum that a turn may have cost when another was judged.
-func (c *turnCheck) maxCostOf(turn, judged *request) int64 {
-	ended := turn.Outcome != outcomePending && turn.Ended < judged.Sent
+// maxCostOf returns the maximum that the stores may have counted for a turn when they decided another one.
+func (c *turnCheck) maxCostOf(turn, decided *request) int64 {
+	ended := turn.Outcome != outcomePending && turn.Ended < decided.Sent
 	switch {
 	case ended && turn.Outcome == outcomeComplete:
 		return turn.tokens()
-	case ended && turn.Outcome == outcomeRejected && turn.Ended < judged.Sent-commitDelay && (turn.Status/100 == 4 || turn.Status == http.StatusServiceUnavailable):
+	case ended && turn.Outcome == outcomeRejected && turn.Ended < decided.Sent-commitDelay && (turn.Status/100 == 4 || turn.Status == http.StatusServiceUnavailable):
 		return 0
 	}
 	return turn.MaxTokens
 }
 
-// checkBudgets reports programs whose turns handed on more than their budget.
+// checkBudgets reports programs whose clients received more tokens than the budget.
 func (c *turnCheck) checkBudgets() {
 	delivered := map[string]int64{}
 	budgets := map[string]int64{}
@@ -150,7 +151,7 @@
 	}
 	for program, budget := range budgets {
 		if delivered[program] > budget {
-			c.report("BUDGET", "%s received %d tokens of %d", program, delivered[program], budget)
+			c.report("BUDGET", "%s received %d tokens, but has a budget of %d", program, delivered[program], budget)
 		}
 	}
 }
--- a/internal/tier/fleettest/client.go
+++ b/internal/tier/fleettest/client.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// What clients ask for.
+// Services that clients call, and properties of their turns.
 const (
 	modelService   = "model"
 	toolService    = "tool"
-	retention      = 60 * time.Second
+	retention      = 60 * time.Second // for which a complete turn can be continued
 	maxTurnRetries = 2
-	maxTurnTokens  = 24 // tokens
+	maxTurnTokens  = 24 // tokens that a turn may generate
 )
 
 // clientRequest is a request as a proxy reads it.
@@ -44,13 +44,13 @@
 	}
 )
 
-// clients are all clients, on a machine of their own.
+// clients stands for all clients, which run on one machine.
 type clients struct {
 	process  *process
 	programs int
 	attempts int
-	ended    int // programs that ended, in whatever way
-	complete int // programs that ended complete
+	ended    int // programs that ended, with any outcome
+	complete int // programs whose last turn was complete
 }
 
 func (*clients) handleMessage(string, any)  {}
@@ -101,7 +101,7 @@
 	return record
 }
 
-// readyProxy picks a proxy that calls itself ready, as the platform's ingress sees it.
+// readyProxy returns a random proxy that is ready, or any proxy if none is, as the platform's ingress would choose.
 func (c *clients) readyProxy() string {
 	ready := c.fleet().readyProxies()
 	if len(ready) == 0 {
@@ -110,37 +110,37 @@
 	return ready[c.fleet().loop.random.IntN(len(ready))]
 }
 
-// conversation is a sequence of turns of a program, each continuing the one before.
+// conversation is a sequence of turns of a program, each of which continues the previous one.
 type conversation struct {
 	clients        *clients
 	program        string
 	session        string
 	budget         int64
-	turns          int // that are still to come
-	previous       string
+	turns          int    // number of turns still to send
+	previous       string // id of the turn that the next one continues
 	isSubagent     bool
-	startsSubagent bool // a sub-agent is started on the way
+	startsSubagent bool // a sub-agent starts after the next complete turn
 	done           func(last *request)
 }
 
-// runProgram runs a program of some turns, with a sub-agent if asked for, and calls done with its last turn.
+// runProgram runs a program with that many turns, and with a sub-agent if wanted. It calls done with the last turn.
 func (c *clients) runProgram(turns int, budget int64, withSubagent bool, done func(last *request)) {
-	l := c.newConversation(turns, budget, done)
-	l.startsSubagent = withSubagent
-	l.nextTurn()
+	conv := c.newConversation(turns, budget, done)
+	conv.startsSubagent = withSubagent
+	conv.nextTurn()
 }
 
-// continueProgram runs a program that continues a turn of another.
+// continueProgram runs a program that continues a turn of another program.
 func (c *clients) continueProgram(turns int, budget int64, previous string) {
-	l := c.newConversation(turns, budget, nil)
-	l.previous = previous
-	l.nextTurn()
+	conv := c.newConversation(turns, budget, nil)
+	conv.previous = previous
+	conv.nextTurn()
 }
 
 func (c *clients) newConversation(turns int, budget int64, done func(last *request)) *conversation {
 	c.programs++
-	l := &conversation{clients: c, program: fmt.Sprintf("p-%d", c.programs), session: fmt.Sprintf("s-%d", c.programs), budget: budget, turns: turns}
-	l.done = func(last *request) {
+	conv := &conversation{clients: c, program: fmt.Sprintf("p-%d", c.programs), session: fmt.Sprintf("s-%d", c.programs), budget: budget, turns: turns}
+	conv.done = func(last *request) {
 		c.ended++
 		if last.Outcome == outcomeComplete {
 			c.complete++
@@ -149,54 +149,54 @@
 			done(last)
 		}
 	}
-	return l
+	return conv
 }
 
 // nextTurn sends the next turn of the conversation.
-func (l *conversation) nextTurn() {
-	l.sendTurn(0)
+func (conv *conversation) nextTurn() {
+	conv.sendTurn(0)
 }
 
-// sendTurn sends the turn; a failed one is sent again from its start, as a new attempt.
-func (l *conversation) sendTurn(resends int) {
-	c := l.clients
-	input := fmt.Appendf(nil, "[%s %d] ", l.session, l.turns)
-	sent := clientRequest{Service: modelService, IsTurn: true, Program: l.program, Session: l.session, Previous: l.previous,
-		Budget: l.budget, MaxTokens: maxTurnTokens, Input: input}
+// sendTurn sends the turn; a failed turn is sent again as a new attempt.
+func (conv *conversation) sendTurn(resends int) {
+	c := conv.clients
+	input := fmt.Appendf(nil, "[%s %d] ", conv.session, conv.turns)
+	sent := clientRequest{Service: modelService, IsTurn: true, Program: conv.program, Session: conv.session, Previous: conv.previous,
+		Budget: conv.budget, MaxTokens: maxTurnTokens, Input: input}
 	c.send(c.readyProxy(), sent, func(r *request) {
 		switch {
 		case r.Outcome == outcomeComplete:
-			l.turnCompleted(r)
+			conv.turnCompleted(r)
 		case r.Outcome == outcomeRejected && (r.Status == http.StatusPaymentRequired || r.Status == http.StatusNotFound), resends == maxTurnRetries:
-			l.done(r)
+			conv.done(r)
 		default:
-			c.process.after(c.fleet().loop.between(100*time.Millisecond, 400*time.Millisecond), func() { l.sendTurn(resends + 1) })
+			c.process.after(c.fleet().loop.between(100*time.Millisecond, 400*time.Millisecond), func() { conv.sendTurn(resends + 1) })
 		}
 	})
 }
 
 // turnCompleted continues after a complete turn: it calls a tool, may start a sub-agent, and then sends the next turn.
-func (l *conversation) turnCompleted(r *request) {
-	c := l.clients
-	l.previous = r.ID
-	l.turns--
-	if l.turns <= 0 {
-		l.done(r)
+func (conv *conversation) turnCompleted(r *request) {
+	c := conv.clients
+	conv.previous = r.ID
+	conv.turns--
+	if conv.turns <= 0 {
+		conv.done(r)
 		return
 	}
-	if l.startsSubagent && !l.isSubagent {
-		l.startsSubagent = false
-		sub := &conversation{clients: c, program: l.program, session: l.session + "-sub", budget: l.budget, turns: 2, previous: r.ID, isSubagent: true,
+	if conv.startsSubagent && !conv.isSubagent {
+		conv.startsSubagent = false
+		sub := &conversation{clients: c, program: conv.program, session: conv.session + "-sub", budget: conv.budget, turns: 2, previous: r.ID, isSubagent: true,
 			done: func(*request) {}}
 		sub.nextTurn()
 	}
-	toolCall := clientRequest{Service: toolService, Program: l.program, Session: l.session, MaxTokens: 2 * tokensPerEvent, Input: []byte("tool")}
+	toolCall := clientRequest{Service: toolService, Program: conv.program, Session: conv.session, MaxTokens: 2 * tokensPerEvent, Input: []byte("tool")}
 	c.send(c.readyProxy(), toolCall, func(*request) {
-		c.process.after(c.fleet().loop.between(10*time.Millisecond, 60*time.Millisecond), l.nextTurn)
+		c.process.after(c.fleet().loop.between(10*time.Millisecond, 60*time.Millisecond), conv.nextTurn)
 	})
 }
 
-// pollVersions asks each proxy which configuration is in force.
+// pollVersions asks each proxy which configuration it has in force.
 func (c *clients) pollVersions() {
 	f := c.fleet()
 	for _, proxy := range f.proxyAddresses() {
--- a/internal/tier/fleettest/controller.go
+++ b/internal/tier/fleettest/controller.go
@@ -24,7 +24,7 @@
 // replicasPerGroup is the number of replicas of a group: it tolerates one loss.
 const replicasPerGroup = 3
 
-// Times of a controller.
+// Intervals and timeouts of a controller.
 const (
 	coreHeartbeat       = 120 * time.Millisecond
 	coreElectionTimeout = 500 * time.Millisecond
@@ -39,7 +39,7 @@
 	rolloutInterval     = 150 * time.Millisecond
 )
 
-// controller is a running member of the configuration shard.
+// controller is a running member of the configuration's group.
 type controller struct {
 	process          *process
 	id               string
@@ -48,10 +48,10 @@
 	replica          *replicaRunner
 	member           *member
 	publishScheduled bool
-	proposing        bool
-	published        view.Digest
-	listed           view.Stamp
-	lastList         []byte
+	proposing        bool        // commands of the planner are being proposed
+	published        view.Digest // newest stamps published
+	listed           view.Stamp  // of the endpoint list published last
+	lastList         []byte      // endpoint list published last
 }
 
 // openController starts a controller's process.
@@ -73,7 +73,7 @@
 	return c, nil
 }
 
-// initialMembers is the group at the first start of the system.
+// initialMembers returns the members of the group at the first start of the tier; nil if this controller isn't one of them.
 func initialMembers(p *process, id string) []replica.Member {
 	if !p.machine.firstBoot {
 		return nil
@@ -100,7 +100,7 @@
 	c.process.after(rolloutInterval, c.finishRollouts)
 }
 
-// schedulePublish has the agreed state published once what it depends on is on disk.
+// schedulePublish publishes the committed state once everything that it depends on is on disk.
 func (c *controller) schedulePublish() {
 	if c.publishScheduled || c.replica == nil {
 		return
@@ -113,7 +113,7 @@
 	c.publishScheduled = false
 	updates, err := c.state.UnpublishedSections(c.published)
 	if err != nil {
-		c.process.machine.fleet.report("HARNESS", "agreed state cannot be published: %v", err)
+		c.process.machine.fleet.report("HARNESS", "committed state cannot be encoded: %v", err)
 		return
 	}
 	for _, update := range updates {
@@ -158,7 +158,7 @@
 	}
 }
 
-// redirect sends the caller to the leader, if it is known.
+// redirect returns an answer that redirects the caller to the leader, or 503 if the leader is unknown.
 func (c *controller) redirect(status replica.Status) operatorAnswer {
 	if status.Leader != "" && status.Leader != c.id {
 		for _, m := range c.member.members() {
@@ -170,20 +170,20 @@
 	return operatorAnswer{Status: http.StatusServiceUnavailable}
 }
 
-// put takes a complete configuration.
+// put proposes a complete configuration.
 func (c *controller) put(call *exchange, asked putOrder) {
 	order := &configuration.Proposal{Base: asked.Base, Number: asked.Number, Raw: asked.Raw}
 	c.propose(call, core.Command{Configuration: order})
 }
 
-// propose has an order agreed on and answers it.
+// propose proposes an order to the group and answers the call with the result.
 func (c *controller) propose(call *exchange, command core.Command) {
 	c.replica.propose(command, proposeTimeout, func(result any, err error) {
 		call.finish(operatorAnswer{Status: orderStatus(result, err)})
 	})
 }
 
-// orderStatus is the answer to an order.
+// orderStatus returns the HTTP status of the result of an order.
 func orderStatus(result any, err error) int {
 	var not *group.NotLeaderError
 	switch {
@@ -205,12 +205,12 @@
 	return http.StatusInternalServerError
 }
 
-// get answers with the newest configuration, or not at all.
+// get answers with the newest configuration, or 503 if this member can't confirm that it is the newest.
 func (c *controller) get(call *exchange) {
 	c.read(call, readAnswer)
 }
 
-// read answers from the agreed state once it is certain that this member leads the group.
+// read answers from the committed state once a majority has confirmed that this member leads the group.
 func (c *controller) read(call *exchange, answer func(agreedView) operatorAnswer) {
 	var read operatorAnswer
 	c.replica.read(func() { read = answer(c.view()) }, readBackTimeout, func(err error) {
@@ -224,7 +224,7 @@
 func (c *controller) view() agreedView {
 	read, err := viewOf(c.state)
 	if err != nil {
-		c.process.machine.fleet.report("HARNESS", "agreed state cannot be read: %v", err)
+		c.process.machine.fleet.report("HARNESS", "committed state cannot be decoded: %v", err)
 	}
 	return read
 }
@@ -251,7 +251,7 @@
 	})
 }
 
-// orderDecommission takes an order to empty a storage machine.
+// orderDecommission proposes an order to decommission a store.
 func (c *controller) orderDecommission(call *exchange, asked decommissionOrder) {
 	order := &decommission.Proposal{Store: decommission.Store{Node: asked.Node}, MinRemaining: replicasPerGroup}
 	if store, known := c.planner.Tracker().Store(asked.Node); known {
@@ -265,15 +265,15 @@
 
 func (c *controller) getDecommission(call *exchange, asked getDecommission) {
 	c.read(call, func(read agreedView) operatorAnswer {
-		retirement, known := read.decommissionOf(asked.Node)
+		operation, known := read.decommissionOf(asked.Node)
 		if !known {
 			return operatorAnswer{Status: http.StatusNotFound}
 		}
-		return operatorAnswer{Status: http.StatusOK, State: string(retirement.State)}
+		return operatorAnswer{Status: http.StatusOK, State: string(operation.State)}
 	})
 }
 
-// finishRollouts finishes roll-outs whose time is over while this member leads the group.
+// finishRollouts finishes roll-outs whose duration has passed, if this member leads the group.
 func (c *controller) finishRollouts() {
 	c.process.after(rolloutInterval, c.finishRollouts)
 	if !c.replica.group.Status().IsLeader {
@@ -290,7 +290,7 @@
 	}
 }
 
-// reconcile keeps the members of all groups right while this member leads the configuration's group.
+// reconcile periodically brings the members of all groups to what the planner wants, if this member leads the configuration's group.
 func (c *controller) reconcile() {
 	c.process.after(reconcileInterval, c.reconcile)
 	now := time.UnixMilli(dayStart).Add(c.process.machine.fleet.loop.Now())
@@ -322,7 +322,7 @@
 	})
 }
 
-// askStore has a store report on the groups that it leads.
+// askStore asks a store for the members of the groups that it leads.
 func (c *controller) askStore(now time.Time, address string) {
 	c.process.machine.fleet.network.ask(c.process, address, wire.ShardMembersRequest{}, queryTimeout, func(answer any, err error) {
 		if err == nil {
@@ -331,7 +331,7 @@
 	})
 }
 
-// readList reads the platform's list while this member leads the group, and publishes each change.
+// readList periodically reads the platform's list and publishes each change, if this member leads the group.
 func (c *controller) readList() {
 	status := c.replica.group.Status()
 	if !status.IsLeader {
@@ -350,7 +350,7 @@
 func (c *controller) publishList(term uint64, endpoints []model.Endpoint) {
 	body, err := json.Marshal(view.EndpointList{Endpoints: endpoints})
 	if err != nil {
-		c.process.machine.fleet.report("HARNESS", "list cannot be encoded: %v", err)
+		c.process.machine.fleet.report("HARNESS", "endpoint list cannot be encoded: %v", err)
 		return
 	}
 	if c.listed.Term == term && string(body) == string(c.lastList) {
@@ -364,7 +364,7 @@
 	c.member.publish(view.Update{Section: view.EndpointsSection, Stamp: c.listed, Body: body})
 }
 
-// observedState is what the controller's plan is made from.
+// observedState returns the input of the planner.
 func observedState(c *controller) core.ObservedState {
 	return core.ObservedState{Group: c.replica.group.Status(), Members: c.member.members(), Committed: c.state}
 }
--- a/internal/tier/fleettest/day.go
+++ b/internal/tier/fleettest/day.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Paces of those who use the tier during a day.
+// Intervals of the traffic during a day, and bounds of its faults and checks.
 const (
 	programInterval      = 350 * time.Millisecond
 	orderInterval        = 1200 * time.Millisecond
 	operatorReadInterval = 1700 * time.Millisecond
 	versionPollInterval  = 150 * time.Millisecond
 	ackTimeout           = 3 * time.Second
-	maxTurns             = 4 // turns
-	settlingTime         = 6 * time.Second
-	recoveryTimeout      = 25 * time.Second // within which all must serve again once the faults are over
+	maxTurns             = 4                // turns of a program
+	settlingTime         = 6 * time.Second  // of traffic after the span of the plan
+	recoveryTimeout      = 25 * time.Second // within which the tier must serve again once the faults are over
 	slowSyncTime         = 120 * time.Millisecond
-	freeBytes            = 200
-	maxSyncFactor        = 4    // times the usual
+	freeBytes            = 200  // left on a full disk
+	maxSyncFactor        = 4    // slowest sync of a healthy disk, as a multiple of Options.SyncTime
 	continuedShare       = 0.15 // share of programs that continue a turn of another
 )
 
@@ -27,22 +27,22 @@
 type day struct {
 	*Fleet
 	plan          Plan
-	newestVersion uint64 // number of the newest version that an operator knows of
-	sending       bool
-	over          bool
+	newestVersion uint64 // number of the newest configuration that an operator knows
+	sending       bool   // an order of the first operator awaits its answer
+	over          bool   // the traffic has ended
 }
 
-// Result is what came of a day.
+// Result holds the violations and the counts of a day.
 type Result struct {
 	Violations []string
 	Orders     int // acknowledged
 	Reads      int
 	Runs       int
-	Complete   int // turns and calls answered completely
-	Programs   int // that ended complete
+	Complete   int // requests answered completely
+	Programs   int // programs that ended as complete
 }
 
-// Run runs a plan and returns what it showed.
+// Run runs the day of a plan and returns its result.
 func Run(plan Plan, options Options) Result {
 	options.Seed = plan.Seed
 	if options.Conditions == (Conditions{}) && plan.Seed%3 == 0 {
@@ -84,7 +84,7 @@
 	})
 }
 
-// completeTurn picks a turn that was answered completely lately; empty: there is none.
+// completeTurn returns the id of a random recent turn that was answered completely; empty if it finds none.
 func (d *day) completeTurn() string {
 	sent := d.history.requests
 	for range 20 {
@@ -99,18 +99,18 @@
 	return ""
 }
 
-// every calls run at random intervals until the day is over.
-func (d *day) every(pace time.Duration, run func()) {
-	d.loop.After(d.loop.between(pace/2, 3*pace/2), func() {
+// every calls run repeatedly, after 0.5 to 1.5 times the interval, until the traffic ends.
+func (d *day) every(interval time.Duration, run func()) {
+	d.loop.After(d.loop.between(interval/2, 3*interval/2), func() {
 		if d.over {
 			return
 		}
 		run()
-		d.every(pace, run)
+		d.every(interval, run)
 	})
 }
 
-// order sends the next version; one that takes long is left to be resent.
+// order sends the first operator's next order, unless the previous one has no answer yet.
 func (d *day) order() {
 	if d.sending {
 		return
@@ -119,6 +119,7 @@
 	d.send(d.operators[0], func() { d.sending = false })
 }
 
+// send has an operator send an order on the newest version that is known, and calls done once it has an answer.
 func (d *day) send(o *operator, done func()) {
 	base := d.newestVersion
 	sent := o.put(base, base+1+uint64(d.loop.random.IntN(2)))
@@ -132,7 +133,7 @@
 	})
 }
 
-// refreshVersion has an operator read which version is in force, after a refusal.
+// refreshVersion has an operator read the configuration after a refusal, to learn the newest version.
 func (d *day) refreshVersion(o *operator) {
 	read := o.get()
 	d.loop.After(500*time.Millisecond, func() {
@@ -142,6 +143,7 @@
 	})
 }
 
+// whenAnswered calls done once an order has an answer, unless the traffic ends before.
 func (d *day) whenAnswered(sent *order, done func()) {
 	d.loop.After(20*time.Millisecond, func() {
 		if sent.Ended != 0 {
@@ -154,7 +156,7 @@
 	})
 }
 
-// endFaults ends all faults.
+// endFaults ends all faults and starts the machines that are down.
 func (d *day) endFaults() {
 	d.onAcknowledged = nil
 	d.Heal()
@@ -170,7 +172,7 @@
 	}
 }
 
-// endMachineFaults ends the faults of a machine that runs.
+// endMachineFaults ends the faults of a machine, its disk and its endpoint.
 func (d *day) endMachineFaults(m *Machine) {
 	m.thaw()
 	m.resumeDisk()
@@ -179,24 +181,24 @@
 		m.disk.SetCapacity(0)
 	}
 	for _, p := range m.processes {
-		if stuck, ok := p.handler.(*endpoint); ok {
-			stuck.stuck = false
+		if served, ok := p.handler.(*endpoint); ok {
+			served.neverAnswers = false
 		}
 	}
 }
 
-// checkRecovery checks that all serve again once the faults are over.
+// checkRecovery ends the traffic and checks that the tier serves again.
 func (d *day) checkRecovery() {
 	d.over = true
 	read := d.operators[0].get()
 	if !d.Until(recoveryTimeout, func() bool { return read.Ended != 0 }) {
-		d.report("RECOVER", "the configuration is not read back")
+		d.report("RECOVER", "no read of the configuration succeeded in time")
 		return
 	}
 	last := d.operators[0].put(read.Content.Number, read.Content.Number+3)
 	d.Until(recoveryTimeout, func() bool { return last.Ended != 0 })
 	if last.Ended == 0 {
-		d.report("RECOVER", "an order is not answered")
+		d.report("RECOVER", "the last order got no answer in time")
 	}
 	if !d.Until(recoveryTimeout, func() bool { return d.allServe(last) }) {
 		d.report("RECOVER", "%d of %d proxies are ready with the newest configuration", len(d.readyProxies()), len(d.edges))
@@ -208,6 +210,7 @@
 	d.RunFor(time.Second)
 }
 
+// checkProgramRuns checks that a program completes within three attempts.
 func (d *day) checkProgramRuns(program int) {
 	var ended *request
 	for range 3 {
@@ -217,17 +220,18 @@
 			return
 		}
 	}
-	d.report("RECOVER", "program %d is not served: %s", program, describe(ended))
+	d.report("RECOVER", "program %d did not complete: %s", program, describe(ended))
 }
 
 func describe(r *request) string {
 	if r == nil {
-		return "it doesn't end"
+		return "no answer in time"
 	}
 	return fmt.Sprintf("outcome %d, status %d", r.Outcome, r.Status)
 }
 
-// allServe reports whether all proxies have a version in force that is at least as new.
+// allServe reports whether all proxies are ready, with a configuration in force that is at least as new as the last order if that was
+// accepted.
 func (d *day) allServe(last *order) bool {
 	for _, m := range d.edges {
 		serving, ok := m.processes[1].handler.(*proxy)
--- a/internal/tier/fleettest/days_test.go
+++ b/internal/tier/fleettest/days_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// mutantDays is the number of days within which each mutant must be found.
+// mutantDays is the number of days within which the tests must notice each mutant.
 const mutantDays = 4
 
-// randomDay runs a day with faults of all kinds.
+// randomDay runs the day of a random plan and returns its violations.
 func randomDay(seed uint64) []string {
 	return Run(RandomPlan(seed), Options{}).Violations
 }
 
-// repeated returns a day on which one kind of fault comes repeatedly.
+// repeated returns a function that runs a day on which one kind of fault comes at intervals, and returns its violations.
 func repeated(kind FaultKind, interval, length time.Duration) func(seed uint64) []string {
 	return func(seed uint64) []string {
 		plan := Plan{Seed: seed, Span: 30 * time.Second}
@@ -31,8 +31,8 @@
 	partitionDay = repeated(PartitionFault, 1500*time.Millisecond, 1400*time.Millisecond)
 )
 
-// diskLossDay runs a day on which disks are lost repeatedly, right after an acknowledgement, while all others that
-// count lose power.
+// diskLossDay runs a day on which, repeatedly and right after an acknowledgement, one quorum machine loses its disk and all others lose
+// power.
 func diskLossDay(seed uint64) []string {
 	plan := Plan{Seed: 3 * seed, Span: 50 * time.Second}
 	for i := range 4 {
@@ -41,7 +41,7 @@
 	return Run(plan, Options{}).Violations
 }
 
-// TestRun_DaysOfMutants_BreakNoRule runs the days on which the mutants are found; random days are TestRandomDays's too.
+// TestRun_DaysOfMutants_BreakNoRule runs the days on which the mutants must be noticed. TestRandomDays runs random days too.
 func TestRun_DaysOfMutants_BreakNoRule(t *testing.T) {
 	skipUnderRace(t)
 	for _, days := range []struct {
--- a/internal/tier/fleettest/disk.go
+++ b/internal/tier/fleettest/disk.go
@@ -7,20 +7,20 @@
 	"mastusher/internal/tier/storage"
 )
 
-// errSync is what a failing disk answers to a sync.
+// errSync is the error of a sync of a failing disk.
 var errSync = errors.New("input/output error")
 
-// timedDisk is a machine's disk as one group uses it. Calls return at once; took counts the time of their syncs,
-// and what depends on them must wait for that long. The last sync covers its writes only once that time is over, so a loss of
-// power before that takes them away.
+// timedDisk is a machine's disk as one group uses it. Calls return at once; syncDuration adds up how long their syncs take, and
+// whatever depends on them must be delayed by as much. The last sync makes its writes durable only after that time, so that a loss of
+// power before then loses them.
 type timedDisk struct {
 	storage.Disk
-	machine *Machine
-	took    time.Duration
-	pending func() error // a sync that is under way; nil: none
+	machine      *Machine
+	syncDuration time.Duration
+	pending      func() error // completes the sync in progress; nil: none
 }
 
-// completeSync completes the sync that is under way.
+// completeSync completes the sync in progress, if any.
 func (d *timedDisk) completeSync() error {
 	pending := d.pending
 	d.pending = nil
@@ -30,12 +30,12 @@
 	return pending()
 }
 
-// sync begins a sync.
+// sync starts a sync, which run completes.
 func (d *timedDisk) sync(run func() error) error {
 	if err := d.completeSync(); err != nil {
 		return err
 	}
-	d.took += d.machine.syncTime
+	d.syncDuration += d.machine.syncTime
 	if d.machine.syncFails {
 		return errSync
 	}
--- a/internal/tier/fleettest/endpoint.go
+++ b/internal/tier/fleettest/endpoint.go
@@ -7,41 +7,41 @@
 	"time"
 )
 
-// What endpoints do.
+// Properties of endpoints and of the platform's list.
 const (
 	tokensPerEvent  = 3
 	eventInterval   = 12 * time.Millisecond
 	platformAddress = "platform:80"
-	listDelay       = 800 * time.Millisecond // that the platform's list runs behind
+	listDelay       = 800 * time.Millisecond // until the platform's list shows a change
 )
 
 // endpointRequest is a request as it reaches an endpoint.
 type endpointRequest struct {
 	ID        string
-	Expected  string
+	Expected  string // id of the endpoint that must run it; empty: any
 	Body      []byte
 	MaxTokens int64
 }
 
-// endpointRejection is an answer which says that the request has not run.
+// endpointRejection is an answer that says that the request hasn't run.
 type endpointRejection struct{ Status int }
 
 // endpointEvent is one event of an answer.
 type endpointEvent struct {
 	Data []byte
-	Run  int // names the run that made it
+	Run  int // number of the run that produced it
 	Last bool
 }
 
-// endpoint is one incarnation of an endpoint.
+// endpoint is one incarnation of an endpoint, with its own id.
 type endpoint struct {
-	process *process
-	id      string
-	service string
-	stuck   bool // it runs requests and their answers get lost
+	process      *process
+	id           string
+	service      string
+	neverAnswers bool // it runs requests, but never answers
 }
 
-// openEndpoint starts an incarnation of a new id. The service is the one that the address belongs to now.
+// openEndpoint returns a function that starts an incarnation with a new id, which belongs to the service.
 func openEndpoint(service *string) func(p *process) (handler, error) {
 	return func(p *process) (handler, error) {
 		f := p.machine.fleet
@@ -68,7 +68,7 @@
 	}
 	f := e.process.machine.fleet
 	number := f.history.addRun(run{ID: asked.ID, Endpoint: e.id, Service: e.service, Body: asked.Body, At: f.loop.Now()})
-	if e.stuck {
+	if e.neverAnswers {
 		return
 	}
 	canceled := false
@@ -77,7 +77,7 @@
 	e.next(call, asked.ID, number, 1, events, &canceled)
 }
 
-// next makes one event after the other.
+// next sends the remaining events, from the given one on, at intervals.
 func (e *endpoint) next(call *exchange, id string, number, event, events int, canceled *bool) {
 	e.process.after(eventInterval, func() {
 		if *canceled {
@@ -93,12 +93,12 @@
 	})
 }
 
-// eventsOf is the number of events of a request's answer.
+// eventsOf returns the number of events in a request's answer.
 func eventsOf(id string, maxTokens int64) int {
 	hash := fnv.New32a()
 	hash.Write([]byte(id))
 	return 1 + int(hash.Sum32()%uint32(max(1, maxTokens/tokensPerEvent)))
 }
 
-// eventData is what one event of a request's answer holds.
+// eventData returns the data of one event of a request's answer.
 func eventData(id string, event int) []byte { return fmt.Appendf(nil, "%s/%d", id, event) }
--- a/internal/tier/fleettest/exchange.go
+++ b/internal/tier/fleettest/exchange.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// exchange is a call and its answer, which comes as one or several responses. It is over once either side ends it or its connection is lost.
+// exchange is a call with its answer, which consists of one or more responses. It is over once either side ends it or its connection
+// is lost.
 type exchange struct {
 	network           *network
 	caller            *process
@@ -14,16 +15,16 @@
 	serverIncarnation int
 	closed            bool
 	onResponse        func(response any) // at the caller
-	onError           func(err error)    // at the caller, once, unless it ended the exchange itself
-	onCallerCanceled  func()             // at the server, once, unless the exchange was over; may be nil
+	onError           func(err error)    // at the caller, at most once; not if the caller ended the exchange itself
+	onCallerCanceled  func()             // at the server, at most once; not after the exchange is over; may be nil
 }
 
-// call sends a request to whoever has the address when it arrives. onResponse is called for each response, and onError if the call breaks.
+// call sends a request to the process at an address. onResponse is called for each response, and onError if the call fails.
 func (n *network) call(from *process, address string, request any, onResponse func(any), onError func(error)) *exchange {
 	e := &exchange{network: n, caller: from, callerIncarnation: from.incarnation, onResponse: onResponse, onError: onError}
 	to := n.byAddress[address]
 	if to == nil {
-		return e // nobody has the address: there is no answer, and no reset
+		return e // no process has the address: there is neither an answer nor a reset
 	}
 	e.server = to
 	from.exchanges = append(from.exchanges, e)
@@ -31,7 +32,7 @@
 	return e
 }
 
-// ask makes a call that is answered by one response within a timeout.
+// ask makes a call with a single response. It calls done once, with the response or an error, at the latest after the timeout.
 func (n *network) ask(from *process, address string, request any, timeout time.Duration, done func(answer any, err error)) {
 	ended := false
 	finish := func(answer any, err error) {
@@ -54,7 +55,7 @@
 	})
 }
 
-// deliver passes the request to the process at the address.
+// deliver passes the request to the server, or resets the connection if the server process doesn't run.
 func (e *exchange) deliver(request any) {
 	if e.closed {
 		return
@@ -70,7 +71,7 @@
 	e.server.execute(e.serverIncarnation, func() { e.server.handler.serve(e, request) })
 }
 
-// sendsResets reports whether the machine is there to reset connections to a process that has ended.
+// sendsResets reports whether the machine runs, so that it resets connections to processes that have ended.
 func (m *Machine) sendsResets() bool { return !m.removed && !m.poweredOff }
 
 // send sends a response.
@@ -87,13 +88,13 @@
 	}, func() { e.fail(errTimeout) })
 }
 
-// finish sends the last response.
+// finish sends the last response and ends the exchange at the server.
 func (e *exchange) finish(response any) {
 	e.send(response)
 	e.server.dropExchange(e)
 }
 
-// abort ends the answer before its end, as the server.
+// abort ends the exchange at the server before the answer is complete; the caller sees a reset.
 func (e *exchange) abort() {
 	if e.closed {
 		return
@@ -101,7 +102,7 @@
 	e.network.stream(e.server, e.caller, func() { e.fail(errReset) }, nil)
 }
 
-// cancel ends the exchange as the caller.
+// cancel ends the exchange at the caller and notifies the server.
 func (e *exchange) cancel() {
 	if e.closed {
 		return
@@ -110,7 +111,7 @@
 	e.notifyServer()
 }
 
-// notifyServer tells the server that its caller has canceled.
+// notifyServer tells the server that the caller has canceled.
 func (e *exchange) notifyServer() {
 	canceled, incarnation := e.onCallerCanceled, e.serverIncarnation
 	if canceled == nil || e.server == nil {
@@ -119,7 +120,7 @@
 	e.network.stream(e.caller, e.server, func() { e.server.execute(incarnation, canceled) }, nil)
 }
 
-// fail tells the caller that nothing more will come.
+// fail ends the exchange with an error at the caller.
 func (e *exchange) fail(err error) {
 	if e.closed {
 		return
@@ -128,7 +129,7 @@
 	e.caller.execute(e.callerIncarnation, func() { e.onError(err) })
 }
 
-// reset breaks the exchange at both sides at once.
+// reset ends the exchange at both sides at once.
 func (e *exchange) reset() {
 	if e.closed {
 		return
@@ -140,7 +141,7 @@
 	}
 }
 
-// close ends the exchange without telling anyone.
+// close ends the exchange without notifying either side.
 func (e *exchange) close() {
 	e.closed = true
 	e.caller.dropExchange(e)
@@ -149,7 +150,7 @@
 	}
 }
 
-// processEnded handles the end of a process at one side.
+// processEnded ends the exchange when the process at one side ends. With reset, the other side sees a reset.
 func (e *exchange) processEnded(p *process, reset bool) {
 	if e.closed {
 		return
--- a/internal/tier/fleettest/faultinjection.go
+++ b/internal/tier/fleettest/faultinjection.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// quorumMachines lists the machines that count for a quorum: those with a disk.
+// quorumMachines returns the machines that count for a quorum: cores and stores.
 func (f *Fleet) quorumMachines() []*Machine {
 	return append(append([]*Machine{}, f.cores...), f.stores...)
 }
 
-// inject injects a fault, and has it end after its time.
+// inject injects a fault, which ends after its duration.
 func (d *day) inject(fault Fault) {
 	machines := d.quorumMachines()
 	target, other := machines[fault.Target%len(machines)], machines[fault.Other%len(machines)]
-	edge, engine := d.edges[fault.Target%len(d.edges)], d.engines[fault.Target%len(d.engines)]
+	edge, endpointMachine := d.edges[fault.Target%len(d.edges)], d.endpointMachines[fault.Target%len(d.endpointMachines)]
 	switch fault.Kind {
 	case KillFault:
 		d.Kill(target)
@@ -40,18 +40,18 @@
 		d.replace(target)
 	default:
 		d.injectMachineFault(fault, target, other)
-		d.injectEdgeFault(fault, edge, engine)
+		d.injectEdgeFault(fault, edge, endpointMachine)
 	}
 }
 
-// startEach starts all machines of the tier again, each within a span.
+// startEach starts all machines of the tier, each after a random delay.
 func (d *day) startEach(within time.Duration) {
 	for _, m := range d.tier() {
 		d.StartLater(d.loop.between(0, within), m)
 	}
 }
 
-// loseDiskAndAllPower takes one disk away and the power of all other machines with one.
+// loseDiskAndAllPower makes one machine lose its disk and all other quorum machines lose power, and starts them again.
 func (d *day) loseDiskAndAllPower(m *Machine, within time.Duration) {
 	if m.removed {
 		return
@@ -63,16 +63,16 @@
 
 // afterAcknowledgement calls run with the leader of the configuration's group right after the next acknowledgement.
 func (d *day) afterAcknowledgement(run func(leader *Machine)) {
-	until := d.Now() + ackTimeout
+	deadline := d.Now() + ackTimeout
 	d.onAcknowledged = func(*order) {
 		d.onAcknowledged = nil
-		if leader := d.CoreLeader(); leader != nil && d.Now() <= until {
+		if leader := d.CoreLeader(); leader != nil && d.Now() <= deadline {
 			run(leader)
 		}
 	}
 }
 
-// endLeader ends a machine within 4 ms.
+// endLeader ends the leader within 4 ms, and starts it again after a delay.
 func (d *day) endLeader(leader *Machine, delay time.Duration, end func(...*Machine)) {
 	d.loop.After(d.loop.between(0, 4*time.Millisecond), func() {
 		end(leader)
@@ -80,6 +80,7 @@
 	})
 }
 
+// replace replaces a core or a store by an empty machine.
 func (d *day) replace(m *Machine) {
 	for _, core := range d.cores {
 		if core == m {
@@ -90,7 +91,7 @@
 	d.ReplaceStore(m)
 }
 
-// injectMachineFault injects a fault into a quorum machine or its links, which goes on running.
+// injectMachineFault injects a fault of the network, clock or disk into a quorum machine, whose processes go on running.
 func (d *day) injectMachineFault(fault Fault, target, other *Machine) {
 	switch fault.Kind {
 	case FreezeFault:
@@ -125,24 +126,24 @@
 }
 
 // injectEdgeFault injects a fault into an edge machine, an endpoint or the operators.
-func (d *day) injectEdgeFault(fault Fault, edge, engine *Machine) {
+func (d *day) injectEdgeFault(fault Fault, edge, endpointMachine *Machine) {
 	switch fault.Kind {
 	case ProxyKillFault:
 		d.KillProcess(edge.processes[1])
 	case AgentKillFault:
 		d.KillProcess(edge.processes[0])
 	case EndpointReplaceFault:
-		service := engine.processes[0].handler.(*endpoint).service
+		service := endpointMachine.processes[0].handler.(*endpoint).service
 		swapped := toolService
 		if service == toolService {
 			swapped = modelService
 		}
-		d.ReplaceEndpoint(engine, swapped)
-		d.loop.After(fault.For, func() { d.ReplaceEndpoint(engine, service) })
+		d.ReplaceEndpoint(endpointMachine, swapped)
+		d.loop.After(fault.For, func() { d.ReplaceEndpoint(endpointMachine, service) })
 	case ResponseLossFault:
-		engine.processes[0].handler.(*endpoint).stuck = true
+		endpointMachine.processes[0].handler.(*endpoint).neverAnswers = true
 		d.recordFault()
-		d.loop.After(fault.For, func() { engine.processes[0].handler.(*endpoint).stuck = false })
+		d.loop.After(fault.For, func() { endpointMachine.processes[0].handler.(*endpoint).neverAnswers = false })
 	case AckLossFault:
 		d.operators[0].ackLossRate = 0.7
 		d.loop.After(fault.For, func() { d.operators[0].ackLossRate = 0 })
--- a/internal/tier/fleettest/faults.go
+++ b/internal/tier/fleettest/faults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Kill ends all processes of machines at once; their disks keep what was written.
+// Kill ends all processes of the machines at once; their disks keep all writes.
 func (f *Fleet) Kill(machines ...*Machine) {
 	f.recordFault()
 	for _, m := range machines {
@@ -14,7 +14,7 @@
 	}
 }
 
-// LosePower takes the power from machines at once: what they had not synced may be gone.
+// LosePower makes the machines lose power at once; writes that were not synced may be lost.
 func (f *Fleet) LosePower(machines ...*Machine) {
 	f.recordFault()
 	for _, m := range machines {
@@ -23,7 +23,7 @@
 	}
 }
 
-// LoseDisk ends a machine's processes and empties its disk.
+// LoseDisk makes a machine lose power and replaces its disk by an empty one.
 func (f *Fleet) LoseDisk(m *Machine) {
 	f.recordFault()
 	f.trace("%s loses its disk", m.name)
@@ -44,7 +44,7 @@
 	f.loop.After(delay, func() { f.Start(machines...) })
 }
 
-// Freeze stops a machine without ending anything.
+// Freeze suspends a machine's processes; Thaw resumes them.
 func (f *Fleet) Freeze(m *Machine) {
 	f.recordFault()
 	f.trace("%s freezes", m.name)
@@ -72,14 +72,14 @@
 	}
 }
 
-// PartitionOneWay loses what one machine sends to another.
+// PartitionOneWay partitions the direction from one machine to another.
 func (f *Fleet) PartitionOneWay(from, to *Machine) {
 	f.recordFault()
 	f.trace("partition %s > %s", from.name, to.name)
 	f.network.setPartitioned(from, to, true)
 }
 
-// HealLinks heals the links between machines and others.
+// HealLinks heals the links between some machines and others, in both directions.
 func (f *Fleet) HealLinks(some, others []*Machine) {
 	f.recordFault()
 	for _, a := range some {
@@ -104,14 +104,14 @@
 	f.network.reset(a, b)
 }
 
-// StepClock sets a machine's time of day.
+// StepClock steps a machine's time of day.
 func (f *Fleet) StepClock(m *Machine, by time.Duration) {
 	f.recordFault()
 	f.trace("%s: clock steps by %v", m.name, by)
 	m.clockOffset += by
 }
 
-// StallDisk keeps a machine's disk from answering; ResumeDisk ends that.
+// StallDisk stalls a machine's disk, so that its syncs don't complete; ResumeDisk ends that.
 func (f *Fleet) StallDisk(m *Machine) {
 	f.recordFault()
 	f.trace("%s: disk is stalled", m.name)
@@ -131,7 +131,7 @@
 	m.syncTime = sync
 }
 
-// FillDisk leaves so many bytes free on a machine's disk; a negative number leaves all.
+// FillDisk limits the free space of a machine's disk to a number of bytes; a negative number removes the limit.
 func (f *Fleet) FillDisk(m *Machine, free int64) {
 	f.recordFault()
 	f.trace("%s: %d bytes free", m.name, free)
@@ -151,7 +151,7 @@
 	m.disk.SetCapacity(used + free)
 }
 
-// ReplaceCore takes a controller's machine away for good and starts an empty one at another address.
+// ReplaceCore removes a controller's machine for good and starts an empty one at another address.
 func (f *Fleet) ReplaceCore(old *Machine) *Machine {
 	next := f.addCore(fmt.Sprintf("core-%d", f.hostCount+1), len(f.cores))
 	f.cores = f.replace(f.cores, old, next)
@@ -160,13 +160,14 @@
 	return next
 }
 
-// ReplaceStore takes a store's machine away for good and starts an empty one at another address.
+// ReplaceStore removes a store's machine for good and starts an empty one at another address.
 func (f *Fleet) ReplaceStore(old *Machine) *Machine {
 	next := f.addStore(fmt.Sprintf("store-%d", f.hostCount+1), len(f.stores))
 	f.stores = f.replace(f.stores, old, next)
 	return next
 }
 
+// replace removes a machine, starts its replacement, and returns the list of machines with the replacement.
 func (f *Fleet) replace(machines []*Machine, old, next *Machine) []*Machine {
 	f.recordFault()
 	f.trace("%s is replaced by %s", old.name, next.name)
@@ -184,7 +185,7 @@
 	return append(remaining, next)
 }
 
-// ReplaceEndpoint ends an endpoint and starts another one, of any service, at its address.
+// ReplaceEndpoint ends an endpoint and starts another one, of a service, at its address.
 func (f *Fleet) ReplaceEndpoint(m *Machine, service string) {
 	f.recordFault()
 	p := m.processes[0]
@@ -193,7 +194,7 @@
 	p.start()
 }
 
-// KillProcess ends one process of an edge machine; it is started again after a delay.
+// KillProcess kills one process of an edge machine; it is started again after restartDelay.
 func (f *Fleet) KillProcess(p *process) {
 	if !p.isRunning() {
 		return
--- a/internal/tier/fleettest/faults_test.go
+++ b/internal/tier/fleettest/faults_test.go
@@ -13,14 +13,14 @@
 		s.within(confirmTime, "the roll-out is acknowledged", func() bool { return roll.Ended != 0 })
 		s.LosePower(s.cores...)
 		s.StartLater(500*time.Millisecond, s.cores...)
-		// then it is still known, and comes to its end.
+		// then the roll-out is still known, and finishes.
 		state := ""
 		s.within(20*time.Second, "the roll-out is finished", func() bool {
 			if state == "" {
 				state = "asked"
 				s.operator.rolloutState(modelService, func(answer operatorAnswer) {
 					if answer.Target != "v2" {
-						t.Errorf("the roll-out's target is %q", answer.Target)
+						t.Errorf("the roll-out's target is %q, want v2", answer.Target)
 					}
 					state = answer.State
 					if state != "finished" {
@@ -35,12 +35,12 @@
 
 func TestLeader_ClockSteps_TierServes(t *testing.T) {
 	for _, by := range []time.Duration{-time.Hour, -time.Second, time.Second, time.Hour} {
-		// Given a serving tier, when the leaders' time of day is set,
+		// Given a serving tier, when the clocks of the leaders step,
 		s := serving(t, 3)
 		last := s.completeTurn(s.edges[0], clientRequest{Program: testProgram, Budget: 400})
 		s.StepClock(s.coreLeader(), by)
 		s.StepClock(s.shardLeader(), by)
-		// then configurations are taken and turns go on.
+		// then orders are accepted, and the program continues.
 		s.acknowledged(s.operator.put(1, 2))
 		s.completeTurn(s.edges[1], clientRequest{Program: testProgram, Budget: 400, Previous: last.ID})
 	}
@@ -53,19 +53,19 @@
 		end    func(s *scenario, m *Machine)
 	}{
 		{"slow", func(s *scenario, m *Machine) { s.SlowDisk(m, 300*time.Millisecond) }, func(s *scenario, m *Machine) { s.SlowDisk(m, 2*time.Millisecond) }},
-		{"silent", func(s *scenario, m *Machine) { s.StallDisk(m) }, func(s *scenario, m *Machine) { s.ResumeDisk(m) }},
+		{"stalled", func(s *scenario, m *Machine) { s.StallDisk(m) }, func(s *scenario, m *Machine) { s.ResumeDisk(m) }},
 		{"full", func(s *scenario, m *Machine) { s.FillDisk(m, 100) }, func(s *scenario, m *Machine) { s.FillDisk(m, -1) }},
 		{"failing", func(_ *scenario, m *Machine) { m.syncFails = true }, func(_ *scenario, m *Machine) { m.syncFails = false }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			seeds(t, 3, func(t *testing.T, seed uint64) {
-				// Given a leader of the configuration whose disk is faulty,
+				// Given a leader of the core whose disk is faulty,
 				s := serving(t, seed)
 				leader := s.coreLeader()
 				test.inject(s, leader)
 				order := s.operator.put(1, 2)
 				s.RunFor(5 * time.Second)
-				// when the fault is over, then the order has been taken, and all take part again.
+				// when the fault is over, then the order is accepted, and the group tolerates the loss of another controller.
 				test.end(s, leader)
 				s.acknowledged(order)
 				s.readsBack(order.Content)
@@ -83,9 +83,10 @@
 	}
 }
 
-// runOlderUpdateOffered runs a tier in which a proxy's new agent learns of nothing but an older configuration.
+// runOlderUpdateOffered runs a fleet in which a proxy's restarted agent can learn only an older configuration than the proxy has. It
+// returns the violations.
 func runOlderUpdateOffered(seed uint64) []string {
-	// Given two edge machines of which one has missed the newest configuration,
+	// Given two edge machines, one of which has missed the newest configuration,
 	f := New(Options{Seed: seed})
 	f.Boot()
 	f.operators[0].put(0, 1)
@@ -96,7 +97,7 @@
 	f.RunFor(3 * time.Second)
 	f.clients.pollVersions()
 	f.RunFor(time.Second)
-	// when both are partitioned from all others, and the other one's agent starts anew,
+	// when both are partitioned from all other machines, and the agent of the other one restarts,
 	f.Partition(ahead, append(f.quorumMachines(), f.edges[2:]...))
 	f.HealLinks(behind, ahead)
 	f.KillProcess(ahead[0].processes[0])
@@ -104,7 +105,7 @@
 		f.RunFor(time.Second)
 		f.clients.pollVersions()
 	}
-	// then its proxy keeps what it has, and follows again once they are healed.
+	// then its proxy keeps its configuration, and receives updates again once the links have healed.
 	f.Heal()
 	f.RunFor(15 * time.Second)
 	f.clients.pollVersions()
--- a/internal/tier/fleettest/fixture_test.go
+++ b/internal/tier/fleettest/fixture_test.go
@@ -9,15 +9,15 @@
 	"mastusher/internal/tier/placement"
 )
 
-// scenario is a fleet in a test, with its assertions.
+// scenario is a fleet in a test, with assertions about it.
 type scenario struct {
 	*Fleet
-	t        *testing.T
-	operator *operator
-	rival    *operator
+	t              *testing.T
+	operator       *operator
+	secondOperator *operator
 }
 
-// newScenario lays a fleet out that has not been started.
+// newScenario returns a fleet that hasn't been started. The test fails at its end if there are violations.
 func newScenario(t *testing.T, seed uint64) *scenario {
 	return newScenarioWith(t, Options{Seed: seed})
 }
@@ -28,7 +28,7 @@
 		options.Trace = t.Logf
 	}
 	f := New(options)
-	s := &scenario{Fleet: f, t: t, operator: f.operators[0], rival: f.operators[1]}
+	s := &scenario{Fleet: f, t: t, operator: f.operators[0], secondOperator: f.operators[1]}
 	t.Cleanup(func() {
 		for _, violation := range f.Violations() {
 			t.Error(violation)
@@ -52,33 +52,33 @@
 	s.within(10*time.Second, "all proxies are ready", func() bool { return len(s.readyProxies()) == len(s.edges) })
 }
 
-// within fails the test unless the condition holds in time.
+// within runs until the condition holds, and fails the test if it doesn't within the timeout.
 func (s *scenario) within(timeout time.Duration, what string, condition func() bool) {
 	s.t.Helper()
 	if !s.Until(timeout, condition) {
-		s.t.Fatalf("after %v the condition does not hold: %s", timeout, what)
+		s.t.Fatalf("this did not happen within %v: %s", timeout, what)
 	}
 }
 
-// confirmTime is how long an order may take in a core that is stable.
+// confirmTime bounds the time until an order is answered by a core whose leader is stable.
 const confirmTime = 10 * time.Second
 
-// acknowledged runs until an order is acknowledged.
+// acknowledged runs until an order is answered, and fails the test unless it was acknowledged.
 func (s *scenario) acknowledged(o *order) {
 	s.t.Helper()
 	s.answered(o)
 	if o.Status != http.StatusOK {
-		s.t.Fatalf("order %v was answered %d", o.Content, o.Status)
+		s.t.Fatalf("order %v got status %d, want 200", o.Content, o.Status)
 	}
 }
 
-// answered runs until an order has a clear answer.
+// answered runs until an order has a final answer.
 func (s *scenario) answered(o *order) {
 	s.t.Helper()
 	s.within(confirmTime, "the order is answered", func() bool { return o.Ended != 0 })
 }
 
-// readsBack runs until the configuration is read back, and compares it.
+// readsBack reads the configuration and compares it with the wanted one.
 func (s *scenario) readsBack(want Content) {
 	s.t.Helper()
 	read := s.operator.get()
@@ -88,10 +88,10 @@
 	}
 }
 
-// inForceEverywhere runs until every proxy has a configuration in force.
+// inForceEverywhere runs until all proxies have the configuration in force.
 func (s *scenario) inForceEverywhere(want Content) {
 	s.t.Helper()
-	s.within(5*time.Second, "all proxies have it in force", func() bool {
+	s.within(5*time.Second, "all proxies have the configuration in force", func() bool {
 		for _, m := range s.edges {
 			serving, ok := m.processes[1].handler.(*proxy)
 			if !ok || serving.config == nil || contentOf(serving.config) != want {
@@ -109,7 +109,7 @@
 	return s.CoreLeader()
 }
 
-// others lists machines without some.
+// others returns the machines except some.
 func others(machines []*Machine, without ...*Machine) []*Machine {
 	var remaining []*Machine
 next:
@@ -124,10 +124,10 @@
 	return remaining
 }
 
-// seeds runs a scenario with several seeds.
+// seeds runs a scenario with several seeds, until one fails.
 func seeds(t *testing.T, count uint64, run func(t *testing.T, seed uint64)) {
 	t.Helper()
-	for seed := range max(1, count/seedShare) {
+	for seed := range max(1, count/seedDivisor) {
 		run(t, seed+1)
 		if t.Failed() {
 			t.Fatalf("seed %d", seed+1)
@@ -135,7 +135,7 @@
 	}
 }
 
-// completesProgram runs a program to its end.
+// completesProgram runs a program to its end, and fails the test unless its last turn is complete.
 func (s *scenario) completesProgram(turns int) {
 	s.t.Helper()
 	var last *request
@@ -155,7 +155,7 @@
 	return r
 }
 
-// begin sends a turn to a proxy, without waiting for its end.
+// begin sends a turn to a proxy without waiting for its end.
 func (s *scenario) begin(proxy *Machine, sent clientRequest) *request {
 	sent.IsTurn, sent.Service = true, modelService
 	if sent.MaxTokens == 0 {
@@ -167,7 +167,7 @@
 	return s.clients.send(proxy.processes[1].address, sent, nil)
 }
 
-// completeTurn sends a turn until one is answered completely.
+// completeTurn sends a turn, as new attempts, until one is complete.
 func (s *scenario) completeTurn(proxy *Machine, sent clientRequest) *request {
 	s.t.Helper()
 	for range 10 {
@@ -177,14 +177,14 @@
 		}
 		s.RunFor(300 * time.Millisecond)
 	}
-	s.t.Fatalf("no turn of %s is answered completely", sent.Program)
+	s.t.Fatalf("no attempt of a turn of program %s was complete", sent.Program)
 	return nil
 }
 
 // testProgram is the program whose turns the scenarios send.
 const testProgram = "p"
 
-// shardLeader waits until the shard of testProgram has a leader, and returns its store.
+// shardLeader runs until the shard of testProgram has a leader, and returns the leader.
 func (s *scenario) shardLeader() *Machine {
 	s.t.Helper()
 	shard := s.shardOf(testProgram)
@@ -204,10 +204,10 @@
 	return 0
 }
 
-// skipUnderRace skips a long test under the race detector: a day is run by one goroutine.
+// skipUnderRace skips a long test under the race detector, which has nothing to find in a day: one goroutine runs it.
 func skipUnderRace(t *testing.T) {
 	t.Helper()
-	if seedShare > 1 {
-		t.Skip("it takes long under the race detector, and a day is run by one goroutine")
+	if seedDivisor > 1 {
+		t.Skip("too slow under the race detector, which has nothing to find in a single goroutine")
 	}
 }
--- a/internal/tier/fleettest/fleet.go
+++ b/internal/tier/fleettest/fleet.go
@@ -10,16 +10,16 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// Options set a fleet up. Zero counts and times stand for the defaults.
+// Options describe a fleet. A zero field takes its default.
 type Options struct {
-	Seed         uint64                                // of all draws of a run
+	Seed         uint64                                // of all random numbers of a run
 	Cores        int                                   // machines with a controller; default 3
 	Stores       int                                   // machines with a store; default 4
 	Edges        int                                   // machines with an agent and a proxy; default 3
-	Endpoints    int                                   // of the model's service, and as many of the tools'; default 3
+	Endpoints    int                                   // endpoints of the model service, and as many of the tool service; default 3
 	Conditions   Conditions                            // of the network; default 0.7 ms delay, 0.3 ms jitter, 0.2 % loss
-	SyncTime     time.Duration                         // of a disk's sync; default 2 ms
-	CompactBytes int64                                 // length of a log that is replaced by a snapshot; default 16 kB
+	SyncTime     time.Duration                         // duration of a sync of a disk; default 2 ms
+	CompactBytes int64                                 // length of the log at which a group compacts it into a snapshot; default 16 KiB
 	Trace        func(format string, arguments ...any) // called for each event; nil: no trace
 }
 
@@ -36,42 +36,42 @@
 	return o
 }
 
-func orDefault[T int | int64 | time.Duration](value *T, standard T) {
+func orDefault[T int | int64 | time.Duration](value *T, defaultValue T) {
 	if *value == 0 {
-		*value = standard
+		*value = defaultValue
 	}
 }
 
 // Fleet is the tier with its operators, clients and endpoints. Its methods must be called from one goroutine.
 type Fleet struct {
-	options      Options
-	loop         *loop
-	network      *network
-	machines     []*Machine
-	cores        []*Machine
-	stores       []*Machine
-	edges        []*Machine
-	engines      []*Machine // endpoints of all services
-	initialSeeds []string
-	coreList     []string // control addresses as the operator's list has them
-	operators    []*operator
-	clients      *clients
-	listed       []model.Endpoint
-	incarnations int
-	hostCount    int
-	history      *history
-	violations   []string
-	faultTimes   []time.Duration // when faults began and ended
-
-	onAcknowledged func(*order)
+	options          Options
+	loop             *loop
+	network          *network
+	machines         []*Machine
+	cores            []*Machine
+	stores           []*Machine
+	edges            []*Machine
+	endpointMachines []*Machine // machines of the endpoints of all services
+	initialSeeds     []string
+	coreList         []string // addresses of the controllers as operators know them
+	operators        []*operator
+	clients          *clients
+	listed           []model.Endpoint // the platform's list
+	incarnations     int              // endpoints started so far
+	hostCount        int              // machines added so far
+	history          *history
+	violations       []string
+	faultTimes       []time.Duration // when faults began and ended
+
+	onAcknowledged func(*order) // called at each acknowledgement; may be nil
 }
 
 const (
-	startWindow = 300 * time.Millisecond // in which all machines start
-	seedDelay   = 3 * time.Second        // that the operator's list runs behind
+	startWindow = 300 * time.Millisecond // within which all machines start
+	seedDelay   = 3 * time.Second        // until operators know a replaced controller
 )
 
-// New returns a fleet with all its machines; nothing runs before Boot.
+// New returns a fleet with all its machines; their processes start with Boot.
 func New(options Options) *Fleet {
 	options = options.withDefaults()
 	f := &Fleet{options: options, loop: newLoop(options.Seed), history: newHistory()}
@@ -88,7 +88,7 @@
 		f.edges = append(f.edges, f.addEdge(fmt.Sprintf("edge-%d", i+1), i))
 	}
 	for i := range options.Endpoints {
-		f.engines = append(f.engines, f.addEndpoint(fmt.Sprintf("model-%d", i+1), modelService), f.addEndpoint(fmt.Sprintf("tool-%d", i+1), toolService))
+		f.endpointMachines = append(f.endpointMachines, f.addEndpoint(fmt.Sprintf("model-%d", i+1), modelService), f.addEndpoint(fmt.Sprintf("tool-%d", i+1), toolService))
 	}
 	f.addExternals()
 	return f
@@ -103,8 +103,8 @@
 	return m
 }
 
-func (m *Machine) addProcess(name, address string, starts func(*process) (handler, error)) *process {
-	p := &process{machine: m, name: name, address: address, open: starts}
+func (m *Machine) addProcess(name, address string, open func(*process) (handler, error)) *process {
+	p := &process{machine: m, name: name, address: address, open: open}
 	m.processes = append(m.processes, p)
 	m.fleet.network.byAddress[address] = p
 	return p
@@ -153,12 +153,12 @@
 	p.handler = f.clients
 }
 
-// tier lists the machines of the tier.
+// tier returns the machines of the tier.
 func (f *Fleet) tier() []*Machine { return slices.Concat(f.cores, f.stores, f.edges) }
 
-// Boot starts everything, in any order within a short time.
+// Boot starts the endpoints, and the machines of the tier in a random sequence within startWindow.
 func (f *Fleet) Boot() {
-	for _, m := range f.engines {
+	for _, m := range f.endpointMachines {
 		m.start()
 	}
 	for _, m := range f.tier() {
@@ -174,7 +174,7 @@
 	return f.loop.RunUntil(timeout, condition)
 }
 
-// Now is the virtual time since the beginning.
+// Now returns the virtual time since the start of the run.
 func (f *Fleet) Now() time.Duration { return f.loop.Now() }
 
 func (f *Fleet) trace(format string, arguments ...any) {
@@ -183,12 +183,12 @@
 	}
 }
 
-// report notes something that must not have happened.
+// report records a violation of a rule.
 func (f *Fleet) report(rule, format string, arguments ...any) {
 	f.violations = append(f.violations, rule+": "+fmt.Sprintf(format, arguments...))
 }
 
-// Violations judges the run so far.
+// Violations checks the run so far and returns all violations, sorted.
 func (f *Fleet) Violations() []string {
 	found := slices.Clone(f.violations)
 	report := func(rule, format string, arguments ...any) {
@@ -216,10 +216,10 @@
 	return addresses
 }
 
-// controlList is where operators look for controllers.
+// controlList returns the addresses of the controllers that operators know.
 func (f *Fleet) controlList() []string { return f.coreList }
 
-// seeds are the controllers that a settings file names that is written now.
+// seeds returns the addresses of controllers that a settings file would name if it were written now.
 func (f *Fleet) seeds() []string { return f.coreList[:min(3, len(f.coreList))] }
 
 func (f *Fleet) proxyAddresses() []string {
@@ -230,7 +230,7 @@
 	return addresses
 }
 
-// readyProxies are those that would answer the platform that they are ready.
+// readyProxies returns the addresses of the proxies that are ready.
 func (f *Fleet) readyProxies() []string {
 	var addresses []string
 	for _, m := range f.edges {
--- a/internal/tier/fleettest/history.go
+++ b/internal/tier/fleettest/history.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// history is what operators, clients and endpoints have seen.
+// history records what operators, clients and endpoints have observed.
 type history struct {
 	orders   []*order
 	reads    []*readBack
 	versions []versionSeen
 	requests []*request
-	byID     map[string]*request
+	byID     map[string]*request // requests by id
 	runs     []run
 }
 
 func newHistory() *history { return &history{byID: map[string]*request{}} }
 
-// run is a request that an endpoint began to work on.
+// run is a request that an endpoint has started to run.
 type run struct {
 	ID       string
 	Endpoint string
@@ -41,14 +41,15 @@
 // outcome is how a request ended for its client.
 type outcome uint8
 
+// The outcomes of a request.
 const (
 	outcomePending  outcome = iota
-	outcomeComplete         // the answer came complete
-	outcomeRejected         // a status that is not a success
-	outcomeAborted          // a connection that ended, or a timeout
+	outcomeComplete         // the answer arrived completely
+	outcomeRejected         // the answer was a status other than success
+	outcomeAborted          // the connection ended, or the request timed out
 )
 
-// request is one attempt of a client.
+// request is one attempt of a client, with its answer.
 type request struct {
 	clientRequest
 	Proxy   string
@@ -57,13 +58,13 @@
 	Outcome outcome
 	Status  int
 	Events  [][]byte
-	Runs    []int // that its events came from
+	Runs    []int // by event, the number of the run that it came from
 }
 
-// tokens is what the client received.
+// tokens returns the number of tokens that the client received.
 func (r *request) tokens() int64 { return int64(len(r.Events) * tokensPerEvent) }
 
-// output is what a complete turn adds to its chain.
+// output returns what a complete turn adds to its chain.
 func (r *request) output() []byte {
 	var output []byte
 	for _, event := range r.Events {
--- a/internal/tier/fleettest/identities.go
+++ b/internal/tier/fleettest/identities.go
@@ -11,7 +11,7 @@
 
 const identityBytes = 16
 
-// seededReader reads random bytes from the run's generator.
+// seededReader returns random bytes of the run's generator.
 type seededReader struct{ loop *loop }
 
 // Read implements io.Reader.
@@ -22,13 +22,14 @@
 	return len(buffer), nil
 }
 
+// randomIdentity returns a new random identity.
 func randomIdentity(l *loop) string {
 	var bytes [identityBytes]byte
 	_, _ = seededReader{l}.Read(bytes[:])
 	return hex.EncodeToString(bytes[:])
 }
 
-// bootstrapReader reads the identity that follows from the address.
+// bootstrapReader returns the bytes of the identity that is derived from a machine's address, then EOF.
 type bootstrapReader struct{ rest []byte }
 
 // Read implements io.Reader.
@@ -41,19 +42,21 @@
 	return n, nil
 }
 
-// machineIdentity returns the identity on a machine's disk, and makes one if there is none. A damaged disk counts as empty.
+// machineIdentity returns the identity on a machine's disk, and creates one if there is none. It replaces a damaged disk by an empty one.
 func machineIdentity(p *process) (string, error) {
 	m := p.machine
 	id, err := readOrMakeIdentity(p, m.firstBoot)
 	if !errors.Is(err, storage.ErrCorrupt) {
 		return id, err
 	}
-	m.fleet.trace("%s: damaged: %v", m.name, err)
+	m.fleet.trace("%s: the disk is damaged: %v", m.name, err)
 	m.fleet.report("DISK", "%s: %v", m.name, err)
 	m.wipe()
 	return readOrMakeIdentity(p, false)
 }
 
+// readOrMakeIdentity loads or creates the identity, and opens the log of each group to find damage. At the first boot, a new identity is
+// derived from the address.
 func readOrMakeIdentity(p *process, first bool) (string, error) {
 	m := p.machine
 	var random io.Reader = seededReader{m.fleet.loop}
--- a/internal/tier/fleettest/loop.go
+++ b/internal/tier/fleettest/loop.go
@@ -7,10 +7,10 @@
 	"mastusher/internal/virtualtime"
 )
 
-// dayStart is the true time of day at the beginning of a run, in ms.
+// dayStart is the true time of day at the start of a run, in Unix ms.
 const dayStart = 1_767_225_600_000
 
-// loop is the virtual clock with its events, and the run's random numbers.
+// loop is the event loop in virtual time, with the run's random number generator.
 type loop struct {
 	virtualtime.Loop
 	random *rand.Rand
@@ -20,7 +20,7 @@
 	return &loop{random: rand.New(rand.NewPCG(seed, 0x666c656574))}
 }
 
-// between draws a duration.
+// between returns a random duration of at least low and less than high.
 func (l *loop) between(low, high time.Duration) time.Duration {
 	if high <= low {
 		return low
@@ -28,5 +28,7 @@
 	return low + time.Duration(l.random.Int64N(int64(high-low)))
 }
 
-// withProbability is true in the given share of cases.
-func (l *loop) withProbability(share float64) bool { return share > 0 && l.random.Float64() < share }
+// withProbability returns true with a probability.
+func (l *loop) withProbability(probability float64) bool {
+	return probability > 0 && l.random.Float64() < probability
+}
--- a/internal/tier/fleettest/machine.go
+++ b/internal/tier/fleettest/machine.go
@@ -7,7 +7,7 @@
 	"mastusher/internal/tier/storage/memorydisk"
 )
 
-// Machine is one machine of the tier, or of those who use it. It runs up to two processes.
+// Machine is a machine of the tier, or one outside it that uses the tier or is called by it. It runs up to two processes.
 type Machine struct {
 	fleet *Fleet
 	name  string
@@ -17,26 +17,26 @@
 
 	disk          *memorydisk.Disk // nil: none
 	syncTime      time.Duration
-	diskStalled   bool     // what waits for the disk is put off until it is resumed
-	onDiskResumed []func() // put off until the disk answers
+	diskStalled   bool     // syncs don't complete until the disk is resumed
+	onDiskResumed []func() // run when the disk is resumed
 	syncFails     bool
 
 	frozen      bool
-	onThawed    []func() // put off until the machine is thawed
-	clockOffset time.Duration
-	firstBoot   bool // first start of the system
+	onThawed    []func()      // run when the machine is thawed
+	clockOffset time.Duration // of its time of day from the true one
+	firstBoot   bool          // its settings file says that this is the first start of the tier
 	removed     bool
 	poweredOff  bool // between a loss of power and the next start
 	processes   []*process
 }
 
-// nowMs is the machine's time of day in ms.
+// nowMs returns the machine's time of day in Unix ms.
 func (m *Machine) nowMs() int64 {
 	return dayStart + (m.fleet.loop.Now() + m.clockOffset).Milliseconds()
 }
 
-// process is one process of a machine. Its incarnation is raised with each start and each end, so that what was scheduled in an
-// earlier incarnation is dropped.
+// process is one process of a machine. Each start and each end increments its incarnation, so that callbacks scheduled in an earlier
+// incarnation are dropped.
 type process struct {
 	machine     *Machine
 	name        string
@@ -47,20 +47,20 @@
 	exchanges   []*exchange
 }
 
-// handler is what a running process does with what reaches it.
+// handler handles the messages and calls that reach a running process.
 type handler interface {
-	// handleMessage takes in a message that is not answered.
+	// handleMessage handles a message that has no answer.
 	handleMessage(from string, message any)
-	// handleDatagram takes in a datagram.
+	// handleDatagram handles a datagram, which has no answer and may get lost on its way.
 	handleDatagram(from string, message any)
-	// serve answers a call by responses on its exchange.
+	// serve answers a call with responses on its exchange.
 	serve(call *exchange, request any)
 }
 
-// isRunning reports whether the process runs; it may be frozen.
+// isRunning reports whether the process runs, also while its machine is frozen.
 func (p *process) isRunning() bool { return p.handler != nil }
 
-// execute calls run in an incarnation of the process, unless that has ended, and not before the machine is thawed.
+// execute calls run if the incarnation of the process still runs. While the machine is frozen, it waits for the thaw.
 func (p *process) execute(incarnation int, run func()) {
 	if p.incarnation != incarnation || p.handler == nil {
 		return
@@ -78,7 +78,7 @@
 	p.machine.fleet.loop.After(delay, func() { p.execute(incarnation, run) })
 }
 
-// restartDelay is the time after which a process that has ended is started again.
+// restartDelay is how long the platform takes to restart a process that has ended.
 const restartDelay = 300 * time.Millisecond
 
 // start starts the process, unless it runs or its machine is off or removed.
@@ -89,15 +89,15 @@
 	p.incarnation++
 	started, err := p.open(p)
 	if err != nil {
-		p.machine.fleet.trace("%s does not start: %v", p.name, err)
+		p.machine.fleet.trace("%s failed to start: %v", p.name, err)
 		p.incarnation++
 		p.startLater(restartDelay)
 		return
 	}
 	p.handler = started
 	p.machine.fleet.trace("%s starts", p.name)
-	if beginner, ok := started.(interface{ begin() }); ok {
-		beginner.begin()
+	if starter, ok := started.(interface{ begin() }); ok {
+		starter.begin()
 	}
 }
 
@@ -110,7 +110,7 @@
 	})
 }
 
-// end ends the process. With reset its machine still runs, and resets the connections of its peers.
+// end ends the process. With reset, its machine still runs and resets the connections to its peers.
 func (p *process) end(reset bool) {
 	if p.handler == nil {
 		return
@@ -133,7 +133,7 @@
 	p.startLater(restartDelay)
 }
 
-// kill ends all processes of the machine at once. What was written to its disk stays.
+// kill ends all processes of the machine at once. Its disk keeps all writes.
 func (m *Machine) kill() {
 	for _, p := range m.processes {
 		p.end(true)
@@ -144,7 +144,7 @@
 	}
 }
 
-// losePower ends all processes, and loses what was not synced.
+// losePower ends all processes, and may lose writes that were not synced.
 func (m *Machine) losePower() {
 	for _, p := range m.processes {
 		p.end(false)
@@ -156,7 +156,7 @@
 	}
 }
 
-// dropWaiting drops what waited for the processes that have ended.
+// dropWaiting thaws the machine and drops the callbacks that waited for a thaw or for the disk.
 func (m *Machine) dropWaiting() {
 	m.frozen = false
 	m.onThawed = nil
@@ -177,7 +177,7 @@
 	}
 }
 
-// thaw resumes a frozen machine, and runs what reached it meanwhile.
+// thaw resumes a frozen machine, and runs the callbacks that were delayed meanwhile.
 func (m *Machine) thaw() {
 	if !m.frozen {
 		return
@@ -190,7 +190,7 @@
 	}
 }
 
-// resumeDisk lets a stalled disk answer, and runs what waited for it.
+// resumeDisk resumes a stalled disk, and runs the callbacks that waited for it.
 func (m *Machine) resumeDisk() {
 	m.diskStalled = false
 	waiting := m.onDiskResumed
--- a/internal/tier/fleettest/member.go
+++ b/internal/tier/fleettest/member.go
@@ -9,48 +9,48 @@
 	"mastusher/internal/tier/view"
 )
 
-// Times of the spread.
+// Timeouts of gossip calls.
 const (
 	pullTimeout     = 2 * time.Second
 	pushPullTimeout = 2 * time.Second
 )
 
-// member is a process's member of the gossip: membership and the views that it spreads.
+// member is a process's part in the gossip: it runs the membership protocol and spreads view updates.
 type member struct {
 	process   *process
 	swim      *membership.Node
-	input     membership.Input
-	wakeAt    time.Duration
-	scheduled bool
-	token     uint64
-	incoming  map[uint64]*exchange
-	updates   map[view.Section]view.Update
+	input     membership.Input             // of the next step
+	wakeAt    time.Duration                // of the timer that counts; others are stale
+	scheduled bool                         // a step is due now
+	token     uint64                       // of the newest call in incoming
+	incoming  map[uint64]*exchange         // push-pull calls without an answer, by token
+	updates   map[view.Section]view.Update // the newest ones
 	announced view.Digest
 	onUpdate  func(update view.Update)
 	pulling   bool
 }
 
-// gossipDatagram is one datagram; one field is set.
+// gossipDatagram is a datagram between members; exactly one field is set.
 type gossipDatagram struct {
 	membership *membership.Message
 	digest     view.Digest
 }
 
-// pullRequest asks for the updates that are newer than in the digest; they come as one []view.Update.
+// pullRequest asks for all updates newer than the digest. The response is a []view.Update.
 type pullRequest struct{ digest view.Digest }
 
-func newMember(p *process, id string, seeds []string, took func(view.Update)) *member {
-	m := &member{process: p, incoming: map[uint64]*exchange{}, updates: map[view.Section]view.Update{}, announced: view.Digest{}, onUpdate: took}
+func newMember(p *process, id string, seeds []string, onUpdate func(view.Update)) *member {
+	m := &member{process: p, incoming: map[uint64]*exchange{}, updates: map[view.Section]view.Update{}, announced: view.Digest{}, onUpdate: onUpdate}
 	self := membership.Member{Name: p.name, ID: id, Role: p.machine.role, Zone: p.machine.zone, Address: p.address,
 		Incarnation: uint64(p.machine.nowMs())}
 	m.swim = membership.New(membership.Options{Self: self, Seeds: seeds, Seed: p.machine.fleet.loop.random.Uint64()})
 	return m
 }
 
-// members lists all members that are known, by name.
+// members returns all known members, sorted by name.
 func (m *member) members() []membership.Member { return m.swim.Members() }
 
-// schedule has the next step of the membership run now.
+// schedule makes the next step of the membership protocol run now.
 func (m *member) schedule() {
 	if m.scheduled {
 		return
@@ -62,6 +62,7 @@
 	})
 }
 
+// step runs one step of the membership protocol and carries out its effects.
 func (m *member) step() {
 	f := m.process.machine.fleet
 	input := m.input
@@ -100,6 +101,7 @@
 	})
 }
 
+// pushPull makes a push-pull call and passes its result to the next step.
 func (m *member) pushPull(call membership.PushPullCall) {
 	m.process.machine.fleet.network.ask(m.process, call.Address, call.Message, pushPullTimeout, func(answer any, err error) {
 		outcome := membership.PushPullResult{Token: call.Token, Failed: err != nil}
@@ -111,7 +113,7 @@
 	})
 }
 
-// handleDatagram takes in a datagram.
+// handleDatagram handles a datagram of another member.
 func (m *member) handleDatagram(from string, message any) {
 	received, ok := message.(gossipDatagram)
 	if !ok {
@@ -126,7 +128,7 @@
 	}
 }
 
-// serve answers calls that concern membership and spread, and reports whether it was one.
+// serve answers calls of the gossip, and reports whether the request was one.
 func (m *member) serve(call *exchange, request any) bool {
 	switch asked := request.(type) {
 	case membership.PushPullMessage:
@@ -150,7 +152,7 @@
 	return digest
 }
 
-// newerThan returns the updates of which the digest has an older stamp, or none.
+// newerThan returns the updates whose stamp is newer than the digest's, or that the digest lacks.
 func (m *member) newerThan(digest view.Digest) []view.Update {
 	var updates []view.Update
 	for _, section := range view.Sections {
@@ -163,7 +165,7 @@
 	return updates
 }
 
-// publish applies updates that are newer, and announces them.
+// publish applies the updates that are newer than the known ones, and announces them.
 func (m *member) publish(updates ...view.Update) {
 	for _, update := range updates {
 		if current, ok := m.updates[update.Section]; !ok || current.Stamp.Less(update.Stamp) {
@@ -180,6 +182,7 @@
 	}
 }
 
+// announce sends a digest to all live members, directly and as the payload of the membership protocol.
 func (m *member) announce(digest view.Digest) {
 	payload, err := json.Marshal(digest)
 	if err != nil {
@@ -195,7 +198,7 @@
 	}
 }
 
-// handleDigest fetches what the sender has newer, and sends its own digest when the sender is behind.
+// handleDigest pulls the updates of which the sender has newer ones; otherwise, if the sender is behind, it sends its own digest.
 func (m *member) handleDigest(address string, digest view.Digest) {
 	own := m.digest()
 	behind, ahead := false, false
--- a/internal/tier/fleettest/mutants_test.go
+++ b/internal/tier/fleettest/mutants_test.go
@@ -6,7 +6,7 @@
 	"mastusher/internal/tools/mutation"
 )
 
-// Days on which the mutants are noticed.
+// Tests that run the days on which the mutants must be noticed.
 const (
 	randomDays    = "^TestRun_DaysOfMutants_BreakNoRule$/^random$"
 	endpointDays  = "^TestRun_DaysOfMutants_BreakNoRule$/^endpoints$"
@@ -16,13 +16,13 @@
 	oldUpdateDays = "^TestRun_DaysOfMutants_BreakNoRule$/^older_updates$"
 )
 
-// TestMutants puts one mistake at a time into the adapters, and one into the register of orders.
+// TestMutants shows that the checkers notice deliberate mistakes in the adapters, and one in package configuration.
 func TestMutants(t *testing.T) {
 	t.Parallel()
 	mutation.Test(t, mutants)
 }
 
-// mutants are the mistakes, each with the days that must show it.
+// mutants are the mistakes, each with the days on which the checkers must notice it.
 var mutants = []mutation.Mutant{
 	{
 		Name:   "disks don't sync",
@@ -40,7 +40,7 @@
 		Run: partitionDays,
 	},
 	{
-		Name: "any member answers reads alone",
+		Name: "any member answers reads without a majority",
 		Change: mutation.Change{
 			File: "controller.go",
 			Old:  "\tif !status.IsLeader {\n\t\tcall.finish(c.redirect(status))",
@@ -54,7 +54,7 @@
 		Run: randomDays,
 	},
 	{
-		Name: "empty disks keep the identity",
+		Name: "a machine with a new disk keeps its identity",
 		Change: mutation.Change{
 			File: "identities.go",
 			Old:  "readOrMakeIdentity(p, m.firstBoot)",
@@ -63,7 +63,7 @@
 		Run: lostDiskDays,
 	},
 	{
-		Name:   "duplicate orders are judged anew",
+		Name:   "duplicates of accepted orders are decided again",
 		Change: mutation.Change{File: "../configuration/state_machine.go", Old: "\tcase found:\n\t\treturn Accepted\n", New: "\tcase found:\n"},
 		Run:    randomDays,
 	},
@@ -83,7 +83,7 @@
 		Always: true,
 	},
 	{
-		Name: "turns are sent before they are begun",
+		Name: "turns are sent to endpoints before the stores have begun them",
 		Change: mutation.Change{
 			File: "proxyrequest.go",
 			Old:  "\tr.proxy.programs.beginTurn(r.request.Program, turn, requestTimeout/beginTimeoutDivisor, r.turnBegun)\n",
@@ -93,7 +93,7 @@
 		Run: randomDays,
 	},
 	{
-		Name: "the last event doesn't wait for the stores",
+		Name: "the last event doesn't wait for the commit of the turn",
 		Change: mutation.Change{
 			File: "proxyrequest.go",
 			Old:  "\tr.commitUntil(r.endTurn(true), r.deadline, func(err error) {",
@@ -102,7 +102,7 @@
 		Run: proxyDays,
 	},
 	{
-		Name: "what may have run is sent again",
+		Name: "requests that may have run are sent again",
 		Change: mutation.Change{
 			File: "proxyrequest.go",
 			Old:  "\tr.mayHaveRun = true\n",
@@ -112,7 +112,7 @@
 		Run: endpointDays,
 	},
 	{
-		Name: "what may have run is rejected",
+		Name: "requests that may have run are answered as not run",
 		Change: mutation.Change{
 			File: "proxyrequest.go",
 			Old:  "\tr.mayHaveRun = true\n",
@@ -121,17 +121,17 @@
 		Run: endpointDays,
 	},
 	{
-		Name:   "requests don't name their endpoint",
+		Name:   "requests don't name the expected endpoint",
 		Change: mutation.Change{File: "proxyrequest.go", Old: "Expected: endpoint.ID, ", New: ""},
 		Run:    endpointDays,
 	},
 	{
-		Name:   "no other shard is asked for a turn",
+		Name:   "no other shard is asked for a chain",
 		Change: mutation.Change{File: "programs.go", Old: "result.Verdict != program.TurnNotFound {\n\t\t\tdone", New: "true {\n\t\t\tdone"},
 		Run:    randomDays,
 	},
 	{
-		Name: "a turn that can't be looked up is absent",
+		Name: "a turn whose lookup fails is answered as not found",
 		Change: mutation.Change{
 			File: "proxyrequest.go",
 			Old:  "\tcase err != nil:\n\t\tr.commitIncomplete()\n\t\tr.reject()\n",
--- a/internal/tier/fleettest/network.go
+++ b/internal/tier/fleettest/network.go
@@ -6,52 +6,52 @@
 	"time"
 )
 
-// Conditions are what the links are like.
+// Conditions describe the links between machines.
 type Conditions struct {
 	Delay  time.Duration // one way between machines
-	Jitter time.Duration // at most, beside the delay
-	Loss   float64       // share of datagrams that are lost
+	Jitter time.Duration // maximum random addition to the delay
+	Loss   float64       // probability that a datagram is lost
 }
 
 const (
 	loopbackDelay     = 50 * time.Microsecond
-	connectionTimeout = 1500 * time.Millisecond // after which a connection over a partitioned link is given up
+	connectionTimeout = 1500 * time.Millisecond // after which a connection over a partitioned link fails
 )
 
 // Errors of a call, as its caller sees them.
 var (
-	errReset   = errors.New("the connection was reset")
-	errTimeout = errors.New("no answer in time")
+	errReset   = errors.New("connection was reset")
+	errTimeout = errors.New("no answer within the timeout")
 )
 
-// pair is a direction between two machines.
-type pair struct{ from, to *Machine }
+// direction is one direction of the link between two machines.
+type direction struct{ from, to *Machine }
 
 // network carries messages between processes.
 type network struct {
 	loop        *loop
 	conditions  Conditions
 	byAddress   map[string]*process
-	partitioned map[pair]bool
-	generation  map[pair]int // raised when the connections between two machines are reset
-	lastArrival map[[2]*process]time.Duration
+	partitioned map[direction]bool
+	generation  map[direction]int             // incremented when the connections between two machines are reset
+	lastArrival map[[2]*process]time.Duration // of the newest message, by sender and receiver
 	queued      []queuedMessage
 }
 
-// queuedMessage waits on a partitioned link.
+// queuedMessage is a message that waits for a partitioned link to heal.
 type queuedMessage struct {
-	way   pair
+	way   direction
 	since time.Duration
 	carry func()
 	lost  func()
 }
 
 func newNetwork(l *loop, conditions Conditions) *network {
-	return &network{loop: l, conditions: conditions, byAddress: map[string]*process{}, partitioned: map[pair]bool{},
-		generation: map[pair]int{}, lastArrival: map[[2]*process]time.Duration{}}
+	return &network{loop: l, conditions: conditions, byAddress: map[string]*process{}, partitioned: map[direction]bool{},
+		generation: map[direction]int{}, lastArrival: map[[2]*process]time.Duration{}}
 }
 
-// delay draws how long a message takes.
+// delay returns the random latency of a message.
 func (n *network) delay(from, to *Machine) time.Duration {
 	if from == to {
 		return loopbackDelay
@@ -59,9 +59,9 @@
 	return n.conditions.Delay + n.loop.between(0, n.conditions.Jitter)
 }
 
-// setPartitioned partitions one direction or heals it; queued messages are sent on, unless they have waited for too long.
+// setPartitioned partitions or heals one direction. Healing sends its queued messages, unless their connections have timed out.
 func (n *network) setPartitioned(from, to *Machine, partitioned bool) {
-	way := pair{from, to}
+	way := direction{from, to}
 	if partitioned {
 		n.partitioned[way] = true
 		return
@@ -90,8 +90,8 @@
 
 // reset resets all connections between two machines.
 func (n *network) reset(a, b *Machine) {
-	n.generation[pair{a, b}]++
-	n.generation[pair{b, a}]++
+	n.generation[direction{a, b}]++
+	n.generation[direction{b, a}]++
 	for _, p := range slices.Concat(a.processes, b.processes) {
 		for _, e := range slices.Clone(p.exchanges) {
 			if e.caller.machine == a && e.server.machine == b || e.caller.machine == b && e.server.machine == a {
@@ -101,9 +101,10 @@
 	}
 }
 
-// stream carries something over a connection, in order. It is lost when the connection is; then lost is called, which may be nil.
+// stream sends a message over a connection, which delivers messages in the sequence in which they were sent: it calls arrive at the
+// receiver. If the connection is lost first, it calls lost, which may be nil.
 func (n *network) stream(from, to *process, arrive, lost func()) {
-	way := pair{from.machine, to.machine}
+	way := direction{from.machine, to.machine}
 	if n.partitioned[way] {
 		n.enqueue(way, from, func() { n.stream(from, to, arrive, lost) }, lost)
 		return
@@ -123,8 +124,8 @@
 	})
 }
 
-// enqueue keeps a message on a partitioned link for as long as its connection lasts.
-func (n *network) enqueue(way pair, from *process, carry, lost func()) {
+// enqueue queues a message on a partitioned link until the link heals or the connection times out.
+func (n *network) enqueue(way direction, from *process, carry, lost func()) {
 	incarnation, since := from.incarnation, n.loop.Now()
 	fail := func() {
 		if lost != nil {
@@ -141,7 +142,7 @@
 	n.loop.After(connectionTimeout, func() { n.expireQueued() })
 }
 
-// expireQueued drops messages that have waited for connectionTimeout.
+// expireQueued drops the messages that have waited for connectionTimeout.
 func (n *network) expireQueued() {
 	remaining := n.queued[:0]
 	var dropped []queuedMessage
@@ -158,7 +159,7 @@
 	}
 }
 
-// sendMessage sends a message that is not answered to whoever has the address when it arrives.
+// sendMessage sends a message without an answer to the process at an address.
 func (n *network) sendMessage(from *process, address string, message any) {
 	to := n.byAddress[address]
 	if to == nil {
@@ -170,10 +171,10 @@
 	}, nil)
 }
 
-// sendDatagram sends a message that may be lost.
+// sendDatagram sends a datagram to the process at an address; it may get lost.
 func (n *network) sendDatagram(from *process, address string, message any) {
 	to := n.byAddress[address]
-	if to == nil || n.partitioned[pair{from.machine, to.machine}] || n.loop.withProbability(n.conditions.Loss) {
+	if to == nil || n.partitioned[direction{from.machine, to.machine}] || n.loop.withProbability(n.conditions.Loss) {
 		return
 	}
 	sender := from.address
--- a/internal/tier/fleettest/operator.go
+++ b/internal/tier/fleettest/operator.go
@@ -9,12 +9,13 @@
 	"mastusher/internal/tier/model"
 )
 
-// Content names one configuration by its number and by what only it holds.
+// Content identifies a configuration by its number and a label that only it has.
 type Content struct {
 	Number uint64
 	Label  string
 }
 
+// contentOf returns the content of a configuration, whose label is the name of its first route.
 func contentOf(config *model.Configuration) Content {
 	content := Content{Number: config.Version}
 	if len(config.Routes) > 0 {
@@ -23,18 +24,18 @@
 	return content
 }
 
-// raw is the configuration as the operator sends it.
+// raw returns the JSON of the configuration, as the operator sends it.
 func (c Content) raw() json.RawMessage {
 	route := model.Route{Name: c.Label, Host: "h.example", PathPrefix: "/", Kind: model.Streaming, Service: modelService}
 	config := model.Configuration{Version: c.Number, Routes: []model.Route{route}}
 	raw, err := json.Marshal(config)
 	if err != nil {
-		panic(err) // there is nothing in it that can't be encoded
+		panic(err) // a configuration can always be encoded
 	}
 	return raw
 }
 
-// Orders and questions of operators, and the answer.
+// Requests of operators to controllers, and the answer to all of them.
 type (
 	putOrder struct {
 		Base, Number uint64
@@ -57,7 +58,7 @@
 	}
 )
 
-// Times of operators.
+// Timeouts and backoff of operators, and the number of redirects that they follow.
 const (
 	operatorTimeout        = time.Second
 	operatorInitialBackoff = 100 * time.Millisecond
@@ -65,12 +66,12 @@
 	operatorRedirects      = 2
 )
 
-// operator calls the controllers.
+// operator sends orders to the controllers and reads their state.
 type operator struct {
 	process         *process
-	ackLossRate     float64 // share of answers that get lost on their way
-	onlyControllers []string
-	labels          int
+	ackLossRate     float64  // probability that an answer is lost
+	onlyControllers []string // controllers that it may call; nil: all
+	labels          int      // orders sent so far, to number their labels
 }
 
 func (*operator) handleMessage(string, any)  {}
@@ -80,7 +81,7 @@
 func (o *operator) now() time.Duration       { return o.fleet().loop.Now() }
 func (o *operator) intN(limit int) int       { return o.fleet().loop.random.IntN(limit) }
 
-// addresses are the controllers that this operator may call.
+// addresses returns the addresses of the controllers that this operator may call.
 func (o *operator) addresses() []string {
 	if o.onlyControllers != nil {
 		return o.onlyControllers
@@ -88,23 +89,23 @@
 	return o.fleet().controlList()
 }
 
-// order is a complete configuration that was sent, with what came of it.
+// order is a configuration that an operator has sent, with the answer.
 type order struct {
 	Operator string
 	Base     uint64
 	Content  Content
 	Started  time.Duration
-	Ended    time.Duration // zero: no clear answer yet
+	Ended    time.Duration // zero: no final answer yet
 	Status   int
 }
 
-// put sends a configuration until there is a clear answer, as long as the operator is there.
+// put sends an order with a new label until it gets a final answer.
 func (o *operator) put(base, number uint64) *order {
 	o.labels++
 	return o.putContent(base, Content{Number: number, Label: fmt.Sprintf("%s-%d", o.process.name, o.labels)})
 }
 
-// putContent sends exactly this configuration.
+// putContent sends an order with a given content until it gets a final answer.
 func (o *operator) putContent(base uint64, content Content) *order {
 	sent := &order{Operator: o.process.name, Base: base, Content: content, Started: o.now()}
 	o.fleet().history.orders = append(o.fleet().history.orders, sent)
@@ -118,14 +119,14 @@
 	return sent
 }
 
-// readBack is an answer to GET.
+// readBack is a read of the configuration.
 type readBack struct {
 	Content Content
 	Started time.Duration
 	Ended   time.Duration // zero: none yet
 }
 
-// get asks for the configuration in force until it is answered.
+// get reads the configuration in force, with retries until it gets a final answer.
 func (o *operator) get() *readBack {
 	read := &readBack{Started: o.now()}
 	o.callUntilAnswered(getOrder{}, func(answer operatorAnswer) {
@@ -134,7 +135,7 @@
 		}
 		var config model.Configuration
 		if err := json.Unmarshal(answer.Raw, &config); err != nil {
-			o.fleet().report("CONFIG", "what is read back cannot be read: %v", err)
+			o.fleet().report("CONFIG", "the configuration that was read cannot be decoded: %v", err)
 			return
 		}
 		read.Content, read.Ended = contentOf(&config), o.now()
@@ -143,13 +144,14 @@
 	return read
 }
 
-// sentRollout is an order of a roll-out.
+// sentRollout is an order for a roll-out, with the answer.
 type sentRollout struct {
 	Service, Target string
 	Ended           time.Duration
 	Status          int
 }
 
+// rollOut orders the roll-out of a target version over a duration.
 func (o *operator) rollOut(service, target string, over time.Duration) *sentRollout {
 	sent := &sentRollout{Service: service, Target: target}
 	o.callUntilAnswered(rolloutOrder{service, target, over.Milliseconds()}, func(answer operatorAnswer) {
@@ -158,22 +160,22 @@
 	return sent
 }
 
-// rolloutState asks for the newest order of a service until it is answered.
+// rolloutState reads the state of a service's newest roll-out, and passes the answer to done.
 func (o *operator) rolloutState(service string, done func(operatorAnswer)) {
 	o.callUntilAnswered(getRollout{service}, done)
 }
 
-// decommission orders a storage machine to be emptied, and passes the answer to done.
+// decommission orders the decommission of a store, and passes the answer to done.
 func (o *operator) decommission(node string, done func(operatorAnswer)) {
 	o.callUntilAnswered(decommissionOrder{node}, done)
 }
 
-// decommissionState asks how far the order about a storage machine is.
+// decommissionState reads the state of the decommission of a store, and passes the answer to done.
 func (o *operator) decommissionState(node string, done func(operatorAnswer)) {
 	o.callUntilAnswered(getDecommission{node}, done)
 }
 
-// callUntilAnswered calls one controller after the other, with exponential backoff, until there is a clear answer.
+// callUntilAnswered calls random controllers, with exponential backoff, until it gets a final answer.
 func (o *operator) callUntilAnswered(request any, done func(operatorAnswer)) {
 	backoff := operatorInitialBackoff
 	var attempt func()
@@ -195,12 +197,12 @@
 	attempt()
 }
 
-// isFinal reports whether an answer ends a call.
+// isFinal reports whether a status ends the retries of a call.
 func isFinal(status int) bool {
 	return status == http.StatusOK || status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
 
-// ask calls one controller and follows it to others.
+// ask calls one controller and follows its redirects.
 func (o *operator) ask(address string, request any, redirects int, done func(operatorAnswer, error)) {
 	o.fleet().network.ask(o.process, address, request, operatorTimeout, func(response any, err error) {
 		answer, _ := response.(operatorAnswer)
--- a/internal/tier/fleettest/plan.go
+++ b/internal/tier/fleettest/plan.go
@@ -10,60 +10,61 @@
 // FaultKind names a kind of fault in a plan.
 type FaultKind string
 
-// The kinds of fault; their values stand in printed plans. Those that last end after Fault.For.
+// The kinds of fault; printed plans contain their values. Lasting faults end after Fault.For. Target is the index of a quorum machine
+// (cores, then stores), or of an edge or endpoint where the comment names these.
 const (
-	KillFault                    FaultKind = "kill"       // comes back after For
-	PowerLossFault               FaultKind = "power"      // the same, without what was not synced
-	KillAllFault                 FaultKind = "kill_all"   // of the tier; each comes back within For
-	PowerLossAllFault            FaultKind = "power_all"  // the same
-	AckKillFault                 FaultKind = "ack_kill"   // the leader of the configuration ends right after its next acknowledgement
-	AckPowerLossFault            FaultKind = "ack_power"  // the same without power
-	DiskLossFault                FaultKind = "disk"       // comes back empty after For
-	DiskLossPowerLossAllFault    FaultKind = "final"      // loses its disk while all others that count lose power
-	AckDiskLossPowerLossAllFault FaultKind = "ack_final"  // the same right after the next acknowledgement
-	FreezeFault                  FaultKind = "freeze"     // for For
-	PartitionFault               FaultKind = "cut"        // from all machines of its role and all edges, for For
-	PartitionOneWayFault         FaultKind = "cut_oneway" // what it sends to Other, for For
-	ResetFault                   FaultKind = "reset"      // its connections with Other
-	ClockStepFault               FaultKind = "clock"      // its time of day steps by For
-	SlowDiskFault                FaultKind = "slow_disk"  // for For
-	StalledDiskFault             FaultKind = "silent_disk"
-	FullDiskFault                FaultKind = "full_disk"
-	ReplaceFault                 FaultKind = "replace"     // by an empty machine at another address
-	ProxyKillFault               FaultKind = "proxy"       // its proxy is killed
-	AgentKillFault               FaultKind = "agent"       // its agent is killed
-	EndpointReplaceFault         FaultKind = "endpoint"    // is replaced at its address, by one of the other service and back after For
-	AckLossFault                 FaultKind = "ack_lost"    // answers to operators are lost for For
-	OrderRaceFault               FaultKind = "config_race" // both operators send on the newest version
-	ResponseLossFault            FaultKind = "answer_lost" // an endpoint runs requests and answers none for For
+	KillFault                    FaultKind = "kill"        // the processes are killed, and start after For
+	PowerLossFault               FaultKind = "power"       // like KillFault, and writes that were not synced are lost
+	KillAllFault                 FaultKind = "kill_all"    // kills all machines of the tier; each starts within For
+	PowerLossAllFault            FaultKind = "power_all"   // like KillAllFault, with a loss of power
+	AckKillFault                 FaultKind = "ack_kill"    // the leader of the core is killed right after its next acknowledgement
+	AckPowerLossFault            FaultKind = "ack_power"   // like AckKillFault, with a loss of power
+	DiskLossFault                FaultKind = "disk"        // the machine loses power, and starts with an empty disk after For
+	DiskLossPowerLossAllFault    FaultKind = "final"       // the machine loses its disk while all other quorum machines lose power
+	AckDiskLossPowerLossAllFault FaultKind = "ack_final"   // like DiskLossPowerLossAllFault, right after the next acknowledgement
+	FreezeFault                  FaultKind = "freeze"      // the machine freezes
+	PartitionFault               FaultKind = "cut"         // the machine is partitioned from the quorum machines, and from the edges if Other is odd
+	PartitionOneWayFault         FaultKind = "cut_oneway"  // messages to Other are lost
+	ResetFault                   FaultKind = "reset"       // its connections with Other are reset once
+	ClockStepFault               FaultKind = "clock"       // its time of day steps by For
+	SlowDiskFault                FaultKind = "slow_disk"   // syncs take long
+	StalledDiskFault             FaultKind = "silent_disk" // syncs don't complete
+	FullDiskFault                FaultKind = "full_disk"   // the disk has no room for more than a few bytes
+	ReplaceFault                 FaultKind = "replace"     // the machine is lost; an empty one starts at another address
+	ProxyKillFault               FaultKind = "proxy"       // the proxy of an edge is killed
+	AgentKillFault               FaultKind = "agent"       // the agent of an edge is killed
+	EndpointReplaceFault         FaultKind = "endpoint"    // an endpoint is replaced by one of the other service at its address; after For, back
+	AckLossFault                 FaultKind = "ack_lost"    // most answers to the first operator are lost
+	OrderRaceFault               FaultKind = "config_race" // the second operator sends an order too, on the newest version
+	ResponseLossFault            FaultKind = "answer_lost" // an endpoint runs requests, but doesn't answer
 )
 
-// Fault is one fault of a plan. Machines are numbered among the quorum machines (cores, then stores), edges or endpoints.
+// Fault is one fault of a plan.
 type Fault = faultplan.Fault[FaultKind]
 
-// Plan is one day: its seed and its faults, by time.
+// Plan is the plan of one day: its seed and its faults, sorted by time.
 type Plan struct {
 	Seed   uint64        `json:"seed"`
-	Span   time.Duration `json:"span"` // of the faults; the day lasts until the checks after them
+	Span   time.Duration `json:"span"` // from the start of the day to its last fault
 	Faults []Fault       `json:"faults"`
 }
 
-// Text is the plan as JSON, to run it again.
+// Text returns the plan as JSON, from which it can be run again.
 func (p Plan) Text() string { return faultplan.Text(p) }
 
-// Shrink leaves faults out of a plan, and makes them shorter, as long as it fails. It runs at most maxRuns days.
+// Shrink removes and shortens faults of a failing plan as long as it still fails. It runs at most maxRuns days.
 func Shrink(plan Plan, maxRuns int, fails func(Plan) bool) Plan {
 	return faultplan.Shrink(plan, func(p *Plan) *[]Fault { return &p.Faults }, maxRuns, fails)
 }
 
 // Bounds of a random plan.
 const (
-	quorumMachineCount = 7
-	edgeMachineCount   = 3
-	engineMachineCount = 6
-	planSpan           = 40 * time.Second
-	catchUp            = 4300 * time.Millisecond // for which a machine that is back still counts as lost
-	firstFaultAt       = 8 * time.Second         // so that the first start is over
+	quorumMachineCount   = 7
+	edgeMachineCount     = 3
+	endpointMachineCount = 6
+	planSpan             = 40 * time.Second
+	catchUpTime          = 4300 * time.Millisecond // how long a machine that is back still counts as lost
+	firstFaultAt         = 8 * time.Second         // by then, the fleet has started
 )
 
 // faultKinds are the kinds of fault of a random plan.
@@ -94,13 +95,14 @@
 	{Name: ResponseLossFault, Weight: 1, SparesQuorum: true},
 }
 
-// RandomPlan draws a plan. Disks are lost one at a time only, and not before all machines have recovered from what came before.
+// RandomPlan returns the plan of a seed. Faults may overlap, but a disk is lost only once all machines have recovered from the faults
+// before it.
 func RandomPlan(seed uint64) Plan {
 	random := rand.New(rand.NewPCG(seed, 0x706c616e))
 	plan := Plan{Seed: seed, Span: planSpan}
-	maxGap := time.Duration(300+random.IntN(4000)) * time.Millisecond // some days are dense, some are not
-	var recoveredAt time.Duration                                     // when all quorum machines have recovered from all faults
-	for at := firstFaultAt; at < plan.Span; at += time.Duration(random.Int64N(int64(2 * maxGap))) {
+	averageGap := time.Duration(300+random.IntN(4000)) * time.Millisecond // varies, so that faults come close together on some days and rarely on others
+	var recoveredAt time.Duration                                         // when all quorum machines have recovered from all faults
+	for at := firstFaultAt; at < plan.Span; at += time.Duration(random.Int64N(int64(2 * averageGap))) {
 		kind := faultKinds.Draw(random)
 		fault := Fault{At: at, Kind: kind.Name, For: time.Duration(random.Int64N(int64(6 * time.Second)))}
 		fault.Target, fault.Other = random.IntN(quorumMachineCount), random.IntN(quorumMachineCount)
@@ -118,16 +120,16 @@
 	return plan
 }
 
-// replacementTime is how long it takes at most until groups have moved away from a machine that is lost for good.
+// replacementTime bounds the time until all groups have replaced the replicas of a machine that is lost for good.
 const replacementTime = 14 * time.Second
 
-// unavailableFor is how long a machine counts as lost from the beginning of a fault on.
+// unavailableFor returns how long a machine counts as lost, from the start of a fault.
 func unavailableFor(f Fault) time.Duration {
 	switch f.Kind {
 	case ReplaceFault:
 		return replacementTime
-	case AckKillFault, AckPowerLossFault, AckDiskLossPowerLossAllFault: // they wait for an acknowledgement
-		return f.For + ackTimeout + catchUp
+	case AckKillFault, AckPowerLossFault, AckDiskLossPowerLossAllFault: // these wait for an acknowledgement
+		return f.For + ackTimeout + catchUpTime
 	}
-	return max(f.For, time.Second) + catchUp
+	return max(f.For, time.Second) + catchUpTime
 }
--- a/internal/tier/fleettest/platform.go
+++ b/internal/tier/fleettest/platform.go
@@ -7,7 +7,7 @@
 // listRequest asks the platform for its list, a []model.Endpoint.
 type listRequest struct{}
 
-// platform answers with the list as it was some time ago.
+// platform answers with its list of endpoints, which shows changes after listDelay.
 type platform struct{ process *process }
 
 func (*platform) handleMessage(string, any)  {}
@@ -18,7 +18,7 @@
 	}
 }
 
-// listLater puts an incarnation on the list in place of the one that had its address before.
+// listLater puts an endpoint on the list after listDelay, in place of the previous one at its address.
 func (f *Fleet) listLater(e *endpoint) {
 	entry := model.Endpoint{ID: e.id, Service: e.service, Address: e.process.address, Zone: e.process.machine.zone, Capacity: 64, State: model.Ready}
 	f.loop.After(listDelay, func() {
--- a/internal/tier/fleettest/programs.go
+++ b/internal/tier/fleettest/programs.go
@@ -10,7 +10,7 @@
 	"mastusher/internal/tier/wire"
 )
 
-// Bounds of one call to the leaders of shards.
+// Timeout and backoff of calls to the leaders of shards.
 const (
 	attemptTimeout = 700 * time.Millisecond
 	initialBackoff = 15 * time.Millisecond
@@ -19,16 +19,16 @@
 
 // Errors of the program client.
 var (
-	errNoPlacement  = errors.New("placement of shards is not known")
-	errNoLeader     = errors.New("no store answered as the leader in time")
-	errNotCommitted = errors.New("the turn could not be committed")
+	errNoPlacement  = errors.New("the placement of shards is unknown")
+	errNoLeader     = errors.New("no store answered as the leader before the deadline")
+	errNotCommitted = errors.New("the stores rejected the end of the turn")
 )
 
 // programClient finds the leader of a program's shard and begins and commits turns there.
 type programClient struct {
 	process *process
 	placed  *view.Placement
-	leaders map[int]string // address that answered last, by shard
+	leaders map[int]string // by shard, the address that last answered as the leader
 }
 
 func newProgramClient(p *process) *programClient {
@@ -37,14 +37,15 @@
 
 func (c *programClient) isPlaced() bool { return c.placed != nil && len(c.placed.Shards) > 0 }
 
-// beginTurn begins a turn at the leader of key's shard within a time. An error means that the outcome is not known.
-func (c *programClient) beginTurn(key string, turn program.BeginTurn, within time.Duration, done func(program.Result, error)) {
+// beginTurn begins a turn at the leader of key's shard. If that shard lacks the previous turn, it looks for the chain in the others. An
+// error means that the outcome is unknown.
+func (c *programClient) beginTurn(key string, turn program.BeginTurn, timeout time.Duration, done func(program.Result, error)) {
 	if !c.isPlaced() {
 		done(program.Result{}, errNoPlacement)
 		return
 	}
 	shard := placement.Shard(key, len(c.placed.Shards))
-	deadline := c.now() + within
+	deadline := c.now() + timeout
 	request := wire.BeginTurnRequest{Shard: shard, Turn: turn}
 	c.call(shard, request, deadline, func(answer any, err error) {
 		result, _ := answer.(program.Result)
@@ -69,13 +70,13 @@
 func (c *programClient) now() time.Duration { return c.process.machine.fleet.loop.Now() }
 
 // endTurn commits a turn at the leader of key's shard.
-func (c *programClient) endTurn(key string, turn program.EndTurn, within time.Duration, done func(error)) {
+func (c *programClient) endTurn(key string, turn program.EndTurn, timeout time.Duration, done func(error)) {
 	if !c.isPlaced() {
 		done(errNoPlacement)
 		return
 	}
 	shard := placement.Shard(key, len(c.placed.Shards))
-	c.call(shard, wire.EndTurnRequest{Shard: shard, Turn: turn}, c.now()+within, func(answer any, err error) {
+	c.call(shard, wire.EndTurnRequest{Shard: shard, Turn: turn}, c.now()+timeout, func(answer any, err error) {
 		if result, _ := answer.(program.Result); err == nil && result.Verdict != program.Accepted {
 			err = errNotCommitted
 		}
@@ -83,9 +84,10 @@
 	})
 }
 
-// findChain asks the leaders of all other shards for a turn's chain. Only if each of them is certain is there none.
+// findChain asks the leaders of all other shards for a turn's chain. It reports the chain as not found only if all of them have answered
+// so.
 func (c *programClient) findChain(except int, turn string, deadline time.Duration, done func(chain []byte, found bool, err error)) {
-	open, ended := len(c.placed.Shards)-1, false
+	pending, ended := len(c.placed.Shards)-1, false
 	var failed error
 	finish := func(chain []byte, found bool, err error) {
 		if !ended {
@@ -93,7 +95,7 @@
 			done(chain, found, err)
 		}
 	}
-	if open == 0 {
+	if pending == 0 {
 		finish(nil, false, nil)
 	}
 	for shard := range c.placed.Shards {
@@ -101,7 +103,7 @@
 			continue
 		}
 		c.call(shard, wire.ChainRequest{Shard: shard, Turn: turn}, deadline, func(answer any, err error) {
-			open--
+			pending--
 			found, _ := answer.(wire.ChainResponse)
 			switch {
 			case err != nil:
@@ -109,14 +111,14 @@
 			case found.Found:
 				finish(found.Chain, true, nil)
 			}
-			if open == 0 {
+			if pending == 0 {
 				finish(nil, false, failed)
 			}
 		})
 	}
 }
 
-// call asks the shard's stores in turn until its leader answers or the time is over.
+// call calls the shard's stores one after the other until the leader answers or the deadline passes.
 func (c *programClient) call(shard int, request any, deadline time.Duration, done func(answer any, err error)) {
 	address, backoff, attempts := c.leader(shard), initialBackoff, 0
 	var ask func()
@@ -150,6 +152,7 @@
 	ask()
 }
 
+// replicas returns the replicas of a shard by the newest placement.
 func (c *programClient) replicas(shard int) []view.Replica {
 	if shard >= len(c.placed.Shards) {
 		return nil
@@ -157,7 +160,7 @@
 	return c.placed.Shards[shard].Replicas
 }
 
-// leader is the store that answered last, or the first replica.
+// leader returns the replica that last answered as the leader, or else the first one.
 func (c *programClient) leader(shard int) string {
 	replicas := c.replicas(shard)
 	for _, r := range replicas {
@@ -171,7 +174,7 @@
 	return replicas[0].Address
 }
 
-// nextReplica is the replica after the one at address.
+// nextReplica returns the replica after the one at address.
 func (c *programClient) nextReplica(shard int, address string) string {
 	replicas := c.replicas(shard)
 	for i, r := range replicas {
--- a/internal/tier/fleettest/proxy.go
+++ b/internal/tier/fleettest/proxy.go
@@ -10,25 +10,25 @@
 	"mastusher/internal/tier/view"
 )
 
-// Backoff of connections to the agent, and bounds of a request.
+// Backoff of connections to the agent, and limits of a request.
 const (
 	feedInitialBackoff   = 20 * time.Millisecond
 	feedMaxBackoff       = 250 * time.Millisecond
-	requestTimeout       = 4 * time.Second // that a client waits
-	beginTimeoutDivisor  = 4
-	maxAttempts          = 4 // endpoints that may reject a request
+	requestTimeout       = 4 * time.Second // for which a client waits
+	beginTimeoutDivisor  = 4               // part of requestTimeout in which the stores must begin a turn
+	maxAttempts          = 4               // endpoints that may reject a request
 	commitAttemptTimeout = 2 * time.Second
 	commitTimeout        = 30 * time.Second
 	commitBackoff        = 50 * time.Millisecond
 )
 
-// proxy is the data path of an edge machine: its view, and the requests under way.
+// proxy is the data path of an edge machine: it holds the view and handles requests.
 type proxy struct {
 	process      *process
-	agent        string // address
-	digest       view.Digest
+	agent        string      // address of the agent
+	digest       view.Digest // of the updates received
 	config       *model.Configuration
-	listed       bool
+	listed       bool // the endpoint list has been received
 	endpoints    []model.Endpoint
 	programs     *programClient
 	backoff      time.Duration
@@ -47,7 +47,7 @@
 
 func (p *proxy) handleDatagram(string, any) {}
 
-// connect has the agent feed this proxy; it keeps its view while that fails.
+// connect subscribes to the agent's updates, with retries. Meanwhile the proxy keeps its view.
 func (p *proxy) connect() {
 	p.network().call(p.process, p.agent, feedRequest{maps.Clone(p.digest)}, func(response any) {
 		p.backoff = feedInitialBackoff
@@ -67,7 +67,7 @@
 	}
 	p.digest[update.Section] = update.Stamp
 	if err := p.apply(update); err != nil {
-		p.process.machine.fleet.report("HARNESS", "update cannot be read: %v", err)
+		p.process.machine.fleet.report("HARNESS", "update cannot be decoded: %v", err)
 	}
 }
 
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// ready reports whether the proxy has all that it needs.
+// ready reports whether the proxy has received all that it needs to serve.
 func (p *proxy) ready() bool { return p.config != nil && p.listed && p.programs.isPlaced() }
 
 // serve implements handler.
@@ -109,7 +109,7 @@
 	}
 }
 
-// answerVersion answers a request by which a client sees which configuration is in force here.
+// answerVersion answers which configuration is in force at the proxy.
 func (p *proxy) answerVersion(call *exchange) {
 	if p.config == nil {
 		call.finish(versionAnswer{})
@@ -118,19 +118,19 @@
 	call.finish(versionAnswer{Incarnation: p.process.incarnation, Content: contentOf(p.config)})
 }
 
-// selectEndpoint picks the next ready endpoint of a service that has not rejected the request yet.
-func (p *proxy) selectEndpoint(service string, asked map[string]bool) (model.Endpoint, bool) {
+// selectEndpoint returns the next ready endpoint of a service, by round robin, that hasn't rejected the request.
+func (p *proxy) selectEndpoint(service string, rejectedBy map[string]bool) (model.Endpoint, bool) {
 	for range p.endpoints {
 		p.lastEndpoint++
 		e := p.endpoints[p.lastEndpoint%len(p.endpoints)]
-		if e.Service == service && e.State == model.Ready && !asked[e.ID] {
+		if e.Service == service && e.State == model.Ready && !rejectedBy[e.ID] {
 			return e, true
 		}
 	}
 	return model.Endpoint{}, false
 }
 
-// handleRequest takes a client's request.
+// handleRequest handles a client's request.
 func (p *proxy) handleRequest(call *exchange, asked clientRequest) {
 	r := &proxyRequest{proxy: p, client: call, request: asked, deadline: p.process.machine.fleet.loop.Now() + requestTimeout, rejectedBy: map[string]bool{}}
 	call.onCallerCanceled = r.clientCanceled
@@ -145,5 +145,5 @@
 	r.beginTurn()
 }
 
-// reject answers 503: the request has not run and never will.
+// reject answers 503, which says that the request has not run and never will.
 func (r *proxyRequest) reject() { r.answer(http.StatusServiceUnavailable) }
--- a/internal/tier/fleettest/proxyrequest.go
+++ b/internal/tier/fleettest/proxyrequest.go
@@ -8,7 +8,7 @@
 	"mastusher/internal/tier/program"
 )
 
-// proxyRequest is one request under way at a proxy.
+// proxyRequest is one request in progress at a proxy.
 type proxyRequest struct {
 	proxy      *proxy
 	client     *exchange
@@ -16,17 +16,17 @@
 	deadline   time.Duration
 	body       []byte
 	reserved   bool // the stores may hold a reservation
-	committed  bool
+	committed  bool // the end of the turn has been sent to the stores
 	mayHaveRun bool
-	ended      bool
-	committing bool
-	rejectedBy map[string]bool // endpoints that have rejected the request: it has not run there
+	ended      bool            // the client has its answer, or has canceled
+	committing bool            // the endpoint's answer is complete
+	rejectedBy map[string]bool // ids of the endpoints that have rejected the request, where it has not run
 	endpoint   *exchange
-	output     []byte
-	events     int
+	output     []byte // of the endpoint so far
+	events     int    // received from the endpoint
 }
 
-// answer ends the request with a status of the proxy's own.
+// answer ends the request with a status of the proxy itself.
 func (r *proxyRequest) answer(status int) {
 	if r.ended {
 		return
@@ -35,7 +35,7 @@
 	r.client.finish(answerHead{Status: status})
 }
 
-// abort breaks the client's answer off.
+// abort aborts the answer to the client.
 func (r *proxyRequest) abort() {
 	if r.ended {
 		return
@@ -44,7 +44,7 @@
 	r.client.abort()
 }
 
-// clientCanceled ends a request that nobody waits for.
+// clientCanceled ends a request that the client has canceled.
 func (r *proxyRequest) clientCanceled() {
 	r.ended = true
 	if r.endpoint != nil {
@@ -55,7 +55,7 @@
 
 func (r *proxyRequest) now() time.Duration { return r.proxy.process.machine.fleet.loop.Now() }
 
-// beginTurn has the stores take the turn.
+// beginTurn asks the stores to begin the turn.
 func (r *proxyRequest) beginTurn() {
 	r.reserved = true
 	turn := program.BeginTurn{Turn: r.request.ID, Program: r.request.Program, Budget: r.request.Budget, MaxTokens: r.request.MaxTokens,
@@ -63,7 +63,7 @@
 	r.proxy.programs.beginTurn(r.request.Program, turn, requestTimeout/beginTimeoutDivisor, r.turnBegun)
 }
 
-// turnBegun handles the stores' answer.
+// turnBegun handles the stores' answer to beginTurn.
 func (r *proxyRequest) turnBegun(result program.Result, err error) {
 	switch {
 	case err != nil:
@@ -122,7 +122,7 @@
 	}
 }
 
-// handleEvent passes an event on. The last one waits until the stores have the end of the turn.
+// handleEvent forwards an event to the client. The last event waits until the stores have committed the end of the turn.
 func (r *proxyRequest) handleEvent(event endpointEvent) {
 	if r.ended {
 		return
@@ -156,7 +156,7 @@
 	})
 }
 
-// endpointFailed handles an endpoint whose answer ended early, or never came.
+// endpointFailed handles an answer of the endpoint that ended early or never came.
 func (r *proxyRequest) endpointFailed(error) {
 	if r.ended {
 		return
@@ -170,7 +170,7 @@
 	r.answer(http.StatusBadGateway)
 }
 
-// commitIncomplete commits the end of a turn that was not answered, beside the request, unless its end is being committed.
+// commitIncomplete commits, in the background, the end of a turn without a complete answer, unless its end has been sent already.
 func (r *proxyRequest) commitIncomplete() {
 	if !r.reserved || r.committed {
 		return
@@ -179,6 +179,7 @@
 	r.commitUntil(r.endTurn(false), r.now()+commitTimeout, func(error) {})
 }
 
+// endTurn returns the command that ends the turn.
 func (r *proxyRequest) endTurn(complete bool) program.EndTurn {
 	end := program.EndTurn{Turn: r.request.ID, Complete: complete, Tokens: int64(r.events * tokensPerEvent)}
 	if complete {
@@ -187,7 +188,7 @@
 	return end
 }
 
-// commitUntil sends the end of a turn until it is acknowledged or the deadline is over.
+// commitUntil sends the end of a turn repeatedly until it is acknowledged or the deadline has passed.
 func (r *proxyRequest) commitUntil(end program.EndTurn, deadline time.Duration, done func(error)) {
 	left := deadline - r.now()
 	if left <= 0 {
--- a/internal/tier/fleettest/race_off_test.go
+++ b/internal/tier/fleettest/race_off_test.go
@@ -2,8 +2,8 @@
 
 package fleettest
 
-// usualDays is the number of days of an ordinary run of the tests.
-const usualDays = 10
+// defaultDays is the default number of random days.
+const defaultDays = 10
 
-// seedShare divides the seeds of stories.
-const seedShare = 1
+// seedDivisor divides the number of seeds that a scenario runs with.
+const seedDivisor = 1
--- a/internal/tier/fleettest/race_on_test.go
+++ b/internal/tier/fleettest/race_on_test.go
@@ -2,8 +2,8 @@
 
 package fleettest
 
-// usualDays is the number of days of an ordinary run of the tests; fewer under the race detector.
-const usualDays = 2
+// defaultDays is the default number of random days; fewer under the race detector.
+const defaultDays = 2
 
-// seedShare divides the seeds of stories.
-const seedShare = 4
+// seedDivisor divides the number of seeds that a scenario runs with.
+const seedDivisor = 4
--- a/internal/tier/fleettest/replicarunner.go
+++ b/internal/tier/fleettest/replicarunner.go
@@ -9,24 +9,24 @@
 	"mastusher/internal/tier/replica"
 )
 
-// replicaRunner drives one member of a replica group: what a daemon's goroutine, disk and links do for it.
+// replicaRunner drives one member of a replica group, in place of a daemon's goroutine, disk and connections.
 type replicaRunner struct {
 	process   *process
 	group     *group.Group
 	disk      *timedDisk
-	syncing   bool // its disk is at work: the outputs of the last iteration wait for it
+	syncing   bool // a sync is in progress, for which the outputs of the last iteration wait
 	outputs   []func()
 	wakeAt    time.Duration // of the timer that counts; others are stale
 	scheduled bool          // an iteration is due now
-	iterating bool
+	iterating bool          // RunOnce or Open is running
 }
 
-// replicaOptions sets a runner up.
+// replicaOptions describe a replicaRunner.
 type replicaOptions struct {
-	name    string
+	name    string // of the group
 	replica replica.Options
 	machine group.StateMachine
-	compact int64
+	compact int64                       // length of the log at which it is compacted
 	changed func(status replica.Status) // may be nil
 }
 
@@ -50,21 +50,21 @@
 	return r, nil
 }
 
-// send sends a message of the group, once what it depends on is on disk.
+// send sends a message of the group once the writes that it depends on are on disk.
 func (r *replicaRunner) send(address string, envelope group.Envelope) {
 	r.output(func() { r.process.machine.fleet.network.sendMessage(r.process, address, envelope) })
 }
 
-// output does something that follows from the turn so far: at once, or when the disk has done its part of it.
+// output calls run at once, or, if the current iteration has syncs, once these are complete.
 func (r *replicaRunner) output(run func()) {
-	if r.iterating && r.disk.took > 0 {
+	if r.iterating && r.disk.syncDuration > 0 {
 		r.outputs = append(r.outputs, run)
 		return
 	}
 	run()
 }
 
-// schedule has the member's next iteration run now.
+// schedule makes the member's next iteration run now.
 func (r *replicaRunner) schedule() {
 	if r.scheduled || r.syncing {
 		return
@@ -76,26 +76,26 @@
 	})
 }
 
-// iterate runs the member once: group.RunOnce with its input so far.
+// iterate runs one iteration of the member, with the input so far.
 func (r *replicaRunner) iterate() {
 	if r.syncing {
 		return
 	}
-	r.disk.took, r.iterating = 0, true
+	r.disk.syncDuration, r.iterating = 0, true
 	next, err := r.group.RunOnce()
 	r.iterating = false
 	if err != nil {
 		r.process.fail(err)
 		return
 	}
-	if r.disk.took > 0 {
+	if r.disk.syncDuration > 0 {
 		r.syncing = true
-		r.process.after(r.disk.took, r.finishSync)
+		r.process.after(r.disk.syncDuration, r.finishSync)
 	}
 	r.setTimer(next)
 }
 
-// finishSync does what waited for the disk.
+// finishSync completes the sync and runs the outputs that waited for it.
 func (r *replicaRunner) finishSync() {
 	if m := r.process.machine; m.diskStalled {
 		incarnation := r.process.incarnation
@@ -140,16 +140,17 @@
 	r.schedule()
 }
 
-// propose has a command agreed on within a time. The callback is called once.
+// propose proposes a command to the group. It calls done once, with the result, or with an error at the latest after the timeout.
 func (r *replicaRunner) propose(command any, timeout time.Duration, done func(result any, err error)) {
 	r.await(timeout, done, func(ended func(any, error)) uint64 { return r.group.ProposeAsync(command, ended) })
 }
 
-// read runs view once it is certain that this member led the group after the call.
+// read calls view once a majority has confirmed that this member still led the group after the call of read.
 func (r *replicaRunner) read(view func(), timeout time.Duration, done func(err error)) {
 	r.await(timeout, func(_ any, err error) { done(err) }, func(ended func(any, error)) uint64 { return r.group.ReadAsync(view, ended) })
 }
 
+// await starts an operation of the group and calls done once, with its result or, after the timeout, a NotLeaderError.
 func (r *replicaRunner) await(timeout time.Duration, done func(any, error), start func(ended func(any, error)) uint64) {
 	over := false
 	finish := func(result any, err error) {
@@ -168,7 +169,7 @@
 	r.schedule()
 }
 
-// leaderAddress is where the leader was last known to be.
+// leaderAddress returns the address of the last known leader; empty: unknown.
 func (r *replicaRunner) leaderAddress() string {
 	status := r.group.Status()
 	for _, member := range status.Members {
--- a/internal/tier/fleettest/shard.go
+++ b/internal/tier/fleettest/shard.go
@@ -16,24 +16,25 @@
 
 const (
 	shardPrefix   = "shard-"
-	recordBackoff = 200 * time.Millisecond // after which a group's log records a placement again
+	recordBackoff = 200 * time.Millisecond // before a failed proposal to record a placement is repeated
 )
 
-// shardCommand is one entry of a shard's log: one about a program, or a note of the placement that the group follows.
+// shardCommand is one entry of a shard's log: a command about a program, or, if Placement is set, the record that the group follows that
+// placement.
 type shardCommand struct {
 	program.Command
 	Placement uint64 `json:"placement,omitempty"`
 }
 
-// shard is one replica and its state. It implements group.ChunkedStateMachine.
+// shard is a store's replica of one shard. It implements group.ChunkedStateMachine.
 type shard struct {
 	replica           *replicaRunner
 	programs          *program.Machine
-	followedPlacement uint64           // newest placement that the group has begun to follow
-	placementIndex    uint64           // newest placement that this store knows
-	targetMembers     []replica.Member // by that placement
+	followedPlacement uint64           // index of the newest placement that the group's log has recorded
+	placementIndex    uint64           // index of the newest placement that this store knows
+	targetMembers     []replica.Member // members by the newest known placement
 	appliedMembers    []replica.Member // members that this replica, as leader, last set for the group
-	recording         bool
+	recording         bool             // the record of a placement is being proposed
 }
 
 // savedShard is a shard's state as a snapshot holds it.
@@ -98,7 +99,7 @@
 	return &shardRestorer{shard: s, programs: s.programs.BeginRestore()}
 }
 
-// shardRestorer sets a shard to the state that comes in parts.
+// shardRestorer restores a shard from the chunks of a snapshot: the placement, then those of the programs.
 type shardRestorer struct {
 	shard    *shard
 	started  bool
@@ -129,7 +130,7 @@
 	s.reconcile()
 }
 
-// changed takes notice of a change in the group.
+// changed handles a change of the group's status.
 func (s *shard) changed(status replica.Status) {
 	if s.replica == nil {
 		return
@@ -142,8 +143,8 @@
 	s.replica.setMembers(status.Members)
 }
 
-// reconcile moves the group to the target members, if this replica leads it. The group's log first records a placement that is
-// new to it; with an older one than the log holds, this store changes nothing.
+// reconcile changes the group to the target members, if this replica leads it. A newer placement must first be recorded in the group's
+// log; if the log has recorded a newer one than this store knows, the store changes nothing.
 func (s *shard) reconcile() {
 	if s.placementIndex == 0 || !s.replica.group.Status().IsLeader {
 		return
@@ -167,7 +168,8 @@
 	s.reconcile()
 }
 
-// reportMembers reports the members of the group, if a majority confirms that this replica leads it and has committed them.
+// reportMembers passes the members of the group to done. They are confirmed if a majority has confirmed that this replica leads the group
+// and has committed them.
 func (s *shard) reportMembers(number int, done func(members wire.ShardMembers, confirmed bool)) {
 	before := s.replica.group.Status()
 	if !before.IsLeader {
@@ -189,11 +191,11 @@
 	})
 }
 
-// reportShards reports the members of all groups that this store leads.
+// reportShards answers with the confirmed members of all groups that this store leads.
 func (s *store) reportShards(call *exchange) {
 	var answer wire.ShardMembersResponse
-	open := len(s.shards)
-	if open == 0 {
+	pending := len(s.shards)
+	if pending == 0 {
 		call.finish(answer)
 		return
 	}
@@ -202,14 +204,14 @@
 			if confirmed {
 				answer.Shards = append(answer.Shards, members)
 			}
-			if open--; open == 0 {
+			if pending--; pending == 0 {
 				call.finish(answer)
 			}
 		})
 	}
 }
 
-// numbers lists the shards that run here.
+// numbers returns the numbers of the store's shards, sorted.
 func (s *store) numbers() []int {
 	var numbers []int
 	for number := range s.shards {
--- a/internal/tier/fleettest/store.go
+++ b/internal/tier/fleettest/store.go
@@ -14,7 +14,7 @@
 	"mastusher/internal/tier/wire"
 )
 
-// Times of a shard's group, and how long a store works on one call.
+// Timing of a shard's group, and the timeout of a call that a store handles.
 const (
 	storeHeartbeat       = 150 * time.Millisecond
 	storeElectionTimeout = 600 * time.Millisecond
@@ -26,7 +26,7 @@
 	process *process
 	id      string
 	member  *member
-	shards  map[int]*shard
+	shards  map[int]*shard // by number
 }
 
 // openStore starts a store's process. Its shards open once the placement is known.
@@ -42,14 +42,14 @@
 
 func (s *store) begin() { s.member.schedule() }
 
-// receive applies a placement: it opens the shards of this store, and each leader moves its group to its members.
+// receive applies a placement: it opens new shards of this store, and changes the members of the groups that the store leads.
 func (s *store) receive(update view.Update) {
 	if update.Section != view.PlacementSection {
 		return
 	}
 	var placed view.Placement
 	if err := json.Unmarshal(update.Body, &placed); err != nil {
-		s.process.machine.fleet.report("HARNESS", "placement cannot be read: %v", err)
+		s.process.machine.fleet.report("HARNESS", "placement cannot be decoded: %v", err)
 		return
 	}
 	for number, wanted := range placed.Shards {
@@ -107,7 +107,7 @@
 // handleDatagram implements handler.
 func (s *store) handleDatagram(from string, message any) { s.member.handleDatagram(from, message) }
 
-// notLeader answers a call for a shard that another store leads.
+// notLeader is the answer to a call for a shard that this store doesn't lead; leader is the leader's address, if known.
 type notLeader struct{ leader string }
 
 // serve implements handler.
@@ -144,7 +144,7 @@
 	})
 }
 
-// leaderFrom names the leader to the caller, where the error does.
+// leaderFrom returns the answer that names the leader, if the error contains it.
 func (s *store) leaderFrom(err error) notLeader {
 	var not *group.NotLeaderError
 	if !errors.As(err, &not) || not.Leader == s.process.address {
@@ -153,6 +153,7 @@
 	return notLeader{leader: not.Leader}
 }
 
+// chain answers with the chain of a turn, if a majority confirms that this store leads the shard.
 func (s *store) chain(call *exchange, asked wire.ChainRequest) {
 	running := s.shards[asked.Shard]
 	if running == nil {
