--- a/internal/tier/fleettest/agent.go
+++ b/internal/tier/fleettest/agent.go
@@ -4,7 +4,7 @@
 	"mastusher/internal/tier/view"
 )
 
-// agent is the process beside a proxy that takes part in the membership and holds the newest view.
+// agent is the process beside a proxy that takes part in the membership protocol and holds the newest view.
 type agent struct {
 	process     *process
 	member      *member
--- a/internal/tier/fleettest/check_turns.go
+++ b/internal/tier/fleettest/check_turns.go
@@ -99,7 +99,7 @@
 		}
 	}
 	if sent.Outcome == outcomeComplete && len(sent.Events) != eventsOf(sent.ID, sent.MaxTokens) {
-		c.report("MIXED", "%s ended as complete after %d events, which isn't their number", sent.ID, len(sent.Events))
+		c.report("MIXED", "%s ended as complete after %d events, but its answer has another number of events", sent.ID, len(sent.Events))
 	}
 }
 
@@ -127,7 +127,8 @@
 	}
 }
 
-// maxCostOf returns the maximum that the stores may have counted for a turn when they decided another one.
+// maxCostOf returns the maximum number of tokens that the stores may have counted for a turn when they decided whether to accept
+// another one.
 func (c *turnCheck) maxCostOf(turn, decided *request) int64 {
 	ended := turn.Outcome != outcomePending && turn.Ended < decided.Sent
 	switch {
--- a/internal/tier/fleettest/controller.go
+++ b/internal/tier/fleettest/controller.go
@@ -205,7 +205,7 @@
 	return http.StatusInternalServerError
 }
 
-// get answers with the newest configuration, or 503 if this member can't confirm that it is the newest.
+// get answers with the newest configuration, or 503 if there is none or this member can't confirm that it leads the group.
 func (c *controller) get(call *exchange) {
 	c.read(call, readAnswer)
 }
--- a/internal/tier/fleettest/loop.go
+++ b/internal/tier/fleettest/loop.go
@@ -28,7 +28,7 @@
 	return low + time.Duration(l.random.Int64N(int64(high-low)))
 }
 
-// withProbability returns true with a probability.
+// withProbability returns true with the given probability.
 func (l *loop) withProbability(probability float64) bool {
 	return probability > 0 && l.random.Float64() < probability
 }
--- a/internal/tier/fleettest/member.go
+++ b/internal/tier/fleettest/member.go
@@ -198,7 +198,7 @@
 	}
 }
 
-// handleDigest pulls the updates of which the sender has newer ones; otherwise, if the sender is behind, it sends its own digest.
+// handleDigest pulls the sender's newer updates, if any; otherwise, if the sender is behind, it sends its own digest.
 func (m *member) handleDigest(address string, digest view.Digest) {
 	own := m.digest()
 	behind, ahead := false, false
--- a/internal/tier/fleettest/plan.go
+++ b/internal/tier/fleettest/plan.go
@@ -23,7 +23,7 @@
 	DiskLossPowerLossAllFault    FaultKind = "final"       // the machine loses its disk while all other quorum machines lose power
 	AckDiskLossPowerLossAllFault FaultKind = "ack_final"   // like DiskLossPowerLossAllFault, right after the next acknowledgement
 	FreezeFault                  FaultKind = "freeze"      // the machine freezes
-	PartitionFault               FaultKind = "cut"         // the machine is partitioned from the quorum machines, and from the edges if Other is odd
+	PartitionFault               FaultKind = "cut"         // partitioned from the quorum machines, and from the edges if Other is odd
 	PartitionOneWayFault         FaultKind = "cut_oneway"  // messages to Other are lost
 	ResetFault                   FaultKind = "reset"       // its connections with Other are reset once
 	ClockStepFault               FaultKind = "clock"       // its time of day steps by For
@@ -33,7 +33,7 @@
 	ReplaceFault                 FaultKind = "replace"     // the machine is lost; an empty one starts at another address
 	ProxyKillFault               FaultKind = "proxy"       // the proxy of an edge is killed
 	AgentKillFault               FaultKind = "agent"       // the agent of an edge is killed
-	EndpointReplaceFault         FaultKind = "endpoint"    // an endpoint is replaced by one of the other service at its address; after For, back
+	EndpointReplaceFault         FaultKind = "endpoint"    // an endpoint is replaced at its address by one of the other service, for For
 	AckLossFault                 FaultKind = "ack_lost"    // most answers to the first operator are lost
 	OrderRaceFault               FaultKind = "config_race" // the second operator sends an order too, on the newest version
 	ResponseLossFault            FaultKind = "answer_lost" // an endpoint runs requests, but doesn't answer
@@ -100,7 +100,7 @@
 func RandomPlan(seed uint64) Plan {
 	random := rand.New(rand.NewPCG(seed, 0x706c616e))
 	plan := Plan{Seed: seed, Span: planSpan}
-	averageGap := time.Duration(300+random.IntN(4000)) * time.Millisecond // varies, so that faults come close together on some days and rarely on others
+	averageGap := time.Duration(300+random.IntN(4000)) * time.Millisecond // drawn for each plan, so that some days have many faults
 	var recoveredAt time.Duration                                         // when all quorum machines have recovered from all faults
 	for at := firstFaultAt; at < plan.Span; at += time.Duration(random.Int64N(int64(2 * averageGap))) {
 		kind := faultKinds.Draw(random)
--- a/internal/tier/fleettest/proxy.go
+++ b/internal/tier/fleettest/proxy.go
@@ -15,7 +15,7 @@
 	feedInitialBackoff   = 20 * time.Millisecond
 	feedMaxBackoff       = 250 * time.Millisecond
 	requestTimeout       = 4 * time.Second // for which a client waits
-	beginTimeoutDivisor  = 4               // part of requestTimeout in which the stores must begin a turn
+	beginTimeoutDivisor  = 4               // the stores must begin a turn within requestTimeout divided by this
 	maxAttempts          = 4               // endpoints that may reject a request
 	commitAttemptTimeout = 2 * time.Second
 	commitTimeout        = 30 * time.Second
--- a/internal/tier/fleettest/proxyrequest.go
+++ b/internal/tier/fleettest/proxyrequest.go
@@ -15,9 +15,9 @@
 	request    clientRequest
 	deadline   time.Duration
 	body       []byte
-	reserved   bool // the stores may hold a reservation
-	committed  bool // the end of the turn has been sent to the stores
-	mayHaveRun bool
+	reserved   bool            // the stores may hold a reservation
+	committed  bool            // the end of the turn has been sent to the stores
+	mayHaveRun bool            // an endpoint failed after it was sent the request
 	ended      bool            // the client has its answer, or has canceled
 	committing bool            // the endpoint's answer is complete
 	rejectedBy map[string]bool // ids of the endpoints that have rejected the request, where it has not run
--- a/internal/tier/fleettest/turns_test.go
+++ b/internal/tier/fleettest/turns_test.go
@@ -93,7 +93,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			seeds(t, 6, func(t *testing.T, seed uint64) {
-				// Given a turn at a proxy, when the proxy is killed at that moment,
+				// Given a turn at a proxy, when the proxy is killed at the moment of the case,
 				s := serving(t, seed)
 				one := s.completeTurn(s.edges[1], clientRequest{Program: testProgram, Budget: 4 * maxTurnTokens})
 				r := s.begin(s.edges[0], clientRequest{Program: testProgram, Budget: 4 * maxTurnTokens, Previous: one.ID})
