--- a/internal/tier/fleettest/agreed_view.go
+++ b/internal/tier/fleettest/committed_state.go
@@ -9,17 +9,17 @@
 	"mastusher/internal/tier/rollout"
 )
 
-// agreedView is the part of the configuration group's state that operators can read.
-type agreedView struct {
+// committedState is the part of the configuration group's state that operators can read.
+type committedState struct {
 	Raw           json.RawMessage        `json:"raw"` // the register's configuration
 	Register      configuration.Snapshot `json:"register"`
 	Rollouts      rollout.Snapshot       `json:"rollouts"`
 	Decommissions json.RawMessage        `json:"retirements"`
 }
 
-// viewOf decodes the state of the configuration group.
-func viewOf(machine *core.StateMachine) (agreedView, error) {
-	var read agreedView
+// decodeState decodes the state of the configuration group.
+func decodeState(machine *core.StateMachine) (committedState, error) {
+	var read committedState
 	state, err := machine.Snapshot()
 	if err == nil {
 		err = json.Unmarshal(state, &read)
@@ -29,9 +29,9 @@
 }
 
 // decommissionOf returns the state of the order to decommission a node, and whether there is one.
-func (v *agreedView) decommissionOf(node string) (decommission.Operation, bool) {
+func (s *committedState) decommissionOf(node string) (decommission.Operation, bool) {
 	var saved decommission.Snapshot
-	if err := json.Unmarshal(v.Decommissions, &saved); err != nil {
+	if err := json.Unmarshal(s.Decommissions, &saved); err != nil {
 		return decommission.Operation{}, false
 	}
 	return decommission.Restore(saved).Operation(node)
--- a/internal/tier/fleettest/controller.go
+++ b/internal/tier/fleettest/controller.go
@@ -50,7 +50,7 @@
 	publishScheduled bool
 	proposing        bool        // commands of the planner are being proposed
 	published        view.Digest // newest stamps published
-	listed           view.Stamp  // of the endpoint list published last
+	listStamp        view.Stamp  // of the endpoint list published last
 	lastList         []byte      // endpoint list published last
 }
 
@@ -211,9 +211,9 @@
 }
 
 // read answers from the committed state once a majority has confirmed that this member leads the group.
-func (c *controller) read(call *exchange, answer func(agreedView) operatorAnswer) {
+func (c *controller) read(call *exchange, answer func(committedState) operatorAnswer) {
 	var read operatorAnswer
-	c.replica.read(func() { read = answer(c.view()) }, readBackTimeout, func(err error) {
+	c.replica.read(func() { read = answer(c.committedState()) }, readBackTimeout, func(err error) {
 		if err != nil {
 			read = operatorAnswer{Status: http.StatusServiceUnavailable}
 		}
@@ -221,15 +221,15 @@
 	})
 }
 
-func (c *controller) view() agreedView {
-	read, err := viewOf(c.state)
+func (c *controller) committedState() committedState {
+	read, err := decodeState(c.state)
 	if err != nil {
 		c.process.machine.fleet.report("HARNESS", "committed state cannot be decoded: %v", err)
 	}
 	return read
 }
 
-func readAnswer(read agreedView) operatorAnswer {
+func readAnswer(read committedState) operatorAnswer {
 	if read.Register.Current.Raw == nil {
 		return operatorAnswer{Status: http.StatusServiceUnavailable}
 	}
@@ -242,7 +242,7 @@
 }
 
 func (c *controller) getRollout(call *exchange, asked getRollout) {
-	c.read(call, func(read agreedView) operatorAnswer {
+	c.read(call, func(read committedState) operatorAnswer {
 		roll, known := read.Rollouts.Rollouts[asked.Service]
 		if !known {
 			return operatorAnswer{Status: http.StatusNotFound}
@@ -264,7 +264,7 @@
 }
 
 func (c *controller) getDecommission(call *exchange, asked getDecommission) {
-	c.read(call, func(read agreedView) operatorAnswer {
+	c.read(call, func(read committedState) operatorAnswer {
 		operation, known := read.decommissionOf(asked.Node)
 		if !known {
 			return operatorAnswer{Status: http.StatusNotFound}
@@ -279,7 +279,7 @@
 	if !c.replica.group.Status().IsLeader {
 		return
 	}
-	rolls := c.view().Rollouts.Rollouts
+	rolls := c.committedState().Rollouts.Rollouts
 	for _, service := range slices.Sorted(maps.Keys(rolls)) {
 		roll := rolls[service]
 		if roll.State != rollout.InService || c.process.machine.nowMs()-roll.AtMs < roll.OverMs {
@@ -353,15 +353,15 @@
 		c.process.machine.fleet.report("HARNESS", "endpoint list cannot be encoded: %v", err)
 		return
 	}
-	if c.listed.Term == term && string(body) == string(c.lastList) {
+	if c.listStamp.Term == term && string(body) == string(c.lastList) {
 		return
 	}
-	if c.listed.Term != term {
-		c.listed = view.Stamp{Term: term}
+	if c.listStamp.Term != term {
+		c.listStamp = view.Stamp{Term: term}
 	}
-	c.listed.Sequence++
+	c.listStamp.Sequence++
 	c.lastList = body
-	c.member.publish(view.Update{Section: view.EndpointsSection, Stamp: c.listed, Body: body})
+	c.member.publish(view.Update{Section: view.EndpointsSection, Stamp: c.listStamp, Body: body})
 }
 
 // observedState returns the input of the planner.
--- a/internal/tier/fleettest/fleet.go
+++ b/internal/tier/fleettest/fleet.go
@@ -56,7 +56,7 @@
 	coreList         []string // addresses of the controllers as operators know them
 	operators        []*operator
 	clients          *clients
-	listed           []model.Endpoint // the platform's list
+	endpointList     []model.Endpoint // the platform's list
 	incarnations     int              // endpoints started so far
 	hostCount        int              // machines added so far
 	history          *history
--- a/internal/tier/fleettest/mutants_test.go
+++ b/internal/tier/fleettest/mutants_test.go
@@ -49,7 +49,7 @@
 		Also: []mutation.Change{{
 			File: "controller.go",
 			Old:  "\tc.read(call, readAnswer)\n",
-			New:  "\tcall.finish(readAnswer(c.view()))\n",
+			New:  "\tcall.finish(readAnswer(c.committedState()))\n",
 		}},
 		Run: randomDays,
 	},
--- a/internal/tier/fleettest/platform.go
+++ b/internal/tier/fleettest/platform.go
@@ -14,7 +14,7 @@
 func (*platform) handleDatagram(string, any) {}
 func (p *platform) serve(call *exchange, request any) {
 	if _, ok := request.(listRequest); ok {
-		call.finish(p.process.machine.fleet.listed)
+		call.finish(p.process.machine.fleet.endpointList)
 	}
 }
 
@@ -23,11 +23,11 @@
 	entry := model.Endpoint{ID: e.id, Service: e.service, Address: e.process.address, Zone: e.process.machine.zone, Capacity: 64, State: model.Ready}
 	f.loop.After(listDelay, func() {
 		var list []model.Endpoint
-		for _, listed := range f.listed {
+		for _, listed := range f.endpointList {
 			if listed.Address != entry.Address {
 				list = append(list, listed)
 			}
 		}
-		f.listed = append(list, entry)
+		f.endpointList = append(list, entry)
 	})
 }
--- a/internal/tier/fleettest/proxy.go
+++ b/internal/tier/fleettest/proxy.go
@@ -28,7 +28,7 @@
 	agent        string      // address of the agent
 	digest       view.Digest // of the updates received
 	config       *model.Configuration
-	listed       bool // the endpoint list has been received
+	listReceived bool // the endpoint list has been received
 	endpoints    []model.Endpoint
 	programs     *programClient
 	backoff      time.Duration
@@ -83,7 +83,7 @@
 	case view.EndpointsSection:
 		var list view.EndpointList
 		err := json.Unmarshal(update.Body, &list)
-		p.endpoints, p.listed = list.Endpoints, true
+		p.endpoints, p.listReceived = list.Endpoints, true
 		return err
 	case view.PlacementSection:
 		var placed view.Placement
@@ -95,7 +95,7 @@
 }
 
 // ready reports whether the proxy has received all that it needs to serve.
-func (p *proxy) ready() bool { return p.config != nil && p.listed && p.programs.isPlaced() }
+func (p *proxy) ready() bool { return p.config != nil && p.listReceived && p.programs.isPlaced() }
 
 // serve implements handler.
 func (p *proxy) serve(call *exchange, request any) {
--- a/internal/tier/simulation/damage_test.go
+++ b/internal/tier/simulation/damage_test.go
@@ -14,8 +14,8 @@
 func TestStore_DamagedSnapshots_IsReplaced(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		fleet, orders, users := newFleet(t, Options{Seed: 21})
-		d := &day{Fleet: fleet, first: orders, second: newOperator(fleet, "b"), clients: users}
+		fleet, operator, users := newFleet(t, Options{Seed: 21})
+		d := &day{Fleet: fleet, firstOperator: operator, secondOperator: newOperator(fleet, "b"), clients: users}
 		fleet.onAcknowledgement = d.onAcknowledgement
 		d.recordVersion(1)
 		users.runProgram(3, 0, standin.Turn{})
--- a/internal/tier/simulation/day.go
+++ b/internal/tier/simulation/day.go
@@ -20,11 +20,11 @@
 // day is the run of one plan: its fleet, its traffic and its faults.
 type day struct {
 	*Fleet
-	plan    Plan
-	first   *operator
-	second  *operator
-	clients *clients
-	traffic sync.WaitGroup
+	plan           Plan
+	firstOperator  *operator
+	secondOperator *operator
+	clients        *clients
+	traffic        sync.WaitGroup
 
 	// The fleet's mutex guards these.
 	newestVersion uint64 // number of the newest configuration that an operator knows
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &day{Fleet: f, plan: plan, first: newOperator(f, "a"), second: newOperator(f, "b"), clients: newClients(f)}
+	d := &day{Fleet: f, plan: plan, firstOperator: newOperator(f, "a"), secondOperator: newOperator(f, "b"), clients: newClients(f)}
 	f.onAcknowledgement = d.onAcknowledgement
 	d.startFleet()
 	d.startTraffic()
@@ -60,7 +60,7 @@
 // startFleet starts the fleet with its first configuration.
 func (d *day) startFleet() {
 	d.StartAll()
-	if status := d.first.order(0, d.first.next(1)); status != statusOK {
+	if status := d.firstOperator.order(0, d.firstOperator.next(1)); status != statusOK {
 		d.report("BEGIN", "the first configuration got status %d, want 200", status)
 	}
 	d.recordVersion(1)
@@ -77,9 +77,9 @@
 
 // startTraffic starts the calls of operators and clients, which continue until the day ends.
 func (d *day) startTraffic() {
-	d.every(orderInterval, func() { d.order(d.first) })
+	d.every(orderInterval, func() { d.order(d.firstOperator) })
 	d.every(readInterval, func() {
-		if read, ok := d.second.read(d.second.someController()); ok {
+		if read, ok := d.secondOperator.read(d.secondOperator.someController()); ok {
 			d.recordVersion(read.Number)
 		}
 	})
--- a/internal/tier/simulation/day_orders.go
+++ b/internal/tier/simulation/day_orders.go
@@ -20,7 +20,7 @@
 // raceOrders has two operators send orders on the same version at the same time; in half of the cases under the same number.
 func (d *day) raceOrders(fault Fault) {
 	base := d.knownVersion()
-	for i, o := range []*operator{d.first, d.second} {
+	for i, o := range []*operator{d.firstOperator, d.secondOperator} {
 		d.traffic.Go(func() {
 			number := base + 1 + uint64(i*(fault.Other%2))
 			if o.order(base, o.next(number)) == statusOK {
@@ -34,7 +34,7 @@
 func (d *day) sendInvalidOrders() {
 	d.traffic.Go(func() {
 		for _, body := range []string{`{"number":`, `{"number":99999,"routes":[{"name":"r","host":"h","startsWith":"/x/","service":"none"}]}`} {
-			status, _, _ := d.first.call(http.MethodPut, d.first.someController(), "/mastusher/settings", []byte(body), d.knownVersion())
+			status, _, _ := d.firstOperator.call(http.MethodPut, d.firstOperator.someController(), "/mastusher/settings", []byte(body), d.knownVersion())
 			if status == statusOK {
 				d.report("CONFIG", "an invalid order was acknowledged: %s", body)
 			}
@@ -47,7 +47,7 @@
 	d.traffic.Go(func() {
 		if orders := d.history.orders(); len(orders) > 0 {
 			repeated := orders[fault.Other%len(orders)]
-			d.second.put(d.second.someController(), repeated.Base, repeated.Content)
+			d.secondOperator.put(d.secondOperator.someController(), repeated.Base, repeated.Content)
 		}
 	})
 }
--- a/internal/tier/simulation/disk_seeds_test.go
+++ b/internal/tier/simulation/disk_seeds_test.go
@@ -14,7 +14,7 @@
 func TestStart_AllSeedsAreGone_MachinesMeetByTheirDisks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		// Given a fleet that has lost power, when the machines with a disk start with settings that name unreachable seeds,
-		f, orders, _ := newFleet(t, Options{Seed: 11})
+		f, operator, _ := newFleet(t, Options{Seed: 11})
 		if !f.waitUntil(startTimeout, func() bool { return f.completeShards() == 4 }) {
 			t.Fatal("not all 4 shards have all their replicas")
 		}
@@ -27,7 +27,7 @@
 		}
 		f.setSeeds(seeds)
 		// then they find one another: controllers accept an order, and replace the replicas of a store whose disk is lost.
-		if status := orders.order(1, orders.next(2)); status != statusOK {
+		if status := operator.order(1, operator.next(2)); status != statusOK {
 			t.Errorf("an order got status %d, want 200", status)
 		}
 		time.Sleep(catchUpTime)
--- a/internal/tier/simulation/fleet_test.go
+++ b/internal/tier/simulation/fleet_test.go
@@ -24,27 +24,27 @@
 		t.Fatal(err)
 	}
 	f.StartAll()
-	first, users := newOperator(f, "a"), newClients(f)
-	if status := first.order(0, first.next(1)); status != statusOK {
+	operator, users := newOperator(f, "a"), newClients(f)
+	if status := operator.order(0, operator.next(1)); status != statusOK {
 		t.Fatalf("the first configuration got status %d, want 200", status)
 	}
 	if !f.waitUntil(startTimeout, func() bool { return f.allReady(users) }) {
 		t.Fatal("not all proxies became ready in time")
 	}
 	f.goroutines.Go(users.pollReadiness)
-	return f, first, users
+	return f, operator, users
 }
 
 func TestFleet_Started_TakesConfigurationsAndServes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, orders, users := newFleet(t, Options{Seed: 1})
+		f, operator, users := newFleet(t, Options{Seed: 1})
 		if outcome := users.runProgram(4, 0, standin.Turn{}); outcome.State != standin.Finished {
 			t.Errorf("the program ended as %s, want finished: %+v", outcome.State, outcome)
 		}
-		if status := orders.order(1, orders.next(3)); status != statusOK {
+		if status := operator.order(1, operator.next(3)); status != statusOK {
 			t.Errorf("the second configuration got status %d, want 200", status)
 		}
-		if got, ok := orders.readBack(); !ok || got.Number != 3 {
+		if got, ok := operator.readBack(); !ok || got.Number != 3 {
 			t.Errorf("read back %v, want number 3", got)
 		}
 		f.Close()
--- a/internal/tier/simulation/recovery.go
+++ b/internal/tier/simulation/recovery.go
@@ -10,13 +10,13 @@
 
 // checkRecovery checks that the tier serves again once the faults are over.
 func (d *day) checkRecovery() {
-	read, ok := d.first.readBack()
+	read, ok := d.firstOperator.readBack()
 	if !ok {
 		d.report("RECOVER", "no read of the configuration succeeded in time")
 		return
 	}
-	last := d.first.next(read.Number + 1)
-	if status := d.first.order(read.Number, last); status != statusOK {
+	last := d.firstOperator.next(read.Number + 1)
+	if status := d.firstOperator.order(read.Number, last); status != statusOK {
 		d.report("RECOVER", "the last order got status %d, want 200", status)
 		return
 	}
--- a/internal/tier/simulation/scenarios_test.go
+++ b/internal/tier/simulation/scenarios_test.go
@@ -16,8 +16,8 @@
 	t.Helper()
 	var d *day
 	synctest.Test(t, func(t *testing.T) {
-		f, orders, users := newFleet(t, options)
-		d = &day{Fleet: f, first: orders, second: newOperator(f, "b"), clients: users}
+		f, operator, users := newFleet(t, options)
+		d = &day{Fleet: f, firstOperator: operator, secondOperator: newOperator(f, "b"), clients: users}
 		f.onAcknowledgement = d.onAcknowledgement
 		d.recordVersion(1)
 		scenario(t, d)
@@ -32,7 +32,7 @@
 // leaderOf sends an order and returns the controller that acknowledges it.
 func leaderOf(t *testing.T, d *day) *machine {
 	t.Helper()
-	if status := d.order(d.first); status != statusOK {
+	if status := d.order(d.firstOperator); status != statusOK {
 		t.Fatalf("an order got status %d, want 200", status)
 	}
 	for _, call := range d.history.orders() {
@@ -94,18 +94,18 @@
 				for range 4 { // read from the partitioned machine at random times
 					d.traffic.Go(func() {
 						for end := time.Now().Add(partitionTime); time.Now().Before(end); time.Sleep(d.jitter(staleReadInterval)) {
-							d.second.read(leader.address(controlPort))
+							d.secondOperator.read(leader.address(controlPort))
 						}
 					})
 				}
 				acknowledged, end := 0, time.Now().Add(partitionTime)
 				for time.Now().Before(end) {
-					if d.order(d.first) == statusOK {
+					if d.order(d.firstOperator) == statusOK {
 						acknowledged++
 					}
 					for range 3 { // directly to the partitioned machine
-						d.second.read(leader.address(controlPort))
-						if next := d.second.next(d.knownVersion() + 1); d.second.put(leader.address(controlPort), d.knownVersion(), next) == statusOK {
+						d.secondOperator.read(leader.address(controlPort))
+						if next := d.secondOperator.next(d.knownVersion() + 1); d.secondOperator.put(leader.address(controlPort), d.knownVersion(), next) == statusOK {
 							d.recordVersion(next.Number)
 						}
 					}
@@ -116,7 +116,7 @@
 					t.Errorf("%d orders were acknowledged during the partition, want at least 3", acknowledged)
 				}
 				time.Sleep(5 * time.Second)
-				if read, ok := d.second.read(leader.address(controlPort)); !ok || read.Number < d.knownVersion() {
+				if read, ok := d.secondOperator.read(leader.address(controlPort)); !ok || read.Number < d.knownVersion() {
 					t.Errorf("after the partition, the former leader still reads %v", read)
 				}
 			})
@@ -131,21 +131,21 @@
 	runScenario(t, Options{Seed: 12}, func(t *testing.T, d *day) {
 		leader := leaderOf(t, d)
 		base := d.knownVersion()
-		ordered := d.first.next(base + 2)
+		ordered := d.firstOperator.next(base + 2)
 		d.setAckLossRate(1)
-		d.first.put(leader.address(controlPort), base, ordered)
+		d.firstOperator.put(leader.address(controlPort), base, ordered)
 		d.setAckLossRate(0)
 		leader.kill()
-		if status := d.first.order(base, ordered); status != statusOK {
+		if status := d.firstOperator.order(base, ordered); status != statusOK {
 			t.Errorf("the duplicate got status %d, want 200", status)
 		}
 		d.recordVersion(base + 2)
 		leader.startAll()
 		for range 100 {
-			d.order(d.first)
+			d.order(d.firstOperator)
 		}
 		for _, m := range d.machinesOf(coreClass) {
-			if status := d.second.put(m.address(controlPort), base, ordered); status != statusOK {
+			if status := d.secondOperator.put(m.address(controlPort), base, ordered); status != statusOK {
 				t.Errorf("the late duplicate at %s got status %d, want 200", m.name, status)
 			}
 		}
@@ -165,7 +165,7 @@
 			base := d.knownVersion()
 			statuses := make([]int, 2)
 			var both sync.WaitGroup
-			for i, o := range []*operator{d.first, d.second} {
+			for i, o := range []*operator{d.firstOperator, d.secondOperator} {
 				both.Go(func() { statuses[i] = o.order(base, o.next(base+1)) })
 			}
 			both.Wait()
@@ -206,10 +206,10 @@
 					if state := continueProgram(d, last); state != standin.Finished {
 						t.Errorf("a program that continues an earlier turn ended as %s, want finished", state)
 					}
-					if read, ok := d.first.readBack(); !ok || read.Number != d.knownVersion() {
+					if read, ok := d.firstOperator.readBack(); !ok || read.Number != d.knownVersion() {
 						t.Errorf("read back %v, want %d", read, d.knownVersion())
 					}
-					if status := d.order(d.first); status != statusOK {
+					if status := d.order(d.firstOperator); status != statusOK {
 						t.Errorf("an order got status %d, want 200", status)
 					}
 				})
@@ -236,12 +236,12 @@
 		paddingBytes = 8 << 10 // large enough that the log is compacted, so that the lagging controller needs a snapshot
 	)
 	runScenario(t, Options{Seed: 15}, func(t *testing.T, d *day) {
-		d.first.paddingBytes = paddingBytes
+		d.firstOperator.paddingBytes = paddingBytes
 		leader := leaderOf(t, d)
 		lagging := otherControllers(d, leader)[0]
 		lagging.losePower(1)
 		for range changes {
-			if status := d.order(d.first); status != statusOK {
+			if status := d.order(d.firstOperator); status != statusOK {
 				t.Fatalf("an order got status %d, want 200", status)
 			}
 		}
@@ -251,11 +251,11 @@
 		time.Sleep(time.Second)
 		lagging.startAll()
 		for end := time.Now().Add(3 * time.Second); time.Now().Before(end); {
-			d.second.read(lagging.address(controlPort))
+			d.secondOperator.read(lagging.address(controlPort))
 			time.Sleep(initialBackoff)
 		}
 		d.StartAll()
-		if read, ok := d.first.readBack(); !ok || read.Number != d.knownVersion() {
+		if read, ok := d.firstOperator.readBack(); !ok || read.Number != d.knownVersion() {
 			t.Errorf("read back %v, want %d", read, d.knownVersion())
 		}
 		// A machine that is back counts as lost for catchUpTime. The lagging controller must catch up within it, so that the group then
@@ -263,10 +263,10 @@
 		for _, lost := range otherControllers(d, lagging) {
 			time.Sleep(catchUpTime)
 			lost.loseDisk(3)
-			if status := d.order(d.first); status != statusOK {
+			if status := d.order(d.firstOperator); status != statusOK {
 				t.Errorf("with the controller that lagged in the quorum, an order got status %d, want 200", status)
 			}
-			if read, ok := d.first.readBack(); !ok || read.Number != d.knownVersion() {
+			if read, ok := d.firstOperator.readBack(); !ok || read.Number != d.knownVersion() {
 				t.Errorf("read back %v, want %d", read, d.knownVersion())
 			}
 			lost.startAll()
