--- a/internal/relay/engine/governor.go
+++ b/internal/relay/engine/governor.go
@@ -59,10 +59,10 @@
 	if mandate.Version != before.Version {
 		core.recordNote(now, "another policy is in force")
 	}
-	if len(mandate.ClassValues) > 0 || len(mandate.Quotas) > 0 {
-		core.policy.Reconfigure(mandate.ClassValues, mandate.Quotas)
+	if len(mandate.Worth) > 0 || len(mandate.Quotas) > 0 {
+		core.policy.Reconfigure(mandate.Worth, mandate.Quotas)
 	}
-	if !slices.Equal(mandate.BlockedPartners, before.BlockedPartners) || !slices.Equal(mandate.PartnerRateLimits, before.PartnerRateLimits) {
+	if !slices.Equal(mandate.Shut, before.Shut) || !slices.Equal(mandate.Most, before.Most) {
 		core.reportLimited(before)
 	}
 	if mandate.Halted != 0 && mandate.Halted != before.Halted {
@@ -80,7 +80,7 @@
 	listed := control.Event{Kind: control.Listed}
 	for _, number := range slices.Sorted(maps.Keys(c.destinations)) {
 		d := c.destinations[number]
-		if before.Blocks(d.Partner) != c.isShut(d.Partner) || before.RateLimitTo(d.Partner) != c.mandate.RateLimitTo(d.Partner) {
+		if before.Shuts(d.Partner) != c.isShut(d.Partner) || before.RateLimitTo(d.Partner) != c.mandate.RateLimitTo(d.Partner) {
 			listed.Endpoints = append(listed.Endpoints, c.moduleEndpoint(number, d))
 		}
 	}
@@ -97,7 +97,7 @@
 }
 
 // isShut reports whether an operator has shut a partner.
-func (c *Core) isShut(partner int) bool { return c.mandate.Blocks(partner) }
+func (c *Core) isShut(partner int) bool { return c.mandate.Shuts(partner) }
 
 // mayAct reports whether the relay may accept messages and start attempts.
 func (c *Core) mayAct(now time.Time) bool {
@@ -108,8 +108,8 @@
 // settings limit them.
 func (c *Core) maxAttempts(e *journal.Entry) int {
 	limit := e.MaxAttempts
-	if c.mandate != nil && e.Class < len(c.mandate.MaxAttempts) {
-		if now := c.mandate.MaxAttempts[e.Class]; now > 0 && (limit == 0 || now < limit) {
+	if c.mandate != nil && e.Class < len(c.mandate.Attempts) {
+		if now := c.mandate.Attempts[e.Class]; now > 0 && (limit == 0 || now < limit) {
 			limit = now
 		}
 	}
@@ -139,7 +139,7 @@
 	if c.mandate == nil {
 		return
 	}
-	if c.mandate.StampsAttempts {
+	if c.mandate.Stamp {
 		attempt.PolicyVersion = c.mandate.Version
 	}
 	if end := c.fromModuleTime(c.mandate.Until); attempt.WriteBefore.IsZero() || end.Before(attempt.WriteBefore) {
--- a/internal/relay/engine/governor_test.go
+++ b/internal/relay/engine/governor_test.go
@@ -64,7 +64,7 @@
 	if verdict, _ := relay.verdict("a", 0, 7); verdict != Busy {
 		t.Errorf("verdict without a lease: %v, want Busy", verdict)
 	}
-	relay.govern(capture.Mandate{Version: 3, StampsAttempts: true}, time.Second)
+	relay.govern(capture.Mandate{Version: 3, Stamp: true}, time.Second)
 	if verdict, _ := relay.verdict("b", 0, 7); verdict != Accepted {
 		t.Errorf("verdict under a lease: %v, want Accepted", verdict)
 	}
@@ -80,11 +80,11 @@
 	if verdict, _ := relay.verdict("c", 0, 7); verdict != Busy {
 		t.Errorf("verdict after the lease: %v, want Busy", verdict)
 	}
-	relay.govern(capture.Mandate{Version: 3, RefusesNew: true}, time.Second)
+	relay.govern(capture.Mandate{Version: 3, Closed: true}, time.Second)
 	if verdict, _ := relay.verdict("d", 0, 7); verdict != Busy {
 		t.Errorf("verdict under a closed mandate: %v, want Busy", verdict)
 	}
-	relay.govern(capture.Mandate{Version: 3, BlockedPartners: []int{7}}, time.Second)
+	relay.govern(capture.Mandate{Version: 3, Shut: []int{7}}, time.Second)
 	if verdict, _ := relay.verdict("e", 0, 7); verdict != Busy {
 		t.Errorf("verdict for a partner that is shut: %v, want Busy", verdict)
 	}
@@ -97,11 +97,11 @@
 // decides on during the halt start after it.
 func TestMandate_Halted_AttemptsWaitAndUnwrittenAreRecalled(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
-	relay.govern(capture.Mandate{Version: 1, StampsAttempts: true}, 5*time.Second)
+	relay.govern(capture.Mandate{Version: 1, Stamp: true}, 5*time.Second)
 	a, _ := relay.arrival("a", 1, 8, 9*time.Second)
 	relay.turnAfter(5*time.Millisecond, a)
 	first := <-relay.front.attempts // connecting, nothing is written
-	halted := relay.govern(capture.Mandate{Version: 1, StampsAttempts: true, Halted: 2}, 5*time.Second)
+	halted := relay.govern(capture.Mandate{Version: 1, Stamp: true, Halted: 2}, 5*time.Second)
 	if !*halted {
 		t.Error("SetMandate's callback was not called after the relay was halted")
 	}
@@ -112,7 +112,7 @@
 	relay.turnAfter(20 * time.Millisecond)
 	relay.turnAfter(20 * time.Millisecond)
 	relay.wantNoCall("halted")
-	relay.govern(capture.Mandate{Version: 2, StampsAttempts: true}, 5*time.Second)
+	relay.govern(capture.Mandate{Version: 2, Stamp: true}, 5*time.Second)
 	next := <-relay.front.attempts
 	if next.PolicyVersion != 2 || next.Items[0].ID != "a" || !next.MayWriteAt(relay.now) {
 		t.Errorf("after the halt the call is %+v, want message a under version 2", next)
@@ -193,7 +193,7 @@
 	for _, test := range []struct{ accepted, afterRestart, want int }{{1, 0, 1}, {0, 1, 1}, {2, 1, 1}, {1, 2, 1}} {
 		dir := t.TempDir()
 		relay := newHarness(t, dir, time.Now())
-		relay.govern(capture.Mandate{Version: 1, MaxAttempts: []int{0, test.accepted}}, time.Hour)
+		relay.govern(capture.Mandate{Version: 1, Attempts: []int{0, test.accepted}}, time.Hour)
 		a, _ := relay.arrival("a", 1, 8, 20*time.Second)
 		relay.turnAfter(5*time.Millisecond, a)
 		if !(<-relay.front.attempts).MayWrite() { // the call is being written when the process ends
@@ -204,7 +204,7 @@
 			core.SetShell(shell)
 			core.SetMandate(Mandate{}, nil)
 		})
-		relay.govern(capture.Mandate{Version: 2, MaxAttempts: []int{0, test.afterRestart}}, time.Hour)
+		relay.govern(capture.Mandate{Version: 2, Attempts: []int{0, test.afterRestart}}, time.Hour)
 		for range 400 {
 			relay.turnAfter(20*time.Millisecond, relay.core.drainQueue(nil)...)
 		}
@@ -219,7 +219,7 @@
 func TestLease_PartnerLimitedByHand_WaitingAttemptsArePaced(t *testing.T) {
 	relay := newHarness(t, t.TempDir(), time.Now())
 	rateLimits := []capture.PartnerRateLimit{{Partner: 8, Limit: 4}} // one call per 250 ms, since the settings have one relay
-	relay.govern(capture.Mandate{Version: 1, PartnerRateLimits: rateLimits}, 200*time.Millisecond)
+	relay.govern(capture.Mandate{Version: 1, Most: rateLimits}, 200*time.Millisecond)
 	calls, items := 0, 0
 	answerPending := func() {
 		relay.answerCalls(10*time.Millisecond, func(attempt *Attempt) []Outcome {
@@ -239,7 +239,7 @@
 	}
 	answerPending()
 	before := calls
-	relay.govern(capture.Mandate{Version: 1, PartnerRateLimits: rateLimits}, time.Hour)
+	relay.govern(capture.Mandate{Version: 1, Most: rateLimits}, time.Hour)
 	relay.turnAfter(time.Millisecond)
 	answerPending()
 	if burst := calls - before; burst > 1 {
--- a/internal/relay/engine/random_run_test.go
+++ b/internal/relay/engine/random_run_test.go
@@ -203,15 +203,15 @@
 	if !run.inFleet || turn <= 2 || rng.IntN(8) != 0 {
 		return
 	}
-	mandate := Mandate{Mandate: capture.Mandate{Version: uint64(turn / 40), ClassValues: []float64{1 + rng.Float64(), 3}, MaxAttempts: []int{rng.IntN(4), 0}},
+	mandate := Mandate{Mandate: capture.Mandate{Version: uint64(turn / 40), Worth: []float64{1 + rng.Float64(), 3}, Attempts: []int{rng.IntN(4), 0}},
 		Until: run.shell.now.Add(time.Duration(rng.IntN(900)-100) * time.Millisecond)}
 	switch rng.IntN(5) {
 	case 0:
 		mandate.Halted = mandate.Version + 1
 	case 1:
-		mandate.BlockedPartners = []int{8}
+		mandate.Shut = []int{8}
 	case 2:
-		mandate.RefusesNew, mandate.StampsAttempts = true, true
+		mandate.Closed, mandate.Stamp = true, true
 	}
 	run.core.SetMandate(mandate, nil)
 }
--- a/internal/relay/engine/replay.go
+++ b/internal/relay/engine/replay.go
@@ -149,8 +149,8 @@
 	}
 	c.recorder, c.shell, c.keepActions = &r.recorded, inertShell{}, true
 	c.restoreState(state, func(f capture.FrontState) Front { return recordedFront{f.NotifiesDeliveries} })
-	if mandate := state.Mandate; mandate != nil && (len(mandate.ClassValues) > 0 || len(mandate.Quotas) > 0) {
-		c.policy.Reconfigure(mandate.ClassValues, mandate.Quotas)
+	if mandate := state.Mandate; mandate != nil && (len(mandate.Worth) > 0 || len(mandate.Quotas) > 0) {
+		c.policy.Reconfigure(mandate.Worth, mandate.Quotas)
 	}
 	for _, ref := range slices.Sorted(maps.Keys(c.messages)) {
 		memory.Restore(c.messages[ref].entry)
--- a/internal/relay/engine/submit.go
+++ b/internal/relay/engine/submit.go
@@ -97,7 +97,7 @@
 func (c *Core) refusesNow(a *arrival, now time.Time) bool {
 	return c.fronts[a.front] == nil || !c.drainAt.IsZero() ||
 		now.Sub(a.submittedAt) > c.limits.AnswerWithin || // the client would submit a second copy elsewhere
-		!c.mayAct(now) || c.mandate != nil && c.mandate.RefusesNew || a.stale(c)
+		!c.mayAct(now) || c.mandate != nil && c.mandate.Closed || a.stale(c)
 }
 
 // lacksCapacityFor reports whether the relay has no capacity for the message, or no destination of its partner that it may call.
--- a/internal/relay/fleet/peer/rules.go
+++ b/internal/relay/fleet/peer/rules.go
@@ -143,7 +143,7 @@
 	out := capture.Mandate{Version: s.Version, Halted: s.Halted}
 	set := &cfg.Settings
 	for i := range set.Classes {
-		out.ClassValues = append(out.ClassValues, set.Classes[i].Value)
+		out.Worth = append(out.Worth, set.Classes[i].Value)
 	}
 	for _, t := range set.Tenants {
 		out.Quotas = append(out.Quotas, t.Quota)
@@ -155,12 +155,12 @@
 	if err != nil {
 		return out, err
 	}
-	out.StampsAttempts, out.RefusesNew = d.Stamp, !d.AcceptsMessages(cfg.Peers.Name)
-	out.MaxAttempts = make([]int, len(set.Classes))
+	out.Stamp, out.Closed = d.Stamp, !d.AcceptsMessages(cfg.Peers.Name)
+	out.Attempts = make([]int, len(set.Classes))
 	for i := range set.Classes {
 		c := d.Classes[set.Classes[i].Name]
-		if out.MaxAttempts[i] = c.Attempts; c.Value != nil {
-			out.ClassValues[i] = *c.Value
+		if out.Attempts[i] = c.Attempts; c.Value != nil {
+			out.Worth[i] = *c.Value
 		}
 	}
 	for i, name := range set.TenantNames {
@@ -174,13 +174,13 @@
 			continue // Parse has checked it
 		}
 		if p.Shut {
-			out.BlockedPartners = append(out.BlockedPartners, n)
+			out.Shut = append(out.Shut, n)
 		}
 		if p.Limit > 0 {
-			out.PartnerRateLimits = append(out.PartnerRateLimits, capture.PartnerRateLimit{Partner: n, Limit: p.Limit})
+			out.Most = append(out.Most, capture.PartnerRateLimit{Partner: n, Limit: p.Limit})
 		}
 	}
-	slices.Sort(out.BlockedPartners)
-	slices.SortFunc(out.PartnerRateLimits, func(a, b capture.PartnerRateLimit) int { return cmp.Compare(a.Partner, b.Partner) })
+	slices.Sort(out.Shut)
+	slices.SortFunc(out.Most, func(a, b capture.PartnerRateLimit) int { return cmp.Compare(a.Partner, b.Partner) })
 	return out, nil
 }
