--- a/internal/tier/configuration/history.go
+++ b/internal/tier/configuration/history.go
@@ -83,7 +83,7 @@
 	for len(raw) > 0 {
 		difference, size := binary.Uvarint(raw)
 		if size <= 0 || difference == 0 || len(raw) < size+len(fingerprint{}) {
-			return history{}, fmt.Errorf("%w: entry %d is truncated or has an invalid number", ErrCorruptHistory, len(decoded.entries))
+			return history{}, fmt.Errorf("%w: entry %d is truncated or malformed, or its number is not above the previous one", ErrCorruptHistory, len(decoded.entries))
 		}
 		number += difference
 		e := historyEntry{number: number}
--- a/internal/tier/controller/balance_test.go
+++ b/internal/tier/controller/balance_test.go
@@ -57,7 +57,7 @@
 }
 
 func TestBalance_StoresCome_ReplicasMoveOneAtATime(t *testing.T) {
-	// Given four stores that hold all replicas, and turns of programs,
+	// Given four stores that hold all replicas, and some turns on each shard,
 	cluster := newCluster(t, 4)
 	cluster.awaitPlacement()
 	turns := turnsOf(cluster, 0)
--- a/internal/tier/controller/decommission_api_test.go
+++ b/internal/tier/controller/decommission_api_test.go
@@ -34,7 +34,7 @@
 func TestDecommissionAPI_Statuses(t *testing.T) {
 	down := func(m membership.Member) membership.Member { m.State = membership.StateDead; return m }
 	const path = "/mastusher/retire/storage-1"
-	const untilComplete = 13 * time.Second // after its election a leader's view of the members is complete
+	const untilComplete = 13 * time.Second // time after its election at which a leader's view of the members is complete
 	tests := []struct {
 		name        string
 		members     []membership.Member
--- a/internal/tier/controller/decommission_duplicates_test.go
+++ b/internal/tier/controller/decommission_duplicates_test.go
@@ -59,7 +59,7 @@
 		t.Errorf("the result of a duplicate is %v", got)
 	}
 
-	// And the same after the machine has been removed, when no controller has seen it since its start.
+	// It is also acknowledged after the machine has been removed and all controllers have restarted without seeing it.
 	cluster.storage(1).kill()
 	delete(cluster.machines, storeMember(1).Address)
 	for _, m := range cluster.sorted() {
--- a/internal/tier/controller/list_reader.go
+++ b/internal/tier/controller/list_reader.go
@@ -29,7 +29,7 @@
 	delegate      string    // address of the controller that reads for the leader; empty: none
 	delegateWorks bool      // the delegate's last read succeeded
 	localRetryAt  time.Time // when the leader's next attempt is due, while there is a delegate
-	nextDelegate  int       // counts the delegates chosen
+	nextDelegate  int       // number of delegates chosen so far, to choose the peers in turn
 }
 
 // next returns the address of the controller that should read next, empty for the leader, and the time-out of the read.
--- a/internal/tier/controller/options.go
+++ b/internal/tier/controller/options.go
@@ -24,7 +24,7 @@
 type Fleet interface {
 	// Members returns all known members, by name.
 	Members() []membership.Member
-	// Publish spreads an update, unless a newer one of its section is known.
+	// Publish spreads an update by gossip, unless a newer update of the same section is known.
 	Publish(update view.Update)
 }
 
--- a/internal/tier/controller/partition_history_test.go
+++ b/internal/tier/controller/partition_history_test.go
@@ -16,7 +16,7 @@
 // sentOrder is an order for a configuration, a roll-out or a decommissioning. base is used for configurations only.
 type sentOrder struct {
 	base, number uint64
-	at           time.Time // when it was first sent; for a decommissioning: since when controllers know the machine
+	at           time.Time // when it was first sent; for a decommissioning: when the controllers have learned of the machine
 	accepted     bool      // for a configuration: whether the group accepted it, by its final state
 }
 
@@ -233,7 +233,8 @@
 
 func (o *sentOrder) target() string { return fmt.Sprintf("v%d", o.number) }
 
-// verifyDecommissions checks the responses about machines that may be drained, since enough always remain.
+// verifyDecommissions checks the responses to decommissioning requests. None may be rejected for lack of machines, since enough
+// always remain.
 func (h *callHistory) verifyDecommissions() {
 	acknowledged := map[string]*lowerBounds{}
 	for _, a := range h.results {
--- a/internal/tier/controller/publish.go
+++ b/internal/tier/controller/publish.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// UnpublishedSections returns an update for each section of the committed state whose stamp isn't the published one.
+// UnpublishedSections returns an update for each section of the committed state whose stamp differs from the one in published.
 func (s *StateMachine) UnpublishedSections(published view.Digest) ([]view.Update, error) {
 	var updates []view.Update
 	isNew := func(section view.Section, index uint64) bool {
--- a/internal/tier/controller/race_off_test.go
+++ b/internal/tier/controller/race_off_test.go
@@ -2,7 +2,7 @@
 
 package controller
 
-// pairStride is the interval at which pairs of faults are run; the others are skipped.
+// pairStride selects the pairs of faults that are run: one in pairStride, and the others are skipped.
 const pairStride = 1
 
 // raceEnabled reports whether the race detector is on, which makes long scenarios slow.
--- a/internal/tier/controller/rollout_analysis.go
+++ b/internal/tier/controller/rollout_analysis.go
@@ -18,7 +18,7 @@
 	analysisInterval = 150 * time.Millisecond
 	decideTimeout    = time.Second            // for the group to commit a decision or a version
 	commitDelay      = 100 * time.Millisecond // approximate time from sending an order until members apply it
-	reportTimeout    = 2 * time.Second        // within which each proxy that knows of a roll-out reports
+	reportTimeout    = 2 * time.Second        // longest time until a proxy that knows of a roll-out has reported on it
 )
 
 // analysisLoop evaluates the roll-outs in service while this member is the leader.
--- a/internal/tier/controller/server_test.go
+++ b/internal/tier/controller/server_test.go
@@ -49,7 +49,7 @@
 func TestServeUntil_RequestInFlight_CompletesWithinTheShutdown(t *testing.T) {
 	cases := []struct {
 		name      string
-		takes     time.Duration // of the request, from the end of ctx on
+		takes     time.Duration // how long the request still takes once ctx is canceled
 		completes bool
 	}{
 		{"a short one gets its response", shutdownTimeout / 2, true},
--- a/internal/tier/decommission/drained.go
+++ b/internal/tier/decommission/drained.go
@@ -10,7 +10,7 @@
 type GroupStatus struct {
 	Term           uint64
 	PlacementIndex uint64   // log index of the newest placement that the group follows
-	Members        []string // identities, voters and learners
+	Members        []string // identities of all members, voters and learners
 	CaughtUp       []string // identities of the voters that have all but the newest entries
 }
 
@@ -21,8 +21,8 @@
 }
 
 // IsDrained reports whether nothing depends on the store any more: the group of each shard consists of exactly the replicas of
-// the placement, as many as replicationFactor, all of them voters and caught up, and none of them is the store's. The status of
-// a group that follows an older or a newer placement proves nothing; a missing status proves nothing either.
+// the placement, as many as replicationFactor, all of them voters and caught up, and none of them is the store's. It is false if a
+// group's status is missing or follows an older or a newer placement.
 func IsDrained(operation Operation, placement Placement, groups map[int]GroupStatus, replicationFactor int) bool {
 	if len(placement.Shards) == 0 {
 		return false
--- a/internal/tier/group/compaction.go
+++ b/internal/tier/group/compaction.go
@@ -144,7 +144,7 @@
 	}
 	g.cancelCompaction()
 	<-g.compaction.written
-	g.disk.AbandonCompaction(g.compaction.disk) // otherwise the slot would still count as in use
+	g.disk.AbandonCompaction(g.compaction.disk) // frees the slot, which would otherwise still count as in use
 	g.compaction = nil
 }
 
--- a/internal/tier/group/iteration.go
+++ b/internal/tier/group/iteration.go
@@ -133,7 +133,7 @@
 	return results
 }
 
-// replay applies a command that another process proposed, so that its result isn't needed.
+// replay applies a command whose result isn't needed here, since another process proposed it.
 func (g *Group) replay(index uint64, command json.RawMessage) {
 	if replayer, ok := g.options.StateMachine.(Replayer); ok {
 		replayer.Replay(index, command)
--- a/internal/tier/group/recovery.go
+++ b/internal/tier/group/recovery.go
@@ -61,7 +61,8 @@
 	return nil
 }
 
-// writeInitialSnapshot saves a snapshot with the initial members at the first start, so that later starts don't need the option.
+// writeInitialSnapshot saves a snapshot with the initial members at the first start, so that later starts don't need
+// Options.Replica.InitialMembers.
 func (g *Group) writeInitialSnapshot(disk *storage.Group, recovered *replica.Recovered) error {
 	empty := recovered.Snapshot == nil && len(recovered.Entries) == 0 && recovered.HardState == replica.HardState{}
 	if !empty || len(g.options.Replica.InitialMembers) == 0 {
--- a/internal/tier/replica/checker_test.go
+++ b/internal/tier/replica/checker_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// committed checks an entry that a member is about to apply.
+// committed checks that an entry which a member is about to apply is the next one, and the same as on the other members.
 func (c *checker) committed(n *node, entry Entry) {
 	if entry.Index != n.machine.Index+1 {
 		c.fail("%s applies entry %d after entry %d", n.id, entry.Index, n.machine.Index)
--- a/internal/tier/replica/explore_state_test.go
+++ b/internal/tier/replica/explore_state_test.go
@@ -14,7 +14,7 @@
 	campaigns, heartbeats, crashes, proposals, duplicates int
 }
 
-// systemState is one state of three members and the messages between them during an exploration.
+// systemState is one state reached by an exploration: three members and the messages in flight between them.
 type systemState struct {
 	members   [3]exploredMember
 	inflight  []inflightMessage // sorted by key
--- a/internal/tier/replica/mutants_test.go
+++ b/internal/tier/replica/mutants_test.go
@@ -122,7 +122,7 @@
 	},
 }
 
-// readMutants resolve reads that have not been confirmed.
+// readMutants are mutants in which the leader resolves reads that have not been confirmed.
 var readMutants = []mutation.Mutant{
 	{
 		Name: "reads without ReadIndex",
--- a/internal/tier/replica/raft.go
+++ b/internal/tier/replica/raft.go
@@ -38,7 +38,7 @@
 	configurations configurationHistory
 
 	incoming  incomingSnapshot  // snapshot that is being received
-	postponed postponedSnapshot // snapshot that the caller had no capacity for
+	postponed postponedSnapshot // snapshot that waits until the caller has capacity to receive it
 
 	commit  uint64 // last entry known to be committed
 	applied uint64 // last entry returned in Ready.CommittedEntries; never greater than commit
--- a/internal/tier/replica/ready.go
+++ b/internal/tier/replica/ready.go
@@ -58,11 +58,11 @@
 	MessagesBeforeSync []Message     // may be sent before the sync
 	HardState          *HardState    // to be saved; nil: unchanged
 	ReceivedChunks     []Chunk       // of a snapshot, to be written after the earlier ones; number 0 begins a new snapshot
-	Snapshot           *Snapshot     // completely received: replaces the saved snapshot and all entries, and the state machine's state
+	Snapshot           *Snapshot     // a completely received one, which replaces the saved snapshot, all entries and the state machine's state
 	TruncateFrom       uint64        // if greater than 0: saved entries from this index on are discarded
 	Entries            []Entry       // to be saved
 	MessagesAfterSync  []Message     // must not be sent before the sync
 	CommittedEntries   []Entry       // to be applied in order; includes entries of all kinds
 	Outcomes           []Outcome     // to be reported after CommittedEntries have been applied
-	NextWake           time.Duration // latest time of the next Step, on the clock that is passed to Step
+	NextWake           time.Duration // time by which Step must be called again, on the clock that is passed to Step
 }
--- a/internal/tier/storage/check.go
+++ b/internal/tier/storage/check.go
@@ -20,7 +20,7 @@
 	}
 	if ready.TruncateFrom > 0 {
 		if ready.TruncateFrom <= snapshotIndex {
-			return 0, 0, fmt.Errorf("%w: truncation at %d, within the snapshot up to %d", ErrInvalidChange, ready.TruncateFrom, snapshotIndex)
+			return 0, 0, fmt.Errorf("%w: truncation from entry %d, but the snapshot contains the entries up to %d", ErrInvalidChange, ready.TruncateFrom, snapshotIndex)
 		}
 		lastIndex = min(lastIndex, ready.TruncateFrom-1)
 	}
@@ -48,10 +48,10 @@
 // votes at most once per term).
 func checkHardState(saved, next replica.HardState) error {
 	if next.Term < saved.Term {
-		return fmt.Errorf("%w: term %d after term %d", ErrInvalidChange, next.Term, saved.Term)
+		return fmt.Errorf("%w: term %d is lower than the saved term %d", ErrInvalidChange, next.Term, saved.Term)
 	}
 	if next.Term == saved.Term && saved.Vote != "" && next.Vote != saved.Vote {
-		return fmt.Errorf("%w: vote for %q in term %d after a vote for %q", ErrInvalidChange, next.Vote, next.Term, saved.Vote)
+		return fmt.Errorf("%w: vote for %q in term %d, but the saved vote in this term is for %q", ErrInvalidChange, next.Vote, next.Term, saved.Vote)
 	}
 	return nil
 }
--- a/internal/tier/storage/failure_test.go
+++ b/internal/tier/storage/failure_test.go
@@ -240,7 +240,7 @@
 	}
 }
 
-// Given two groups of which one name is a prefix of the other, and unrelated files with similar names, when the groups are used, then
+// Given two groups, the name of one a prefix of the other's, and unrelated files with similar names, when the groups are used, then
 // each uses only its own files.
 func TestOpen_GroupsWithLikeNames_KeepTheirOwnFiles(t *testing.T) {
 	disk := memorydisk.New()
--- a/internal/tier/storage/format_test.go
+++ b/internal/tier/storage/format_test.go
@@ -89,7 +89,7 @@
 	return group
 }
 
-// formatCrashed calls act, which saves or compacts, in a process that crashes at a change to the disk.
+// formatCrashed calls act, which saves or compacts, in a process that crashes at the given change to the disk.
 func formatCrashed(t *testing.T, disk *memorydisk.Disk, change int, effect memorydisk.Effect, act func() error) {
 	t.Helper()
 	disk.CrashAt(change, effect)
--- a/internal/tier/storage/replay.go
+++ b/internal/tier/storage/replay.go
@@ -54,7 +54,7 @@
 		return nil, payload, nil
 	}
 	if rec.Size < 0 || rec.Size > len(payload) {
-		return nil, nil, fmt.Errorf("%w: size %d, but the payload has %d bytes left", errBadRecord, rec.Size, len(payload))
+		return nil, nil, fmt.Errorf("%w: entry data of %d bytes, but the payload has %d bytes left", errBadRecord, rec.Size, len(payload))
 	}
 	if rec.Size > 0 {
 		data = payload[:rec.Size:rec.Size]
@@ -81,7 +81,7 @@
 		return r.truncate(rec.Index)
 	case entryRecord:
 		if rec.Index != r.lastIndex()+1 {
-			return fmt.Errorf("%w: entry %d after entry %d", errBadRecord, rec.Index, r.lastIndex())
+			return fmt.Errorf("%w: entry %d does not directly follow entry %d", errBadRecord, rec.Index, r.lastIndex())
 		}
 		entry := replica.Entry{Index: rec.Index, Term: rec.Term, Kind: rec.EntryKind, Data: data}
 		r.Entries = append(r.Entries, entry)
@@ -94,7 +94,7 @@
 // truncate removes the entries from an index on.
 func (r *replayState) truncate(index uint64) error {
 	if index <= r.snapshotIndex() {
-		return fmt.Errorf("%w: truncation at %d, within the snapshot up to %d", errBadRecord, index, r.snapshotIndex())
+		return fmt.Errorf("%w: truncation from entry %d, but the snapshot contains the entries up to %d", errBadRecord, index, r.snapshotIndex())
 	}
 	if index <= r.lastIndex() {
 		r.Entries = r.Entries[:index-r.snapshotIndex()-1]
--- a/internal/tier/view/view.go
+++ b/internal/tier/view/view.go
@@ -99,7 +99,7 @@
 	InitialAllowance float64 `json:"extra,omitempty"`  // requests above TrafficShare that each proxy may send to Target at first
 }
 
-// Placement is the section of the shards.
+// Placement is the content of PlacementSection: the replicas that each shard should have.
 type Placement struct {
 	Shards []ShardPlacement `json:"shards"` // the index is the shard's number
 }
--- a/internal/tier/viewfeed/feed.go
+++ b/internal/tier/viewfeed/feed.go
@@ -132,7 +132,7 @@
 		return err
 	}
 	if current := f.routes.Load(); current != nil && configuration.Version < current.ConfigurationVersion {
-		return fmt.Errorf("configuration number %d is lower than %d, which is in force", configuration.Version, current.ConfigurationVersion)
+		return fmt.Errorf("configuration number %d is lower than number %d of the configuration in force", configuration.Version, current.ConfigurationVersion)
 	}
 	f.routes.Store(proxy.NewRoutes(configuration))
 	level.Info(f.logger).Log("msg", "configuration in force", "number", configuration.Version)
