--- a/internal/relay/engine/attempt.go
+++ b/internal/relay/engine/attempt.go
@@ -32,7 +32,7 @@
 	PolicyVersion uint64        // version of the policy that the call carries; 0 if it carries none
 
 	number      uint64
-	scheduledAt time.Time     // when the module decided on it
+	scheduledAt time.Time     // start of the turn in which the module decided to make the attempt
 	startAfter  time.Time     // earliest start, to respect the partner's rate limit; zero if it need not wait
 	sampleBytes int           // bytes of the answer's body that the inspector wants; below 0 if it does not want the answer
 	sampled     *AnswerSample // the answer as the inspector sees it, or nil; set by the attempt's goroutine
@@ -83,8 +83,8 @@
 	Limit      float64       // the destination's rate limit
 }
 
-// joins reports whether m can share the call of attempt. The call is bounded by the destination kind's number of messages and by the size
-// of a body, in Base64, and all of its messages must have the same headers.
+// joins reports whether m can share the call of attempt. A call carries at most MaxMessagesPerCall messages of the destination's kind, its
+// estimated body, with the messages in Base64, must fit into Limits.BodySize, and all of its messages must have the same headers.
 func (c *Core) joins(attempt *Attempt, m *message) bool {
 	perCall := 1
 	if kind := slices.Index(c.settings.KindNames, attempt.To.Kind); kind >= 0 && kind < len(c.settings.Kinds) {
--- a/internal/relay/engine/ended.go
+++ b/internal/relay/engine/ended.go
@@ -15,7 +15,7 @@
 	oldestFirst []endedMessage
 }
 
-// endedMessage is one entry of endedMessages.
+// endedMessage identifies an answer in endedMessages.verdicts and dates it, so that the oldest answers can be dropped first.
 type endedMessage struct {
 	key string    // front name and message id
 	at  time.Time // when it ended
--- a/internal/relay/engine/governor_test.go
+++ b/internal/relay/engine/governor_test.go
@@ -108,7 +108,7 @@
 	if first.MayWriteAt(relay.now) {
 		t.Error("a call that had written nothing may be written after the relay was halted")
 	}
-	relay.answer(Outcome{Result: control.NotProcessed}) // the module sends the message again at once
+	relay.answer(Outcome{Result: control.NotProcessed}) // the module decides on the next attempt at once
 	relay.turnAfter(20 * time.Millisecond)
 	relay.turnAfter(20 * time.Millisecond)
 	relay.wantNoCall("halted")
--- a/internal/relay/engine/message.go
+++ b/internal/relay/engine/message.go
@@ -40,7 +40,7 @@
 	Verdict    Verdict
 	RetryAfter time.Duration // with Busy
 	Status     int           // with Rejected; see Ruling.Status
-	Reason     string        // with Rejected
+	Reason     string        // why the message was rejected; only with Rejected
 
 	ref    uint64 // number of the message that this submission has added; 0 if it added none
 	halted bool   // refused only because the relay is halted for a change of policy
@@ -120,7 +120,7 @@
 
 // end ends a message as the module has decided: a refusal hands it back, a failure gives it up.
 func (c *Core) end(m *message, a control.Action) {
-	if m.reply != nil { // in the turn of its arrival: the submission is refused, and no notice is needed
+	if m.reply != nil { // still in the turn of its arrival: the submission itself is refused, so no notice is needed
 		if m.refusal = (&Reply{Verdict: Failed}); a.Kind == control.Refuse {
 			m.refusal = &Reply{Verdict: Busy, RetryAfter: a.Duration}
 		}
--- a/internal/relay/engine/replay.go
+++ b/internal/relay/engine/replay.go
@@ -37,7 +37,7 @@
 // empty if the turn could not be replayed at all.
 type CoreDifferenceError struct {
 	Input         *capture.Input    // the recorded turn
-	Turn          *capture.Turn     // the module's recorded turn in it, if any
+	Turn          *capture.Turn     // the module's part of the recorded turn; nil if it had none
 	Got           capture.Input     // what the replayed core did
 	ModuleEvents  []control.Event   // what the replayed core passed to the module
 	ModuleActions []control.Action  // what the replayed module decided
--- a/internal/relay/engine/replay_errors.go
+++ b/internal/relay/engine/replay_errors.go
@@ -35,7 +35,7 @@
 // attemptMismatchError reports the number of an attempt that is not in flight, or has another number of items than the recorded one.
 type attemptMismatchError uint64
 
-// Error names the attempt.
+// Error names the attempt and both possible mismatches.
 func (number attemptMismatchError) Error() string {
 	return fmt.Sprintf("attempt %d is not in flight, or has another number of messages than recorded", uint64(number))
 }
--- a/internal/relay/engine/replay_test.go
+++ b/internal/relay/engine/replay_test.go
@@ -299,7 +299,7 @@
 	lost     uint64 // turns
 }
 
-// recordHour records a core with 22 destinations in virtual time, at 120 messages per second.
+// recordHour records a core with 22 destinations for the given length of virtual time, at 120 messages per second.
 func recordHour(t *testing.T, length time.Duration) recordedHour {
 	t.Helper()
 	dir := t.TempDir()
--- a/internal/relay/engine/submit.go
+++ b/internal/relay/engine/submit.go
@@ -96,7 +96,7 @@
 // refusesNow reports whether the core accepts nothing now, or the message has waited too long in the queue or is stale.
 func (c *Core) refusesNow(a *arrival, now time.Time) bool {
 	return c.fronts[a.front] == nil || !c.drainAt.IsZero() ||
-		now.Sub(a.submittedAt) > c.limits.AnswerWithin || // the client would submit a second copy elsewhere
+		now.Sub(a.submittedAt) > c.limits.AnswerWithin || // the client is about to time out and submit the message to another relay
 		!c.mayAct(now) || c.mandate != nil && c.mandate.RefusesNew || a.stale(c)
 }
 
--- a/internal/relay/fleet/checker/check.go
+++ b/internal/relay/fleet/checker/check.go
@@ -76,8 +76,8 @@
 	Bounds           []Bound
 }
 
-// Bound limits the calls to partner To under Version, or between From and Until whichever version is in force. Any span may have as many
-// calls as Rate times its length, plus Burst.
+// Bound limits the calls to partner To: those under Version or, if Until is set, those between From and Until under any version. A span of
+// any length may have at most Rate times its length plus Burst calls.
 type Bound struct {
 	Version     uint64
 	To          string
--- a/internal/relay/fleet/consensus/engine.go
+++ b/internal/relay/fleet/consensus/engine.go
@@ -40,7 +40,7 @@
 	applied            uint64            // index of the last entry that was returned as Committed
 	bytesSinceSnapshot int               // bytes of entries since the last snapshot
 	snapshotIndex      uint64            // index of the last entry in the last snapshot
-	leaderSeenAt       time.Duration     // when the leader was last heard, or this member voted for another
+	leaderSeenAt       time.Duration     // when this member last heard from a leader or voted for another member
 	electionTimeout    time.Duration     // time without a leader after which this member campaigns; drawn for each election
 	heartbeatAt        time.Duration     // when this member last sent heartbeats as leader
 	readConfirmedAt    time.Duration     // when a majority last confirmed a ReadIndex
--- a/internal/relay/fleet/consensus/image.go
+++ b/internal/relay/fleet/consensus/image.go
@@ -16,8 +16,8 @@
 	Entries   [][]byte `cbor:"3,keyasint,omitempty"` // raftpb.Entry, encoded, in order; one replaces all earlier ones from its index on
 	Complete  bool     `cbor:"4,keyasint,omitempty"` // it replaces the log on disk
 
-	// Remembered is the newest log position that each other member, by id, has shown. By it a member whose disk lost entries can detect
-	// that.
+	// Remembered has, by member id, the newest log position that each other member has shown in its messages. A member that asks
+	// the others what they remember of it can detect that its disk lost entries.
 	Remembered map[uint64]LogPosition `cbor:"5,keyasint,omitempty"`
 }
 
--- a/internal/relay/fleet/consensus/ready.go
+++ b/internal/relay/fleet/consensus/ready.go
@@ -15,7 +15,7 @@
 	Index   uint64
 	Data    []byte            // as proposed; nil: an entry by raft itself
 	Members []uint64          // ids of the voters and learners after a configuration change; nil: another entry
-	Names   map[uint64]string // of Members: names of the added members, by id
+	Names   map[uint64]string // names of the members that the change adds, by id
 }
 
 // Ready is the output of the engine. Save must be synced to disk before any of Messages is sent and before anything in Committed takes
--- a/internal/relay/fleet/node/message.go
+++ b/internal/relay/fleet/node/message.go
@@ -66,12 +66,12 @@
 	Reason  string `cbor:"2,keyasint,omitempty"` // why it can't; empty: it can
 }
 
-// LeaseGrant answers a LeaseRequest.
+// LeaseGrant is the leader's answer to a LeaseRequest, with or without a lease.
 type LeaseGrant struct {
 	To               string        `cbor:"1,keyasint"`
 	Generation       uint64        `cbor:"2,keyasint"`
 	Incarnation      uint64        `cbor:"3,keyasint"`
-	Seq              uint64        `cbor:"4,keyasint"`           // of the request, from whose sending the lease counts
+	Seq              uint64        `cbor:"4,keyasint"`           // of the request; the lease runs from when that request was sent
 	Lease            time.Duration `cbor:"5,keyasint,omitempty"` // 0: none
 	Epoch            uint64        `cbor:"6,keyasint"`
 	Index            uint64        `cbor:"7,keyasint"` // the lease is valid only with a state at least as new
--- a/internal/relay/fleet/node/node.go
+++ b/internal/relay/fleet/node/node.go
@@ -222,7 +222,7 @@
 	}
 }
 
-// maxMemberRelays bounds Node.memberRelays, which is cleared when it grows beyond.
+// maxMemberRelays bounds Node.memberRelays, which is cleared when it has more entries.
 const maxMemberRelays = 64
 
 // handleRaft passes a message to the engine if this relay may vote, and remembers the log position that the message shows.
--- a/internal/relay/fleet/peer/frame.go
+++ b/internal/relay/fleet/peer/frame.go
@@ -51,7 +51,7 @@
 	errVersion           = errors.New("of another version")
 	errChecksum          = errors.New("garbled") // its checksum is wrong, or its content can't be decoded
 	errFleet             = errors.New("of another fleet")
-	errUnknownPeer       = errors.New("of a stranger")    // its source is not the address of the peer that it names
+	errUnknownPeer       = errors.New("of a stranger")    // the frame came from another address than that of the peer that it names
 	errFormerIncarnation = errors.New("of a former life") // its generation is older than the newest one of its sender
 	errOtherRelay        = errors.New("for another relay")
 )
--- a/internal/relay/fleet/peer/peer_test.go
+++ b/internal/relay/fleet/peer/peer_test.go
@@ -20,7 +20,7 @@
 	return func() uint64 { lastDrawn += 2; return lastDrawn }
 }
 
-// openAt opens a folder of the fleet "f"; the error is the damage in it.
+// openAt opens the disk of a relay of fleet "f" in a folder. The error is the damage that openDisk found there; other errors fail the test.
 func openAt(t *testing.T, dir string) (*disk, *consensus.Image, error) {
 	t.Helper()
 	d, image, damage, err := openDisk(dir, "f", uniqueNumbers())
@@ -76,7 +76,7 @@
 		case size < last && got.member == original.member:
 			t.Fatalf("truncated at %d, before the last record: the member is unchanged, want a new one", size)
 		}
-		if err := got.save(&consensus.Image{HardState: []byte("h3")}, 0); err != nil { // after an incomplete record
+		if err := got.save(&consensus.Image{HardState: []byte("h3")}, 0); err != nil { // the log may end in an incomplete record
 			t.Fatal(err)
 		}
 		if _, image, damage = openAt(t, dir); damage != nil || string(image.HardState) != "h3" {
--- a/internal/relay/fleet/quota/allocation.go
+++ b/internal/relay/fleet/quota/allocation.go
@@ -12,7 +12,7 @@
 	Key      Key            `cbor:"1,keyasint" json:"-"`
 	Name     string         `cbor:"2,keyasint,omitempty" json:"name"`            // set by the relay that reports the usage
 	Limit    float64        `cbor:"3,keyasint,omitempty" json:"limit"`           // units/s; 0: unknown
-	Demand   float64        `cbor:"4,keyasint" json:"want"`                      // units/s, of all relays
+	Demand   float64        `cbor:"4,keyasint" json:"want"`                      // units/s, sum over all relays
 	Leased   float64        `cbor:"5,keyasint" json:"lent"`                      // fraction of the limit that is leased in addition to the guaranteed minimums
 	Minimums float64        `cbor:"6,keyasint" json:"floors"`                    // fraction of the limit
 	Relays   int            `cbor:"7,keyasint" json:"relays"`                    // number of relays with a demand
--- a/internal/relay/fleet/quota/messages.go
+++ b/internal/relay/fleet/quota/messages.go
@@ -6,7 +6,7 @@
 	LeaseTerm    uint64 `cbor:"1,keyasint,omitempty"` // term of the allocator that granted the quota lease in force
 	LeaseNumber  uint64 `cbor:"2,keyasint,omitempty"` // number of that lease; 0: none
 	Demands      []byte `cbor:"3,keyasint,omitempty"` // see EncodeDemands; nil: unchanged
-	LeasedShares []byte `cbor:"4,keyasint,omitempty"` // shares of that lease, if Grant.ReportLeased requested them
+	LeasedShares []byte `cbor:"4,keyasint,omitempty"` // shares of the quota lease in force, if Grant.ReportLeased requested them
 	Minimum      uint16 `cbor:"5,keyasint,omitempty"` // guaranteed minimum, with LeasedShares; with ServeWhenPartitioned always
 	Zone         int    `cbor:"6,keyasint,omitempty"`
 	NoDemand     bool   `cbor:"7,keyasint,omitempty"` // the relay has no demands
--- a/internal/relay/fleet/quota/verdict.go
+++ b/internal/relay/fleet/quota/verdict.go
@@ -98,7 +98,7 @@
 	switch {
 	case zone.down >= 2 && zone.down > 2*zone.healthy, e.zonesDown >= 2 && zone.healthy == 0 && e.down > 2*e.healthy:
 		at := zone.downAt
-		if zone.down == 0 { // the evidence is from other zones only
+		if zone.down == 0 { // no evidence from this zone: use the newest of all zones
 			for _, other := range e.zones {
 				at = max(at, other.downAt)
 			}
--- a/internal/relay/fleet/simulation/explore.go
+++ b/internal/relay/fleet/simulation/explore.go
@@ -88,7 +88,7 @@
 	return text
 }
 
-// applyChoice applies one choice and returns a description.
+// applyChoice delivers or loses the messages to one relay, restarts the relay, or lets time pass. It returns a description for the trace.
 func (x *exploredWorld) applyChoice(choice int) string {
 	r := x.Relays[choice%exploredRelays]
 	switch choice / exploredRelays {
--- a/internal/relay/fleet/simulation/random.go
+++ b/internal/relay/fleet/simulation/random.go
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("seed %d: no breach, %d of %d changes in force", r.Seed, r.InForce, r.Changes)
 }
 
-// proposal is a proposed change.
+// proposal records a change that the run has proposed to the fleet.
 type proposal struct {
 	ticket uint64
 	base   uint64 // version that it replaces
@@ -73,7 +73,7 @@
 	return res
 }
 
-// randomOptions draws the options of a world.
+// randomOptions draws a world's numbers of relays and voters, its delays and losses, and whether a relay rejects documents.
 func randomOptions(seed uint64, rng *rand.Rand) Options {
 	o := Options{Relays: 3 + rng.IntN(7), Seed: seed, Lease: 2 * time.Second, MaxClockDrift: 0.05, Delay: time.Duration(200+rng.IntN(3000)) * time.Microsecond,
 		ActInterval: 7 * time.Millisecond}
--- a/internal/relay/fleet/testcluster/history.go
+++ b/internal/relay/fleet/testcluster/history.go
@@ -96,8 +96,8 @@
 	return all
 }
 
-// burst returns the burst of the bound for a limit, in calls/s: one call for each start of a relay, the calls of 50 ms, and those of
-// clockSlack. The caller must hold f.mu.
+// burst returns checker.Bound.Burst for a limit in calls/s: one call for each start of a relay, and the calls that the limit allows in
+// 50 ms and in clockSlack. The caller must hold f.mu.
 func (f *Fleet) burst(limit float64) float64 {
 	starts := 0.0
 	for _, entry := range f.history {
--- a/internal/relay/fleet/testcluster/run.go
+++ b/internal/relay/fleet/testcluster/run.go
@@ -128,7 +128,7 @@
 		f.mu.Lock()
 		for _, c := range f.changes {
 			if c.ticket == last && c.finished && c.version == 0 {
-				last = 0 // dropped, since another change was under way
+				last = 0 // the fleet dropped it, since another change was under way: propose again
 			}
 		}
 		f.mu.Unlock()
--- a/internal/relay/fleet/testcluster/scenario.go
+++ b/internal/relay/fleet/testcluster/scenario.go
@@ -23,7 +23,7 @@
 	MaxClockDrift   float64       `toml:"drift"`            // fraction; default 0.05
 	WhenPartitioned string        `toml:"alone"`            // "refuse" (default) or "serve"
 	Rate            float64       `toml:"rate"`             // messages/s at each relay; 0 to 1000, default 40
-	ClockRates      []float64     `toml:"clocks,omitempty"` // speed of each relay's clock, 1 is exact; needs a build with the tag fleetrig, as do the disks
+	ClockRates      []float64     `toml:"clocks,omitempty"` // speed of each relay's clock, 1 is exact; needs a build with the tag fleetrig, as does DiskDelays
 	DiskDelays      []string      `toml:"disks,omitempty"`  // delay of each sync, for each relay's disk, such as "20ms"
 	Links           LinkFaults    `toml:"links,omitempty"`  // of all links, until a step heal
 	RelayRates      []float64     `toml:"rates,omitempty"`  // messages/s for each relay, instead of rate
@@ -66,7 +66,7 @@
 	actionPartition         = "cut"        // drops datagrams to and from a relay
 	actionPartitionIncoming = "cut-in"     // drops datagrams to a relay
 	actionPartitionOutgoing = "cut-out"    // drops datagrams from a relay
-	actionSplit             = "split"      // partitions relays with even from those with odd numbers
+	actionSplit             = "split"      // partitions the relays with even numbers from those with odd numbers
 	actionHeal              = "heal"       // ends the faults of all links
 	actionSetLinks          = "links"      // sets the faults of all links
 	actionAwaitPhase        = "phase"      // waits for a phase of a change
--- a/internal/relay/httpwire/httpwire_test.go
+++ b/internal/relay/httpwire/httpwire_test.go
@@ -78,7 +78,8 @@
 	{"cancelled", func(_ net.Conn, cancel func()) { cancel() }, Canceled, 0},
 }
 
-// TestPool_EveryEnd_HasItsStage: each way in which a call can end has its stage, which decides whether the message may be retried.
+// TestPool_EveryEnd_HasItsStage: each way in which a call can end is reported with the right Stage, by which
+// the caller decides whether the message may be retried.
 func TestPool_EveryEnd_HasItsStage(t *testing.T) {
 	for _, test := range callEnds {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/relay/platform/platform_test.go
+++ b/internal/relay/platform/platform_test.go
@@ -179,7 +179,7 @@
 // lostAnswerTest is a test in which a client loses the answer to a message of a class.
 type lostAnswerTest struct {
 	class     string
-	callEnded bool // before the client submits the message again
+	callEnded bool // whether the call to the endpoint ends before the client submits the message again
 	want      int  // status of the second answer
 }
 
