--- a/internal/relay/capture/core_actions.go
+++ b/internal/relay/capture/core_actions.go
@@ -7,7 +7,7 @@
 
 // Input is one turn of the core: the events from its queue, the journal's results, and a checksum of the core's actions.
 type Input struct {
-	No      uint64        `cbor:"1,keyasint,omitempty"` // number of the module's turn within this turn; 0: none
+	No      uint64        `cbor:"1,keyasint,omitempty"` // number of the module's turn that ran within this turn of the core; 0: none
 	Now     time.Duration `cbor:"2,keyasint"`
 	Events  []CoreEvent   `cbor:"3,keyasint,omitempty"`
 	Full    []int         `cbor:"4,keyasint,omitempty"` // indexes of the submitted messages that the journal had no room for
--- a/internal/relay/capture/core_events.go
+++ b/internal/relay/capture/core_events.go
@@ -53,7 +53,7 @@
 	MayHaveRun      bool          `cbor:"9,keyasint,omitempty"`
 	MayHaveRunAt    time.Duration `cbor:"10,keyasint,omitempty"`
 	QueuedFor       time.Duration `cbor:"11,keyasint,omitempty"` // time since it was submitted
-	Verdict         uint8         `cbor:"12,keyasint,omitempty"` // the inspector's
+	Verdict         uint8         `cbor:"12,keyasint,omitempty"` // of the inspector on the message
 	Status          int           `cbor:"13,keyasint,omitempty"`
 	Reason          string        `cbor:"14,keyasint,omitempty"`
 	Tenant          int           `cbor:"15,keyasint,omitempty"`
--- a/internal/relay/capture/records.go
+++ b/internal/relay/capture/records.go
@@ -81,8 +81,8 @@
 // Begin is the first record of a file: the relay, its settings and its clock.
 type Begin struct {
 	Relay    string           `cbor:"1,keyasint"`
-	At       int64            `cbor:"2,keyasint"` // Unix time in µs at which the module's clock showed Clock
-	Clock    time.Duration    `cbor:"3,keyasint"`
+	At       int64            `cbor:"2,keyasint"` // Unix time in µs that corresponds to Clock
+	Clock    time.Duration    `cbor:"3,keyasint"` // reading of the module's clock at the time At
 	Seed     uint64           `cbor:"4,keyasint"`
 	Build    string           `cbor:"5,keyasint"` // of the program that recorded
 	Settings control.Settings `cbor:"6,keyasint"`
--- a/internal/relay/capture/trace.go
+++ b/internal/relay/capture/trace.go
@@ -162,8 +162,8 @@
 	return event.Kind == control.Withdrawn || event.Kind == control.Resolved && (event.Result == control.Delivered || event.Final)
 }
 
-// traceAction adds an action to the trace if it is the message's, and reports whether it ends the message. With a call it adds the
-// state of all endpoints that the call might have gone to.
+// traceAction adds an action to the trace if it concerns the traced message, and reports whether it ends the message. After a Send it
+// also adds the state of all endpoints to which the message could have been sent.
 func (t *messageTracer) traceAction(turn *Turn, action control.Action) (ends bool) {
 	switch action.Kind {
 	case control.Log, control.Wake, control.Subscribe, control.Close:
--- a/internal/relay/capture/trace_test.go
+++ b/internal/relay/capture/trace_test.go
@@ -75,7 +75,7 @@
 // damaged is a capture of three chunks, of 100, 200 and 300 turns. The first and the third begin with a state; the second is damaged.
 type damaged struct {
 	text        []byte
-	secondState time.Duration // time of the third chunk's state, since the start
+	secondState time.Duration // time since the start of the state in the third chunk, the second state of the capture
 	lastRef     uint64        // number of the last message that arrived
 }
 
--- a/internal/relay/journal/records.go
+++ b/internal/relay/journal/records.go
@@ -10,7 +10,7 @@
 const (
 	recordAccepted byte = iota + 1 // id, key, front, destination, class, deadline, resubmitted, body, headers, tenant, policy and attempts
 	recordAttempt                  // number of the attempt, time, destination
-	recordOutcome                  // of the last begun attempt: 1 if it never ran
+	recordOutcome                  // 1 if the attempt that was begun last never ran, otherwise 0
 	recordEnded                    // no fields
 	recordNotice                   // flags, retry-after in ms: the message has ended and a notice is outstanding
 	recordAcked                    // no fields
--- a/internal/relay/plugin/gate/gate.go
+++ b/internal/relay/plugin/gate/gate.go
@@ -26,7 +26,7 @@
 	MaxOpenFor            time.Duration
 	HalfOpenTrials        int // successful trial calls in a row, one at a time, that close a half-open breaker
 	MaxPartners           int // maximum number of partners whose state is kept; the least recently used one is forgotten first
-	OpenPartnersThreshold int // failures count for the plug-in's own breaker if at least this many partners' breakers are not closed
+	OpenPartnersThreshold int // failures also count towards the plug-in's breaker while at least this many partners' breakers are open or half open
 }
 
 // PerPartner returns the maximum number of concurrent calls for one partner. If there are several instances, one partner can't
--- a/internal/relay/plugin/inspect.go
+++ b/internal/relay/plugin/inspect.go
@@ -130,7 +130,7 @@
 // call that fails leaves the outcome as it is.
 func (v *version) answer(c *Call, outcome *engine.Outcome, deadline time.Time) {
 	limits := &v.host.rules
-	// If even the smallest request would be refused, the plug-in can't change anything and need not be waited for.
+	// If the relay would refuse even the smallest longer wait, the plug-in can't change the outcome, so its call is not awaited.
 	smallest := rules.Ask{RetryAfter: c.Answer.RetryAfter + 1}
 	if _, why := rules.Tighten(c.Answer, smallest, limits); why != rules.None {
 		v.deferCall(c)
--- a/internal/relay/vrrp/packet.go
+++ b/internal/relay/vrrp/packet.go
@@ -22,7 +22,7 @@
 	// ErrVersion is returned for a version other than 3.
 	ErrVersion = errors.New("vrrp: not version 3")
 	// ErrType is returned for a type other than advertisement, the only one that the RFC defines.
-	ErrType = errors.New("vrrp: not an advertisement")
+	ErrType = errors.New("vrrp: packet type is not advertisement")
 	// ErrCount is returned for a packet without addresses, or with more or fewer than it states.
 	ErrCount = errors.New("vrrp: address count does not match the packet's length")
 	// ErrChecksum is returned for a packet that was damaged, or for one of IPv6 between other addresses.
--- a/internal/tier/membership/probe.go
+++ b/internal/tier/membership/probe.go
@@ -29,7 +29,7 @@
 type probe struct {
 	sequence      uint64
 	target        *entry
-	indirectAt    time.Duration // when helpers are asked; never if they have been or will not be
+	indirectAt    time.Duration // when to ask helpers; never if they were already asked or will not be asked
 	deadline      time.Duration
 	nacks         []string // names of the helpers that sent a nack
 	expectedNacks int      // number of helpers asked
--- a/internal/tier/network/memorynetwork/fault.go
+++ b/internal/tier/network/memorynetwork/fault.go
@@ -17,7 +17,8 @@
 	n.setPartitioned(from, to, false)
 }
 
-// setPartitioned changes one direction of a link, and starts the keep-alive timeouts or probes of the connections over it.
+// setPartitioned partitions or heals one direction of a link. For each connection over the link, a partition starts the keep-alive
+// timer, and healing starts a probe.
 func (n *Network) setPartitioned(from, to *Machine, partitioned bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/tier/store/options.go
+++ b/internal/tier/store/options.go
@@ -29,7 +29,7 @@
 
 // Options configures a Store.
 type Options struct {
-	ID      string // identity stored on the disk
+	ID      string // of this store, as stored on its disk
 	Address string // host:port at which other processes reach this store
 	Disk    storage.Disk
 	Pool    *transport.Pool // connections to other stores
--- a/internal/tier/store/surplus.go
+++ b/internal/tier/store/surplus.go
@@ -100,8 +100,9 @@
 	}
 }
 
-// isReplaced reports whether the members that a shard's leader reported, confirmed by a majority, are exactly those placed, without
-// this store, and all are caught up. These members then elect every later leader, so no acknowledged entry depends on this replica.
+// isReplaced reports whether this store's replica is no longer needed: the placement does not name this store, the members that the
+// shard's leader reported with the confirmation of a majority are exactly the placed ones, and all of them are caught up. Every later
+// leader is then elected by these members, so no acknowledged entry depends on this replica.
 func (s *Store) isReplaced(target view.ShardPlacement, reported wire.ShardMembers) bool {
 	if len(reported.IDs) != len(target.Replicas) || contains(target.Replicas, s.options.ID) {
 		return false
--- a/internal/tier/transport/clientconnection.go
+++ b/internal/tier/transport/clientconnection.go
@@ -93,7 +93,7 @@
 		return err
 	}
 	if parsed.kind != answerLine && parsed.kind != errorLine {
-		return fmt.Errorf("%w: client received a line of kind %s", ErrBadLine, parsed.kind)
+		return fmt.Errorf("%w: client received a line of kind %s, want answer or error", ErrBadLine, parsed.kind)
 	}
 	c.received.Store(true)
 	pending := c.removePending(parsed.id)
@@ -167,7 +167,8 @@
 	return c.callError(pending, written, cause)
 }
 
-// completed returns the result of a call that is no longer pending, or a CallError with cause if the result is not available yet.
+// completed returns the result of a call that was already removed from the pending calls. If the result is not in the call's channel
+// yet, it returns a CallError with cause.
 func (c *clientConnection) completed(pending *pendingCall, cause error) error {
 	select {
 	case err := <-pending.done:
--- a/internal/tier/transport/pack.go
+++ b/internal/tier/transport/pack.go
@@ -29,7 +29,7 @@
 
 // Errors of packed lines, after which the connection must be closed. Both wrap ErrBadLine.
 var (
-	errPackedLength = fmt.Errorf("%w: packed lines have no valid length", ErrBadLine)
+	errPackedLength = fmt.Errorf("%w: packed lines have no valid length, want a positive number within the limit", ErrBadLine)
 	errPackedEnd    = fmt.Errorf("%w: packed lines do not end with a line feed at the end of their stream", ErrBadLine)
 )
 
--- a/internal/tier/transport/serverconnection.go
+++ b/internal/tier/transport/serverconnection.go
@@ -90,7 +90,7 @@
 		c.cancelCall(parsed.id)
 		return nil
 	default:
-		return fmt.Errorf("%w: server received a line of kind %s", ErrBadLine, parsed.kind)
+		return fmt.Errorf("%w: server received a line of kind %s, want call, notice, stream or cancel", ErrBadLine, parsed.kind)
 	}
 }
 
--- a/internal/tier/transport/stream.go
+++ b/internal/tier/transport/stream.go
@@ -79,7 +79,7 @@
 			return err, nil
 		}
 		if parsed.id != id {
-			return fmt.Errorf("%w: line has the number of another stream", ErrBadLine), nil
+			return fmt.Errorf("%w: stream received a line with the number of another stream", ErrBadLine), nil
 		}
 		switch parsed.kind {
 		case itemLine:
@@ -99,7 +99,7 @@
 			}
 			return nil, remote
 		default:
-			return fmt.Errorf("%w: stream received a line of kind %s", ErrBadLine, parsed.kind), nil
+			return fmt.Errorf("%w: stream received a line of kind %s, want item, end or error", ErrBadLine, parsed.kind), nil
 		}
 	}
 }
--- a/internal/tier/transport/wire_test.go
+++ b/internal/tier/transport/wire_test.go
@@ -70,8 +70,9 @@
 	}
 }
 
-// wireBatches returns the batches of lines that testdata holds packed: the first compressed with a Huffman code only, the second by
-// its repetitions, the third with the text of the others as the dictionary. The last is too short to be packed.
+// wireBatches returns the batches of lines whose packed form is in testdata. The first is compressed by Huffman coding alone, the
+// second by its repeated lines, and the third by references to the earlier batches, which serve as its dictionary. The fourth is too
+// short to be packed.
 func wireBatches() [][]byte {
 	return [][]byte{
 		noticeOf(1, 300),
--- a/pluginsdk/errors.go
+++ b/pluginsdk/errors.go
@@ -13,12 +13,12 @@
 	// quota is used up.
 	ErrLarge = errors.New("pluginsdk: a limit on sizes or numbers is exceeded")
 	// ErrPhase means that the function belongs to another phase, such as SetHeader in OnEnd's handler.
-	ErrPhase = errors.New("pluginsdk: not allowed in this phase")
+	ErrPhase = errors.New("pluginsdk: the function is not allowed in this phase")
 	// ErrLocked means that plug-ins may not make this change at the front that received the message.
 	ErrLocked = errors.New("pluginsdk: this front does not allow the change")
 	// ErrLooser means that the relay would become less careful: it would wait for less time, or treat a message that may have run as
 	// refused.
-	ErrLooser = errors.New("pluginsdk: the relay would become less careful")
+	ErrLooser = errors.New("pluginsdk: the answer would shorten the wait or count a message that may have run as refused")
 	// ErrAbsent means that there is no header to remove.
 	ErrAbsent = errors.New("pluginsdk: no plug-in has set the header")
 )
