--- a/cmd/mastusher/errors.go
+++ b/cmd/mastusher/errors.go
@@ -64,6 +64,6 @@
 
 var (
 	errNotShared   = errors.New("this relay's fleet counts nothing: is peers.share set?")
-	errCasesFailed = errors.New("the module does not do as its cases say")
+	errCasesFailed = errors.New("a test case of the module failed, or the file holds none: want at least one case, and all passed")
 	errNoPlugins   = errors.New("no plug-ins run here")
 )
--- a/cmd/mastusher/serve.go
+++ b/cmd/mastusher/serve.go
@@ -119,7 +119,7 @@
 func (r *relay) listen(name, address string, handle httpwire.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return fmt.Errorf("the %s front: %w", name, err)
+		return fmt.Errorf("listening for the %s front: %w", name, err)
 	}
 	server := httpwire.NewServer(&r.cfg.Limits, handle)
 	r.servers, r.listeners = append(r.servers, server), append(r.listeners, l)
--- a/cmd/relay-simulator/loadtest.go
+++ b/cmd/relay-simulator/loadtest.go
@@ -12,7 +12,7 @@
 	"mastusher/internal/relay/simulator/report"
 )
 
-// demoScript returns the steps of the demo, at the given multiple of the normal speed.
+// demoScript returns the steps of the demo, sped up by the factor quick.
 func demoScript(quick float64) []loadtest.Step {
 	after := func(seconds float64) time.Duration { return time.Duration(seconds / quick * float64(time.Second)) }
 	set := func(partner int, change func(*loadtest.Behavior)) func(*loadtest.LoadTest) {
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -164,7 +164,7 @@
 	}
 	sender, err := control.New(settings.Settings, rec.Seed)
 	if err != nil {
-		return fmt.Errorf("field setup: %w", err)
+		return fmt.Errorf("field setup: invalid settings: %w", err)
 	}
 	in.sender, in.reports, in.weight, in.events = sender, settings.Reports, settings.Weight, in.events[:0]
 	if err = in.closeCapture(); err != nil || a.captureDir == "" {
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// Instances share no state: each acts alike whatever the order of instances in a batch.
+// Instances share no state: the order of instances in a batch does not change the replies of any of them.
 func TestRun_InstancesInOtherOrder_ActAlike(t *testing.T) {
 	replies := func(order ...uint16) map[uint16]string {
 		var in, out bytes.Buffer
--- a/control/admission.go
+++ b/control/admission.go
@@ -66,7 +66,7 @@
 	msg := &message{id: event.ID, seq: s.lastSeq, class: class, key: event.Key,
 		destination: dest, deadline: event.Deadline, value: class.Value, attempts: event.Attempt}
 	msg.targetAt = msg.deadline - class.Deadline + class.LatencyTarget
-	if s.settings.MarksResubmitted && !event.Resubmitted { // a deadline shorter than its class's doesn't make a new message late
+	if s.settings.MarksResubmitted && !event.Resubmitted { // new: a deadline shorter than its class's doesn't make its latency target earlier
 		msg.targetAt = max(msg.targetAt, min(s.now+class.LatencyTarget, msg.deadline))
 	}
 	sent := min(s.now, msg.deadline-class.Deadline) // the sending time; messages restored after a restart were sent earlier
--- a/control/endpoint.go
+++ b/control/endpoint.go
@@ -42,7 +42,7 @@
 	resetStreak      int           // consecutive connection resets
 	neverRan         bool          // the last failure proved that the call had no effect
 	inFlight         int           // messages in flight
-	lateCalls        int           // messages in flight whose calls are late; see countLateCalls
+	lateCalls        int           // messages in flight for longer than lateAge and sent no earlier than newestDelivered
 	newestDelivered  time.Duration // sending time of the newest delivered message
 	deliveries       rateMeter
 	sends            rateMeter // messages sent
--- a/control/many_senders_test.go
+++ b/control/many_senders_test.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// The first sender needs ten times an equal share of a limit, of which all senders together use a third. It must use capacity that the
-// others leave unused, without having many calls refused.
+// All senders together use a third of the limit, but the first sender alone needs ten times an equal share. It must use capacity that
+// the others leave unused, without having many calls refused.
 func TestManySenders_UnevenTraffic_UsesFreeCapacity(t *testing.T) {
 	for seed := range uint64(3) {
 		group := newSenderGroup(t, 80, 60, seed+60)
--- a/control/planner_test.go
+++ b/control/planner_test.go
@@ -42,7 +42,7 @@
 	// When they are pooled.
 	p.Pool(0, common, tables)
 
-	// Then both tables are known: the calls to the first endpoint also fill the table of the second.
+	// Then both tables are known: the second endpoint has no calls of its own, but gets those of its destination.
 	if !called.Known() || !fresh.Known() {
 		t.Fatalf("known: called %v, fresh %v; want both", called.Known(), fresh.Known())
 	}
--- a/control/rate_limit.go
+++ b/control/rate_limit.go
@@ -50,7 +50,7 @@
 		return
 	}
 	previous := min(route.sends.rate(s.now), cmp.Or(route.rateLimit, math.Inf(1)))
-	if fair := s.fairRate(route, route.reportedLimit); fair > 0 { // the route may be down: decrease as far as the rate for a recovering one
+	if fair := s.fairRate(route, route.reportedLimit); fair > 0 { // the route may be down, so the limit may fall to the rate allowed while a route recovers
 		recovered := slowStartMargin * s.settings.OverloadMultiple * s.settings.SlowStartShare
 		route.rateLimit = max(reportedDecrease*previous,
 			fair*max(recovered, multiplicativeDecrease*math.Pow(reportedDecrease, float64(route.refusalStreak-1))))
@@ -68,7 +68,7 @@
 func (r *routeState) adjustToReport(now time.Duration, remaining, limit, fair float64) {
 	r.reportedLimit, r.reportedRemaining, r.rateLimit = limit, remaining, min(limit, cmp.Or(r.rateLimit, fair))
 	switch elapsed := min(1, (now - r.reportedAt).Seconds()); {
-	case remaining > highRemaining: // traffic is uneven: some senders need more than an equal share
+	case remaining > highRemaining: // other senders leave capacity unused, so this one may exceed an equal share
 		growth := min(reportedIncrease, 0.5*elapsed) + 2*reportedIncrease*elapsed*float64(min(1, len(r.destination.queue)))
 		r.rateLimit = min(limit, max(fair, r.rateLimit*(1+growth)))
 	case remaining < lowRemaining:
--- a/control/restart_plan.go
+++ b/control/restart_plan.go
@@ -82,7 +82,7 @@
 func (s *Sender) poolLatencies(dest *destinationState) {
 	near, far := &dest.latencies, &s.allLatencies
 	near.decay(s.now)
-	shift := 0 // buckets from the sender's median to the destination's; less if the destination has few calls
+	shift := 0 // distance in buckets from the sender's median to the destination's, scaled down if the destination has few calls
 	if far.total >= minTableCalls {
 		distance := math.Log(near.quantile(s.bounds, 0.5)/far.quantile(s.bounds, 0.5)) / math.Log(bucketRatio)
 		shift = int(math.Round(distance * near.total / (near.total + minTableCalls)))
--- a/control/restore.go
+++ b/control/restore.go
@@ -7,7 +7,7 @@
 )
 
 var (
-	errOtherSettings        = errors.New("control: snapshot has another number of latency buckets or kinds than the settings")
+	errOtherSettings        = errors.New("control: snapshot was taken under other settings: want the same number of latency buckets and of kinds")
 	errInconsistentSnapshot = errors.New("control: snapshot is inconsistent: an id or index refers to nothing, or a table has the wrong size")
 )
 
--- a/control/selection.go
+++ b/control/selection.go
@@ -89,7 +89,8 @@
 	return true
 }
 
-// isNextOfKey reports whether msg is the first among the messages of its key, and no earlier attempt of that key may still be running.
+// isNextOfKey reports whether the order of msg's key allows sending it: it must be the first message of the key, and for its first
+// attempt, no attempt of another message of the key may still be running. Messages without a key or an order always pass.
 func (s *Sender) isNextOfKey(msg *message) bool {
 	if !msg.class.InOrder || msg.key == 0 {
 		return true
--- a/internal/relay/simulator/fleet_stats_test.go
+++ b/internal/relay/simulator/fleet_stats_test.go
@@ -59,7 +59,7 @@
 			res := run(policy.ByName["module"])
 			stats := res.Fleet
 			t.Logf("value %.3f, %+v", res.Value, stats)
-			for rule, n := range res.ViolationCounts { // many calls, each allowed by itself, can make a cold endpoint collapse; docs/design/fleet.md gives the counts
+			for rule, n := range res.ViolationCounts { // up to 2 "cold returns" are tolerated: calls that are allowed one by one can together overload a cold endpoint; counts: docs/design/fleet.md
 				if rule != "cold returns" || n > 2 {
 					t.Errorf("rule %q violated %d times: %v", rule, n, res.ViolationSamples)
 				}
--- a/internal/relay/simulator/loadtest/loadtest.go
+++ b/internal/relay/simulator/loadtest/loadtest.go
@@ -168,7 +168,7 @@
 		return nil
 	}
 	text, _ := os.ReadFile(filepath.Join(l.dir, relayLog))
-	return fmt.Errorf("the relay did not start serving; its log: %s", text)
+	return fmt.Errorf("the relay did not answer GET /up with status 200 after its start; its log: %s", text)
 }
 
 // Kill kills the relay (SIGKILL) and waits for it to exit.
--- a/internal/tier/exchangetest/client_test.go
+++ b/internal/tier/exchangetest/client_test.go
@@ -22,7 +22,7 @@
 	body                []byte
 	err                 error     // error that ended the response; nil: it looks complete
 	disconnectedAt      time.Time // when the client disconnected before its response; zero: it didn't
-	unansweredPipelined bool      // it was pipelined, and its connection ended with the response to the request before it
+	unansweredPipelined bool      // pipelined, but the connection closed after the response to an earlier request
 	surplus             []byte    // bytes received after the response
 }
 
--- a/internal/tier/exchangetest/script_test.go
+++ b/internal/tier/exchangetest/script_test.go
@@ -197,7 +197,7 @@
 	return []byte(head + "\r\n")
 }
 
-// chunkBody encodes bytes in about count chunks.
+// chunkBody encodes data in the chunked transfer coding, in about count chunks of equal size.
 func chunkBody(data []byte, count int) []byte {
 	var framed []byte
 	for fragment := max(len(data)/max(count, 1), 1); len(data) > 0; {
--- a/internal/tier/fleettest/check_configuration.go
+++ b/internal/tier/fleettest/check_configuration.go
@@ -140,7 +140,7 @@
 	return false
 }
 
-// observation is a call that showed that a configuration of at least this rank was in force.
+// observation is a call whose response shows that a configuration with this rank or a higher one was in force.
 type observation struct {
 	span
 	rank int
--- a/internal/tier/fleettest/configuration_test.go
+++ b/internal/tier/fleettest/configuration_test.go
@@ -235,7 +235,7 @@
 				test.partition(s, leader, others(s.cores, leader))
 				order := s.operator.put(1, 2)
 				s.RunFor(6 * time.Second)
-				// then it is accepted at the latest after the links have healed.
+				// then it is accepted, if not earlier, once the links have healed.
 				s.Heal()
 				s.acknowledged(order)
 				s.readsBack(order.Content)
--- a/internal/tier/fleettest/fixture_test.go
+++ b/internal/tier/fleettest/fixture_test.go
@@ -204,7 +204,7 @@
 	return 0
 }
 
-// skipUnderRace skips a long test under the race detector, which has nothing to find in a day: one goroutine runs it.
+// skipUnderRace skips a long test under the race detector: a simulated day runs in one goroutine, so it cannot have data races.
 func skipUnderRace(t *testing.T) {
 	t.Helper()
 	if seedDivisor > 1 {
--- a/internal/tier/fleettest/programs.go
+++ b/internal/tier/fleettest/programs.go
@@ -21,7 +21,7 @@
 var (
 	errNoPlacement  = errors.New("the placement of shards is unknown")
 	errNoLeader     = errors.New("no store answered as the leader before the deadline")
-	errNotCommitted = errors.New("the stores rejected the end of the turn")
+	errNotCommitted = errors.New("the stores rejected the end of the turn, want it committed")
 )
 
 // programClient finds the leader of a program's shard and begins and commits turns there.
--- a/internal/tier/settings/settings.go
+++ b/internal/tier/settings/settings.go
@@ -19,7 +19,7 @@
 	ServesStorage = "storage"
 )
 
-// discoveryCloudAPI is the value of the key findBy that requires an address of the platform's list of endpoints.
+// discoveryCloudAPI is a value of the key findBy: endpoints are discovered by the platform's API, whose address is then required.
 const discoveryCloudAPI = "cloud_api"
 
 // defaultHeartbeat is the heartbeat interval if the file gives none.
--- a/internal/tier/simulation/check_configuration.go
+++ b/internal/tier/simulation/check_configuration.go
@@ -62,7 +62,7 @@
 	return []any{chain}
 }
 
-// isRefusal reports whether a status rejects an order finally.
+// isRefusal reports whether a status rejects an order for good: any 4xx except 408 and 429, which invite a retry.
 func isRefusal(status int) bool {
 	return status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
--- a/internal/tier/simulation/faults_machine.go
+++ b/internal/tier/simulation/faults_machine.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// replaceMachine removes a machine and starts an empty one at another address: after the old one is lost, or before it is stopped
-// if the replacement is planned.
+// replaceMachine replaces a machine by an empty one at another address. In a planned replacement the new one starts before the old one
+// stops; otherwise it starts after the old one is lost.
 func (d *day) replaceMachine(old *machine, fault Fault) {
 	next := d.add(old.class)
 	next.zone = old.zone
--- a/internal/tier/simulation/operator.go
+++ b/internal/tier/simulation/operator.go
@@ -43,7 +43,7 @@
 	return &operator{fleet: f, name: name, client: &http.Client{Timeout: callTimeout, Transport: transport}}
 }
 
-// next returns a content with the number and a label that no other order has.
+// next returns the content of a new order: the given number and a unique label.
 func (o *operator) next(number uint64) content {
 	o.orders++
 	return content{Number: number, Label: fmt.Sprintf("%s-%d", o.name, o.orders)}
--- a/internal/tier/soak/limits.go
+++ b/internal/tier/soak/limits.go
@@ -37,7 +37,7 @@
 	readInterval    = 250 * time.Millisecond
 	probeInterval   = 100 * time.Millisecond
 	pollInterval    = 100 * time.Millisecond
-	dropProbability = 0.4 // of a connection, while responses are dropped
+	dropProbability = 0.4 // probability that a connection loses its responses while this fault is active
 	maxDropDelay    = 120 * time.Millisecond
 )
 
--- a/internal/tier/soak/recovery.go
+++ b/internal/tier/soak/recovery.go
@@ -16,7 +16,7 @@
 )
 
 // errNoRetry is returned by a Backoff to end a program at its first failure.
-var errNoRetry = errors.New("no retry")
+var errNoRetry = errors.New("program ended at its first failure: retries are disabled")
 
 // measureRecovery measures how long the tier takes to recover, from the start of the last process on. It records a violation for
 // each bound that is exceeded.
