--- a/cmd/mastusher/plugin.go
+++ b/cmd/mastusher/plugin.go
@@ -309,7 +309,7 @@
 		return operationError{config.NewKeyError("plugin_host.store", "missing: the relay's word is read there")}
 	}
 	if err = checkPlugins(cfg); err != nil {
-		return operationError{fmt.Errorf("the relay was not notified, because the check of its plug-ins failed: %w", err)}
+		return operationError{fmt.Errorf("the relay is not told: %w", err)}
 	}
 	before, err := plugin.ReadStatus(cfg)
 	if err != nil {
